--- a/internal/peer/caller/caller.go
+++ b/internal/peer/caller/caller.go
@@ -195,7 +195,7 @@
 		FirstToken: firstToken, BetweenTokens: time.Duration(target.BetweenTokensMs) * time.Millisecond,
 		// A request may wait for room for a part of its target; the rest is
 		// left for the group to make its first token.
-		Class: admission.Class{Name: className, Model: target.Model, Share: target.GuaranteedShare, Patience: firstToken / 2},
+		Class: admission.Class{Name: className, Model: target.Model, Share: target.GuaranteedShare, MaxWait: firstToken / 2},
 		Entry: handler.Journal.Begin(id, className, workspace),
 	}
 }
--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -1,21 +1,19 @@
-// Package admission decides whether a draft may start, so that a surge in one
-// class does not starve the others.
+// Package admission decides whether a draft may start, so that a surge in one class does not starve the others.
 //
-// A class is never refused while it uses less than its guaranteed share of the
-// data centre's capacity. Beyond it, classes use what the others leave idle. A
-// class that comes back to its share is let in at once; the work that had
-// borrowed it finishes, and the engines' priorities put the class first
-// meanwhile. Workspaces of a class that has run out of room get equal parts.
+// A class is never refused while it uses less than its guaranteed share of the data centre's capacity. Beyond
+// its share, a class borrows what the others leave idle. A class that returns to its share is admitted
+// immediately: the drafts that had borrowed the capacity finish, and the engines' priorities favour the class
+// meanwhile. Workspaces of a class that has run out of capacity get equal parts.
 //
-// A request that cannot start within its class's target is refused at once, and
-// told when room is expected. Nothing is queued to die.
+// A request that cannot start within its class's target is refused immediately, with the time at which capacity
+// is expected. No request is queued if it would miss its target.
 //
 // # Usage
 //
 //	gate := admission.New()
-//	pass, refusal := gate.Enter(admission.Request{...})
+//	permit, refusal := gate.Admit(ctx, admission.Request{...}, capacity)
 //	if refusal == nil {
-//		defer pass.Leave()
+//		defer permit.Release()
 //	}
 package admission
 
@@ -26,33 +24,32 @@
 )
 
 const (
-	// borrowLimit is the part of the capacity that classes beyond their share
-	// may fill, so that a class within its share finds a place in the batch.
-	borrowLimit = 0.9
-	// retryLeast and retryMost bound what Retry-After says.
-	retryLeast = time.Second
-	retryMost  = 10 * time.Second
-	// smoothing is the weight of a new sample of how long drafts take.
-	smoothing = 0.1
+	// borrowingCeiling is the part of the capacity that classes beyond their shares may fill, so that a class within
+	// its share finds a slot in the batch.
+	borrowingCeiling = 0.9
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal.
+	minRetryAfter = time.Second
+	maxRetryAfter = 10 * time.Second
+	// meanTimeWeight is the weight of a new sample in the moving average of draft durations.
+	meanTimeWeight = 0.1
 )
 
-// Class is what the gate knows about a class.
+// Class is what the gate needs to know of a class.
 type Class struct {
 	Name  string
 	Model string
-	// Share is the guaranteed part, 0 to 1, of the model's capacity.
+	// Share is the guaranteed part of the model's capacity, from 0 to 1.
 	Share float64
-	// Patience is how long a request may wait for room.
-	Patience time.Duration
+	// MaxWait is how long a request may wait for a slot.
+	MaxWait time.Duration
 }
 
-// Capacity is the room for one model's drafts in the data centre. Total is in
-// drafts at once, Peers is what other nodes have running, Nodes how many nodes
-// share it.
+// Capacity is the capacity for one model's drafts in the data centre. Total is the number of concurrent drafts,
+// PeerRunning the number that other nodes run, and Nodes the number of nodes that share the capacity.
 type Capacity struct {
-	Total int64
-	Peers int64
-	Nodes int64
+	Total       int64
+	PeerRunning int64
+	Nodes       int64
 }
 
 // Request asks to start one draft.
@@ -62,22 +59,22 @@
 	Capacity  Capacity
 }
 
-// Refusal says why a draft may not start, and when to come back.
+// Refusal says why a draft may not start, and when to retry.
 type Refusal struct {
 	Cause      string
 	RetryAfter time.Duration
 }
 
-// Pass is the right to run one draft. Guaranteed marks one within the class's
-// share. The holder calls Leave once.
-type Pass struct {
+// Permit is the right to run one draft. Guaranteed marks a draft within the class's share. The holder calls
+// Release once.
+type Permit struct {
 	Guaranteed bool
 
-	gate      *Gate
-	class     string
-	model     string
-	workspace string
-	began     time.Time
+	gate       *Gate
+	class      string
+	model      string
+	workspace  string
+	admittedAt time.Time
 }
 
 // ClassState is one class in the state dump.
@@ -92,7 +89,7 @@
 	MeanTimeMs int64
 }
 
-type classCount struct {
+type classUsage struct {
 	running    int64
 	waiting    int
 	workspaces map[string]int64
@@ -104,164 +101,163 @@
 
 // Gate admits the drafts of one node.
 type Gate struct {
-	mu      sync.Mutex
-	classes map[string]*classCount
-	models  map[string]int64
-	freed   chan struct{}
-	open    bool
+	mu             sync.Mutex
+	classes        map[string]*classUsage
+	runningByModel map[string]int64
+	released       chan struct{}
+	admitAll       bool
 }
 
-// Option changes how a Gate is built.
+// Option configures a Gate.
 type Option func(*Gate)
 
-// Open lets every request in; comparisons use it.
-func Open() Option {
-	return func(gate *Gate) { gate.open = true }
+// AdmitAll disables admission control: every request is admitted. Comparisons use it.
+func AdmitAll() Option {
+	return func(gate *Gate) { gate.admitAll = true }
 }
 
-// New returns an empty gate.
+// New returns a gate without running drafts.
 func New(options ...Option) *Gate {
-	gate := &Gate{classes: map[string]*classCount{}, models: map[string]int64{}, freed: make(chan struct{})}
+	gate := &Gate{classes: map[string]*classUsage{}, runningByModel: map[string]int64{}, released: make(chan struct{})}
 	for _, option := range options {
 		option(gate)
 	}
 	return gate
 }
 
-// Enter admits the request, waits for room within the class's patience, or
-// refuses it.
-func (gate *Gate) Enter(ctx context.Context, request Request, capacity func() Capacity) (*Pass, *Refusal) {
-	deadline := time.NewTimer(request.Class.Patience)
+// Admit admits the request, waits for a slot up to the class's MaxWait, or refuses the request.
+func (gate *Gate) Admit(ctx context.Context, request Request, capacity func() Capacity) (*Permit, *Refusal) {
+	deadline := time.NewTimer(request.Class.MaxWait)
 	defer deadline.Stop()
 	for {
 		request.Capacity = capacity()
-		pass, refusal, freed := gate.try(request)
-		if pass != nil || refusal != nil {
-			return pass, refusal
+		permit, refusal, released := gate.tryAdmit(request)
+		if permit != nil || refusal != nil {
+			return permit, refusal
 		}
 		select {
-		case <-freed:
+		case <-released:
 		case <-deadline.C:
-			return nil, gate.refuse(request, "there was no room within the class's target")
+			return nil, gate.refuseWaiting(request, "there was no room within the class's target")
 		case <-ctx.Done():
-			return nil, gate.refuse(request, "the caller left")
+			return nil, gate.refuseWaiting(request, "the caller left")
 		}
 		gate.stopWaiting(request.Class.Name)
 	}
 }
 
-func (gate *Gate) refuse(request Request, cause string) *Refusal {
+func (gate *Gate) refuseWaiting(request Request, cause string) *Refusal {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	count := gate.countLocked(request.Class.Name)
-	count.waiting--
-	return gate.refusalLocked(count, request, cause)
+	usage := gate.usageLocked(request.Class.Name)
+	usage.waiting--
+	return gate.refusalLocked(usage, request, cause)
 }
 
 func (gate *Gate) stopWaiting(class string) {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	gate.countLocked(class).waiting--
+	gate.usageLocked(class).waiting--
 }
 
-// try admits or refuses at once, or returns the channel to wait on.
-func (gate *Gate) try(request Request) (*Pass, *Refusal, <-chan struct{}) {
+// tryAdmit admits or refuses the request immediately, or returns the channel to wait on.
+func (gate *Gate) tryAdmit(request Request) (*Permit, *Refusal, <-chan struct{}) {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	count := gate.countLocked(request.Class.Name)
+	usage := gate.usageLocked(request.Class.Name)
 	if request.Capacity.Total == 0 {
-		return nil, gate.refusalLocked(count, request, "no group serves the class's model"), nil
+		return nil, gate.refusalLocked(usage, request, "no group serves the class's model"), nil
 	}
-	guaranteed := float64(count.running) < guarantee(request)
-	if guaranteed || gate.open || gate.roomLocked(count, request) {
-		return gate.admitLocked(count, request, guaranteed), nil, nil
+	guaranteed := float64(usage.running) < nodeGuarantee(request)
+	if guaranteed || gate.admitAll || gate.mayBorrowLocked(usage, request) {
+		return gate.admitLocked(usage, request, guaranteed), nil, nil
 	}
-	if gate.expectedWaitLocked(count, request) > request.Class.Patience {
-		return nil, gate.refusalLocked(count, request, "the class's target could not be met"), nil
+	if gate.expectedWaitLocked(usage, request) > request.Class.MaxWait {
+		return nil, gate.refusalLocked(usage, request, "the class's target could not be met"), nil
 	}
-	count.waiting++
-	return nil, nil, gate.freed
+	usage.waiting++
+	return nil, nil, gate.released
 }
 
-// guarantee is this node's part of what the class is guaranteed.
-func guarantee(request Request) float64 {
+// nodeGuarantee returns this node's part of the class's guaranteed share.
+func nodeGuarantee(request Request) float64 {
 	return request.Class.Share * float64(request.Capacity.Total) / float64(max(1, request.Capacity.Nodes))
 }
 
-// roomLocked reports whether there is room beyond the guaranteed share, and
-// whether the workspace may use it.
-func (gate *Gate) roomLocked(count *classCount, request Request) bool {
-	limit := borrowLimit * float64(request.Capacity.Total)
-	used := float64(gate.models[request.Class.Model] + request.Capacity.Peers)
-	mine := borrowLimit * float64(request.Capacity.Total) / float64(max(1, request.Capacity.Nodes))
-	if used >= limit && float64(gate.models[request.Class.Model]) >= mine {
+// mayBorrowLocked reports whether there is capacity beyond the guaranteed share, and whether the workspace may
+// use it.
+func (gate *Gate) mayBorrowLocked(usage *classUsage, request Request) bool {
+	limit := borrowingCeiling * float64(request.Capacity.Total)
+	running := float64(gate.runningByModel[request.Class.Model] + request.Capacity.PeerRunning)
+	nodeLimit := borrowingCeiling * float64(request.Capacity.Total) / float64(max(1, request.Capacity.Nodes))
+	if running >= limit && float64(gate.runningByModel[request.Class.Model]) >= nodeLimit {
 		return false
 	}
-	if used < limit/2 || len(count.workspaces) == 0 {
+	if running < limit/2 || len(usage.workspaces) == 0 {
 		return true
 	}
-	workspaces := len(count.workspaces)
-	if count.workspaces[request.Workspace] == 0 {
+	workspaces := len(usage.workspaces)
+	if usage.workspaces[request.Workspace] == 0 {
 		workspaces++
 	}
-	return float64(count.workspaces[request.Workspace]) < max(1, mine/float64(workspaces)) || used < limit*3/4
+	return float64(usage.workspaces[request.Workspace]) < max(1, nodeLimit/float64(workspaces)) || running < limit*3/4
 }
 
-// expectedWaitLocked estimates when a place comes free for one more: the
-// places turn over once in the mean time that a draft takes.
-func (gate *Gate) expectedWaitLocked(count *classCount, request Request) time.Duration {
-	places := max(1, gate.models[request.Class.Model])
-	return count.meanTime * time.Duration(count.waiting+1) / time.Duration(places)
+// expectedWaitLocked estimates when a slot comes free for one more draft. It assumes that each slot is released
+// once per mean draft duration.
+func (gate *Gate) expectedWaitLocked(usage *classUsage, request Request) time.Duration {
+	slots := max(1, gate.runningByModel[request.Class.Model])
+	return usage.meanTime * time.Duration(usage.waiting+1) / time.Duration(slots)
 }
 
-func (gate *Gate) refusalLocked(count *classCount, request Request, cause string) *Refusal {
-	count.refused++
-	wait := gate.expectedWaitLocked(count, request) - request.Class.Patience
-	return &Refusal{Cause: cause, RetryAfter: min(retryMost, max(retryLeast, wait))}
+func (gate *Gate) refusalLocked(usage *classUsage, request Request, cause string) *Refusal {
+	usage.refused++
+	wait := gate.expectedWaitLocked(usage, request) - request.Class.MaxWait
+	return &Refusal{Cause: cause, RetryAfter: min(maxRetryAfter, max(minRetryAfter, wait))}
 }
 
-func (gate *Gate) admitLocked(count *classCount, request Request, guaranteed bool) *Pass {
-	count.running++
-	count.admitted++
+func (gate *Gate) admitLocked(usage *classUsage, request Request, guaranteed bool) *Permit {
+	usage.running++
+	usage.admitted++
 	if !guaranteed {
-		count.borrowed++
+		usage.borrowed++
 	}
-	count.workspaces[request.Workspace]++
-	gate.models[request.Class.Model]++
-	return &Pass{
+	usage.workspaces[request.Workspace]++
+	gate.runningByModel[request.Class.Model]++
+	return &Permit{
 		Guaranteed: guaranteed, gate: gate, class: request.Class.Name, model: request.Class.Model,
-		workspace: request.Workspace, began: time.Now(),
+		workspace: request.Workspace, admittedAt: time.Now(),
 	}
 }
 
-func (gate *Gate) countLocked(class string) *classCount {
-	count, ok := gate.classes[class]
+func (gate *Gate) usageLocked(class string) *classUsage {
+	usage, ok := gate.classes[class]
 	if !ok {
-		count = &classCount{workspaces: map[string]int64{}}
-		gate.classes[class] = count
+		usage = &classUsage{workspaces: map[string]int64{}}
+		gate.classes[class] = usage
 	}
-	return count
+	return usage
 }
 
-// Leave ends the draft and wakes the requests that wait for room.
-func (pass *Pass) Leave() {
-	gate := pass.gate
+// Release ends the draft and wakes the requests that wait for a slot.
+func (permit *Permit) Release() {
+	gate := permit.gate
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	count := gate.countLocked(pass.class)
-	count.running--
-	gate.models[pass.model]--
-	count.workspaces[pass.workspace]--
-	if count.workspaces[pass.workspace] == 0 {
-		delete(count.workspaces, pass.workspace)
+	usage := gate.usageLocked(permit.class)
+	usage.running--
+	gate.runningByModel[permit.model]--
+	usage.workspaces[permit.workspace]--
+	if usage.workspaces[permit.workspace] == 0 {
+		delete(usage.workspaces, permit.workspace)
 	}
-	took := time.Since(pass.began)
-	if count.meanTime == 0 {
-		count.meanTime = took
+	elapsed := time.Since(permit.admittedAt)
+	if usage.meanTime == 0 {
+		usage.meanTime = elapsed
 	}
-	count.meanTime += time.Duration(smoothing * float64(took-count.meanTime))
-	close(gate.freed)
-	gate.freed = make(chan struct{})
+	usage.meanTime += time.Duration(meanTimeWeight * float64(elapsed-usage.meanTime))
+	close(gate.released)
+	gate.released = make(chan struct{})
 }
 
 // State returns the gate's part of the state dump.
@@ -269,11 +265,11 @@
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
 	states := []ClassState{}
-	for name, count := range gate.classes {
+	for name, usage := range gate.classes {
 		states = append(states, ClassState{
-			Name: name, Running: count.running, Waiting: count.waiting, Admitted: count.admitted,
-			Borrowed: count.borrowed, Refused: count.refused, Workspaces: len(count.workspaces),
-			MeanTimeMs: count.meanTime.Milliseconds(),
+			Name: name, Running: usage.running, Waiting: usage.waiting, Admitted: usage.admitted,
+			Borrowed: usage.borrowed, Refused: usage.refused, Workspaces: len(usage.workspaces),
+			MeanTimeMs: usage.meanTime.Milliseconds(),
 		})
 	}
 	return states
--- a/internal/policy/route/predict.go
+++ b/internal/policy/route/predict.go
@@ -5,67 +5,64 @@
 	"time"
 )
 
-// Predictor estimates the time to the first token at a group at which this
-// node has so many drafts and tokens under way.
-type Predictor func(target *Target, own Own, request Request, now time.Duration) time.Duration
+// Predictor estimates the time to the first token at a group, given this node's own load there.
+type Predictor func(target *Target, load LocalLoad, request Request, now time.Duration) time.Duration
 
-// Own is what this node itself has at a group.
-type Own struct {
-	Running     int64
-	Outstanding int64
-	// Cached tells that the group is likely to know the prompt's prefix.
-	Cached bool
+// LocalLoad is this node's own load at a group.
+type LocalLoad struct {
+	Running           int64
+	OutstandingTokens int64
+	// PrefixCached reports that the group probably has the prompt's prefix in its cache.
+	PrefixCached bool
 }
 
-// open reports whether the group may take one more draft of this node.
-func (candidate *candidate) open(request Request, now time.Duration) bool {
+// accepts reports whether the group may take one more draft of this node.
+func (candidate *candidate) accepts(request Request, now time.Duration) bool {
 	if candidate.target.Number == request.Exclude {
 		return false
 	}
-	running := candidate.state.running.Load()
-	suspected := time.Duration(candidate.state.suspectAt.Load())
-	if suspected != 0 && candidate.target.ReadAt <= suspected && now-suspected < suspectFor {
+	running := candidate.state.runningDrafts.Load()
+	failedAt := time.Duration(candidate.state.failedAt.Load())
+	if failedAt != 0 && candidate.target.ReadAt <= failedAt && now-failedAt < failurePause {
 		return false
 	}
-	if suspected != 0 && now-suspected < suspectFor+rampFor {
-		return running < max(1, candidate.share/4)
+	if failedAt != 0 && now-failedAt < failurePause+rampUpTime {
+		return running < max(1, candidate.maxRunning/4)
 	}
 	if candidate.target.Remote {
 		taken := running + int64(candidate.target.Running)
-		return running < candidate.share && taken < int64(spillRoom*float64(candidate.target.Concurrency))
+		return running < candidate.maxRunning && taken < int64(remoteMaxFill*float64(candidate.target.Concurrency))
 	}
-	return running < candidate.share || running+int64(candidate.target.PeerRunning) < int64(candidate.target.Concurrency)
+	return running < candidate.maxRunning || running+int64(candidate.target.PeerRunning) < int64(candidate.target.Concurrency)
 }
 
-func (state *groupState) own(prefix uint64, now time.Duration) Own {
-	return Own{Running: state.running.Load(), Outstanding: state.outstanding.Load(), Cached: state.cached(prefix, now)}
+func (groupState *groupState) localLoad(prefix uint64, now time.Duration) LocalLoad {
+	return LocalLoad{Running: groupState.runningDrafts.Load(), OutstandingTokens: groupState.outstandingTokens.Load(), PrefixCached: groupState.hasPrefix(prefix, now)}
 }
 
-// Prediction is the usual Predictor.
-func Prediction(target *Target, own Own, request Request, now time.Duration) time.Duration {
-	rate := float64(orDefault(target.TokensPerSecond, defaultRate))
-	prefill := float64(orDefault(target.PrefillPerSecond, defaultPrefill))
-	// What nodes say they have there is a second old at most; the group's own
-	// report is older and counts much of the same work again. Of what it says
-	// beyond theirs, less is believed the older it is.
-	believed := math.Exp(-(now - target.ReadAt).Seconds() / reportTrust.Seconds())
-	queued := float64(own.Outstanding) + float64(target.PeerTokens)
-	queued += believed * max(0, float64(target.QueuedTokens)-queued)
-	running := float64(own.Running) + float64(target.PeerRunning)
-	running += believed * max(0, float64(target.Running)-running)
-	waiting := 0.0
+// PredictFirstToken is the default Predictor.
+func PredictFirstToken(target *Target, load LocalLoad, request Request, now time.Duration) time.Duration {
+	rate := float64(valueOrDefault(target.TokensPerSecond, defaultTokensPerSecond))
+	prefill := float64(valueOrDefault(target.PrefillPerSecond, defaultPrefillPerSecond))
+	// Node reports are at most a second old. The group's own report is older and includes much of the same work. The
+	// part of it that exceeds the node reports gets less weight the older it is.
+	reportWeight := math.Exp(-(now - target.ReadAt).Seconds() / reportDecayTime.Seconds())
+	queued := float64(load.OutstandingTokens) + float64(target.PeerTokens)
+	queued += reportWeight * max(0, float64(target.QueuedTokens)-queued)
+	running := float64(load.Running) + float64(target.PeerRunning)
+	running += reportWeight * max(0, float64(target.Running)-running)
+	queueTime := 0.0
 	if running >= float64(target.Concurrency) && running > 0 {
-		// Every place in the batch is taken: the draft waits for the share of
-		// the queue that is ahead of it.
-		waiting = queued * (running - float64(target.Concurrency) + 1) / running / rate
+		// All slots of the batch are taken: the draft waits for its share of the queue ahead of it.
+		queueTime = queued * (running - float64(target.Concurrency) + 1) / running / rate
 	}
-	prompt := float64(request.PromptTokens) / prefill
-	if own.Cached {
-		prompt *= 1 - cachedShare
+	prefillTime := float64(request.PromptTokens) / prefill
+	if load.PrefixCached {
+		prefillTime *= 1 - cachedPrefixSaving
 	}
-	// A fuller batch makes each step longer, which a draft pays at every token.
-	step := running / rate
-	seconds := waiting + prompt + step
+	// A fuller batch makes each step longer, which delays every token of the draft.
+	stepTime := running / rate
+	seconds := queueTime + prefillTime + stepTime
 	predicted := time.Duration(seconds * float64(time.Second))
 	if target.Remote {
 		predicted += remoteMargin
@@ -73,20 +70,20 @@
 	return predicted
 }
 
-func orDefault(value, otherwise uint32) uint32 {
+func valueOrDefault(value, fallback uint32) uint32 {
 	if value == 0 {
-		return otherwise
+		return fallback
 	}
 	return value
 }
 
-func (state *groupState) cached(prefix uint64, now time.Duration) bool {
-	slot := state.prefixes[prefix%prefixSlots].Load()
-	sent := time.Duration(slot&(1<<prefixTimeBits-1)) * time.Second
-	return slot != 0 && slot>>prefixTimeBits == prefix>>prefixTimeBits && now.Truncate(time.Second)-sent < prefixLifetime
+func (groupState *groupState) hasPrefix(prefix uint64, now time.Duration) bool {
+	slot := groupState.prefixes[prefix%prefixSlots].Load()
+	sent := time.Duration(slot&(1<<prefixTimestampBits-1)) * time.Second
+	return slot != 0 && slot>>prefixTimestampBits == prefix>>prefixTimestampBits && now.Truncate(time.Second)-sent < prefixLifetime
 }
 
-func (state *groupState) remember(prefix uint64, now time.Duration) {
-	seconds := uint64(now/time.Second) & (1<<prefixTimeBits - 1)
-	state.prefixes[prefix%prefixSlots].Store(prefix>>prefixTimeBits<<prefixTimeBits | seconds)
+func (groupState *groupState) rememberPrefix(prefix uint64, now time.Duration) {
+	seconds := uint64(now/time.Second) & (1<<prefixTimestampBits - 1)
+	groupState.prefixes[prefix%prefixSlots].Store(prefix>>prefixTimestampBits<<prefixTimestampBits | seconds)
 }
--- a/internal/policy/route/route.go
+++ b/internal/policy/route/route.go
@@ -1,20 +1,17 @@
-// Package route chooses the replica group for a draft by the predicted time to
-// its first token.
+// Package route chooses the replica group for a draft by the predicted time to its first token.
 //
-// The prediction adds the work that waits at a group, the part of the prompt
-// that is not in its prefix cache, and the distance. What waits is known late:
-// the group's own report is corrected by what this node sent since and by what
-// its peers said they have there. Since every node sees the same late reports,
-// all of them would rush to the same best group; each therefore chooses at
-// random among those near the best.
+// The prediction adds up the work queued at a group, the part of the prompt that is not in the group's prefix
+// cache, and the distance. The queue length is known late: the group's own report is corrected by what this node
+// has sent since and by the loads that its peers report. All nodes see the same late reports and would all
+// choose the same best group, so each node chooses at random among the groups near the best.
 //
-// One choice reads an immutable table and a few atomics, takes no lock, and
-// costs the same however many nodes there are.
+// A choice reads an immutable table and a few atomics and takes no lock. Its cost doesn't depend on the number
+// of nodes.
 //
 // # Usage
 //
 //	router := route.New(route.Random(draw))
-//	router.Update(targets, nodes, now)
+//	router.Update(targets, nodes)
 //	choice, ok := router.Pick(route.Request{Model: "draft", PromptTokens: 300}, now)
 //	defer choice.Done(...)
 package route
@@ -28,37 +25,34 @@
 )
 
 const (
-	// nearBest is how much worse than the best prediction a group may be and
-	// still be chosen: a fifth, or a few milliseconds.
-	nearBestShare = 0.2
-	nearBestLeast = 5 * time.Millisecond
-	// suspectFor is how long a group that just failed gets no new work, unless
-	// a newer report of it arrives.
-	suspectFor = 2 * time.Second
-	// rampFor is how long a group that failed gets only a part of its share.
-	rampFor        = 5 * time.Second
+	// nearBestShare and nearBestMargin bound how much worse than the best prediction a group's prediction may be for
+	// the group to be chosen: by a fifth, or by a few milliseconds, whichever is more.
+	nearBestShare  = 0.2
+	nearBestMargin = 5 * time.Millisecond
+	// failurePause is how long a group that has just failed gets no new work, unless a newer report of it arrives.
+	failurePause = 2 * time.Second
+	// rampUpTime is how long a group that failed then gets only a part of its share.
+	rampUpTime     = 5 * time.Second
 	prefixSlots    = 256
 	prefixLifetime = 2 * time.Minute
-	// cachedShare is how much of a prompt's time a known prefix is trusted to
-	// save. The engine's cache is small and forgets, so it is not all of it.
-	cachedShare    = 0.5
-	defaultPrefill = 10_000
-	defaultRate    = 500
-	// reportTrust is the age at which a report's excess over what nodes say is
-	// believed to a third.
-	reportTrust = 500 * time.Millisecond
-	// spillPart bounds what a node sends to a group of another data centre: a
-	// part of the share that it would have there, so that one data centre's
-	// surge does not sink its neighbours.
-	spillPart = 2
-	// spillRoom is how full a group of another data centre may be, by its last
-	// report, and still get work from here.
-	spillRoom = 0.9
-	// remoteMargin is what a group of another data centre must be better by.
+	// cachedPrefixSaving is the part of the prefill time that a cached prefix is assumed to save. It is not 1
+	// because the engine's cache is small and evicts prefixes.
+	cachedPrefixSaving      = 0.5
+	defaultPrefillPerSecond = 10_000
+	defaultTokensPerSecond  = 500
+	// reportDecayTime is the age at which the excess of a group's report over the node reports has a weight of a
+	// third.
+	reportDecayTime = 500 * time.Millisecond
+	// remoteShareDivisor limits what a node sends to a group of another data centre to that part of its share, so
+	// that a surge in one data centre doesn't overload its neighbours.
+	remoteShareDivisor = 2
+	// remoteMaxFill is the load, by its last report, up to which a group of another data centre gets work from here.
+	remoteMaxFill = 0.9
+	// remoteMargin is added to the prediction for a group of another data centre, which must be better by that much.
 	remoteMargin = 30 * time.Millisecond
 )
 
-// Target is one serving group, as the router's table holds it.
+// Target is one serving group in the routing table.
 type Target struct {
 	Number           uint64
 	Model            string
@@ -71,73 +65,75 @@
 	PrefillPerSecond uint32
 	Concurrency      uint32
 	ReadAt           time.Duration
-	// PeerTokens and PeerRunning are what other nodes said they have there.
+	// PeerTokens and PeerRunning are the loads that other nodes report for the group.
 	PeerTokens  uint32
 	PeerRunning uint32
 }
 
-// Request is what a choice depends on. PromptTokens is an estimate.
+// Request describes the draft to route. PromptTokens is an estimate.
 type Request struct {
 	Model        string
 	PromptTokens int
 	AnswerTokens int
-	Prefix       uint64
-	// Exclude is a group not to choose, 0 for none.
+	PrefixHash   uint64
+	// Exclude is a group that must not be chosen, 0 for none.
 	Exclude uint64
 }
 
 // Choice is a chosen group. The holder calls Done once.
 type Choice struct {
-	Target    Target
+	Target Target
+	// Predicted is the predicted time to the first token.
 	Predicted time.Duration
-	Near      int
-	Known     int
+	// NearBest is the number of groups near the best prediction, Groups the number of all groups of the model.
+	NearBest int
+	Groups   int
 
 	state  *groupState
 	tokens int64
 }
 
-// groupState is what this node itself knows of a group. It outlives the
-// tables, and is the same object in each of them.
+// groupState is what this node itself knows of a group. It survives Update: all routing tables share the same
+// object.
 type groupState struct {
-	outstanding atomic.Int64
-	running     atomic.Int64
-	suspectAt   atomic.Int64
-	prefixes    [prefixSlots]atomic.Uint64
+	outstandingTokens atomic.Int64
+	runningDrafts     atomic.Int64
+	failedAt          atomic.Int64
+	prefixes          [prefixSlots]atomic.Uint64
 }
 
 type candidate struct {
 	target Target
 	state  *groupState
-	// share is how many drafts this node may have at the group at once.
-	share int64
+	// maxRunning is the number of drafts that this node may run at the group at once.
+	maxRunning int64
 }
 
-type table struct {
-	byModel map[string]*groups
+type routingTable struct {
+	byModel map[string]*modelGroups
 }
 
-// groups are those of one model, of this data centre and of others.
-type groups struct {
-	// capacity and taken sum up the local groups, spill this node's shares of
-	// the remote ones.
-	capacity, taken, spill int64
+// modelGroups are the groups of one model, in this data centre and in others.
+type modelGroups struct {
+	// capacity and peerRunning are totals over the local groups, remoteCapacity is the total of this node's shares
+	// of the remote groups.
+	capacity, peerRunning, remoteCapacity int64
 
-	local  list
-	remote list
+	local  candidateList
+	remote candidateList
 }
 
-type list struct {
+type candidateList struct {
 	candidates []candidate
 	byNumber   map[uint64]int
 }
 
-func (list *list) add(candidate candidate) {
-	if list.byNumber == nil {
-		list.byNumber = map[uint64]int{}
+func (candidateList *candidateList) add(candidate candidate) {
+	if candidateList.byNumber == nil {
+		candidateList.byNumber = map[uint64]int{}
 	}
-	list.byNumber[candidate.target.Number] = len(list.candidates)
-	list.candidates = append(list.candidates, candidate)
+	candidateList.byNumber[candidate.target.Number] = len(candidateList.candidates)
+	candidateList.candidates = append(candidateList.candidates, candidate)
 }
 
 // GroupState is one group in the state dump.
@@ -150,48 +146,46 @@
 
 // Router chooses groups.
 type Router struct {
-	table   atomic.Pointer[table]
+	table   atomic.Pointer[routingTable]
 	random  func(n int) int
 	predict Predictor
-	// prefixes remembers the group that last had a prompt's prefix.
+	// prefixes holds the number of the group that last got a prompt with the prefix.
 	prefixes [prefixSlots]atomic.Uint64
 
 	mu     sync.Mutex
 	states map[uint64]*groupState
 }
 
-// Option changes how a Router is built.
+// Option configures a Router.
 type Option func(*Router)
 
-// Random sets how a number below n is drawn. It is called from many
-// goroutines.
+// Random sets the function that draws a random number in [0, n). It must be safe for concurrent use.
 func Random(draw func(n int) int) Option {
 	return func(router *Router) { router.random = draw }
 }
 
-// Predict replaces the prediction; comparisons with simpler rules use it.
-func Predict(predict Predictor) Option {
+// WithPredictor replaces the predictor. Comparisons with simpler rules use it.
+func WithPredictor(predict Predictor) Option {
 	return func(router *Router) { router.predict = predict }
 }
 
-// New returns a router that knows no groups.
+// New returns a router without groups.
 func New(options ...Option) *Router {
-	router := &Router{random: rand.IntN, predict: Prediction, states: map[uint64]*groupState{}}
-	router.table.Store(&table{byModel: map[string]*groups{}})
+	router := &Router{random: rand.IntN, predict: PredictFirstToken, states: map[uint64]*groupState{}}
+	router.table.Store(&routingTable{byModel: map[string]*modelGroups{}})
 	for _, option := range options {
 		option(router)
 	}
 	return router
 }
 
-// Update replaces the table. Nodes is how many nodes of the data centre share
-// the groups. Each node gets an even part of a group's concurrency, and may go
-// beyond it while the group as a whole is not full.
+// Update replaces the routing table. nodes is the number of nodes of the data centre that share the groups. Each
+// node gets an equal share of a group's concurrency, and may exceed it while the group as a whole is not full.
 func (router *Router) Update(targets []Target, nodes int) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
 	states := map[uint64]*groupState{}
-	next := &table{byModel: map[string]*groups{}}
+	next := &routingTable{byModel: map[string]*modelGroups{}}
 	for _, target := range targets {
 		state, ok := router.states[target.Number]
 		if !ok {
@@ -200,12 +194,12 @@
 		states[target.Number] = state
 		share := int64(max(1, int(target.Concurrency)/max(1, nodes)))
 		if target.Remote {
-			share = max(1, share/spillPart)
+			share = max(1, share/remoteShareDivisor)
 		}
-		next.add(candidate{target: target, state: state, share: share})
+		next.add(candidate{target: target, state: state, maxRunning: share})
 	}
 	for number, state := range router.states {
-		if state.running.Load() > 0 && states[number] == nil {
+		if state.runningDrafts.Load() > 0 && states[number] == nil {
 			states[number] = state
 		}
 	}
@@ -213,90 +207,89 @@
 	router.table.Store(next)
 }
 
-func (table *table) add(candidate candidate) {
-	ofModel, ok := table.byModel[candidate.target.Model]
+func (routingTable *routingTable) add(candidate candidate) {
+	groups, ok := routingTable.byModel[candidate.target.Model]
 	if !ok {
-		ofModel = &groups{}
-		table.byModel[candidate.target.Model] = ofModel
+		groups = &modelGroups{}
+		routingTable.byModel[candidate.target.Model] = groups
 	}
 	if candidate.target.Remote {
-		ofModel.spill += candidate.share
-		ofModel.remote.add(candidate)
+		groups.remoteCapacity += candidate.maxRunning
+		groups.remote.add(candidate)
 		return
 	}
-	ofModel.capacity += int64(candidate.target.Concurrency)
-	ofModel.taken += int64(candidate.target.PeerRunning)
-	ofModel.local.add(candidate)
+	groups.capacity += int64(candidate.target.Concurrency)
+	groups.peerRunning += int64(candidate.target.PeerRunning)
+	groups.local.add(candidate)
 }
 
 const (
-	// windowGroups is how many groups of one kind are looked at.
-	windowGroups = 12
-	// searchMost is all that one search holds: two windows and one more.
-	searchMost = 2*windowGroups + 1
+	// windowSize is the number of local, or remote, groups that one search considers.
+	windowSize = 12
+	// maxCandidates is the maximum number of groups in one search: two windows and the group that has the prefix.
+	maxCandidates = 2*windowSize + 1
 )
 
-// The low bits of a slot hold when the prefix was sent, in seconds, the rest a
-// part of its hash.
-const prefixTimeBits = 24
+// prefixTimestampBits is the number of low bits of a prefix slot that hold when the prefix was sent, in seconds.
+// The other bits hold a part of the prefix hash.
+const prefixTimestampBits = 24
 
-func (choice *Choice) begin(prefix uint64, now time.Duration) {
-	choice.state.outstanding.Add(choice.tokens)
-	choice.state.running.Add(1)
-	choice.state.remember(prefix, now)
+func (choice *Choice) recordStart(prefix uint64, now time.Duration) {
+	choice.state.outstandingTokens.Add(choice.tokens)
+	choice.state.runningDrafts.Add(1)
+	choice.state.rememberPrefix(prefix, now)
 }
 
-// Token tells that one token of the answer has come.
-func (choice *Choice) Token() {
+// RecordToken records that one token of the answer has arrived.
+func (choice *Choice) RecordToken() {
 	if choice.tokens > 0 {
 		choice.tokens--
-		choice.state.outstanding.Add(-1)
+		choice.state.outstandingTokens.Add(-1)
 	}
 }
 
-// Done ends the choice. A failed group gets no new work until a newer report
-// of it arrives, and then less for a while.
+// Done ends the choice. A group that failed gets no new work until a newer report of it arrives, and less work
+// for some time after that.
 func (choice *Choice) Done(failed bool, now time.Duration) {
-	choice.state.outstanding.Add(-choice.tokens)
-	choice.state.running.Add(-1)
+	choice.state.outstandingTokens.Add(-choice.tokens)
+	choice.state.runningDrafts.Add(-1)
 	choice.tokens = 0
 	if failed {
-		choice.state.suspectAt.Store(int64(now))
+		choice.state.failedAt.Store(int64(now))
 	}
 }
 
-// Capacity is how many drafts of a model can run at once at the groups of this
-// data centre, and in what this node may use of others, and how many of them
-// peers said are taken.
+// Capacity returns how many drafts of a model can run at once at the groups of this data centre, plus this
+// node's share of other data centres, and how many slots of the local groups are taken according to peers.
 func (router *Router) Capacity(model string) (capacity, taken int64) {
-	ofModel, ok := router.table.Load().byModel[model]
+	groups, ok := router.table.Load().byModel[model]
 	if !ok {
 		return 0, 0
 	}
-	return ofModel.capacity + ofModel.spill, ofModel.taken
+	return groups.capacity + groups.remoteCapacity, groups.peerRunning
 }
 
-// Sent returns what this node has at each group, for its peers.
-func (router *Router) Sent() []GroupState {
+// OwnLoads returns this node's load at each group, to be sent to peers.
+func (router *Router) OwnLoads() []GroupState {
 	router.mu.Lock()
 	defer router.mu.Unlock()
-	sent := []GroupState{}
+	loads := []GroupState{}
 	for number, state := range router.states {
-		if running := state.running.Load(); running > 0 {
-			sent = append(sent, GroupState{Target: Target{Number: number}, Outstanding: state.outstanding.Load(), Running: running})
+		if running := state.runningDrafts.Load(); running > 0 {
+			loads = append(loads, GroupState{Target: Target{Number: number}, Outstanding: state.outstandingTokens.Load(), Running: running})
 		}
 	}
-	return sent
+	return loads
 }
 
 // State returns the router's part of the state dump.
 func (router *Router) State() []GroupState {
 	states := []GroupState{}
-	for _, ofModel := range router.table.Load().byModel {
-		for _, candidate := range slices.Concat(ofModel.local.candidates, ofModel.remote.candidates) {
+	for _, groups := range router.table.Load().byModel {
+		for _, candidate := range slices.Concat(groups.local.candidates, groups.remote.candidates) {
 			states = append(states, GroupState{
-				Target: candidate.target, Outstanding: candidate.state.outstanding.Load(),
-				Running: candidate.state.running.Load(), Share: candidate.share,
+				Target: candidate.target, Outstanding: candidate.state.outstandingTokens.Load(),
+				Running: candidate.state.runningDrafts.Load(), Share: candidate.maxRunning,
 			})
 		}
 	}
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -16,17 +16,17 @@
 const now = time.Hour
 
 func targets(count int) []route.Target {
-	made := []route.Target{}
+	groups := []route.Target{}
 	for index := range count {
-		made = append(made, route.Target{
+		groups = append(groups, route.Target{
 			Number: uint64(index + 1), Model: "drafting", TokensPerSecond: 1000, PrefillPerSecond: 20_000,
 			Concurrency: 8, ReadAt: now,
 		})
 	}
-	return made
+	return groups
 }
 
-// BenchmarkPick is one choice among as many groups as the name says.
+// BenchmarkPick measures one choice among the number of groups in the benchmark's name.
 func BenchmarkPick(b *testing.B) {
 	for _, count := range []int{10, 100, 300} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -34,7 +34,7 @@
 			router.Update(targets(count), 1)
 			b.ReportAllocs()
 			for index := range b.N {
-				choice, ok := router.Pick(route.Request{Model: "drafting", PromptTokens: 300, Prefix: uint64(index)}, now)
+				choice, ok := router.Pick(route.Request{Model: "drafting", PromptTokens: 300, PrefixHash: uint64(index)}, now)
 				if ok {
 					choice.Done(false, now)
 				}
@@ -43,24 +43,22 @@
 	}
 }
 
-// The regression guard of the request path: a choice allocates nothing,
-// however many groups there are.
+// Guards the request path against allocations: a choice allocates nothing, whatever the number of groups.
 func TestPickAllocatesNothing(t *testing.T) {
 	for _, count := range []int{10, 300} {
 		router := route.New()
 		router.Update(targets(count), 1)
 		allocations := testing.AllocsPerRun(100, func() {
-			choice, _ := router.Pick(route.Request{Model: "drafting", Prefix: 7}, now)
+			choice, _ := router.Pick(route.Request{Model: "drafting", PrefixHash: 7}, now)
 			choice.Done(false, now)
 		})
 		gomega.NewWithT(t).Expect(allocations).To(gomega.BeZero(), "%d groups", count)
 	}
 }
 
-// Every node sees the same late reports. If each took the one best group, all
-// would rush to it and overrun it before the next report; near-equal groups
-// must share the work.
-func TestNodesDoNotHerd(t *testing.T) {
+// Guards against all nodes choosing the same best group by the same late reports, which overloads it before the
+// next report. Nearly equal groups must share the work.
+func TestNodesSpreadOverNearEqualGroups(t *testing.T) {
 	g := gomega.NewWithT(t)
 	random := rand.New(rand.NewPCG(suite.Seed(), 1))
 	load := map[uint64]int{}
@@ -76,19 +74,19 @@
 	}
 }
 
-// A group that just failed gets nothing until a newer report of it, and little
-// for a while then: a group that is refusing must be probed, not hammered.
+// Guards against sending full load to a group that has just failed. It gets nothing until a newer report of it
+// arrives, and only a few drafts for some time after that.
 func TestFailedGroupIsProbed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	router := route.New()
-	made := targets(1)
-	router.Update(made, 1)
+	groups := targets(1)
+	router.Update(groups, 1)
 	choice, _ := router.Pick(route.Request{Model: "drafting"}, now)
 	choice.Done(true, now)
 	_, ok := router.Pick(route.Request{Model: "drafting"}, now+time.Second)
 	g.Expect(ok).To(gomega.BeFalse())
-	made[0].ReadAt = now + time.Second
-	router.Update(made, 1)
+	groups[0].ReadAt = now + time.Second
+	router.Update(groups, 1)
 	taken := 0
 	for range 8 {
 		if _, ok := router.Pick(route.Request{Model: "drafting"}, now+2*time.Second); ok {
@@ -98,26 +96,25 @@
 	g.Expect(taken).To(gomega.Equal(2))
 }
 
-// plainOpen is the rule of who may be chosen, written down plainly.
-func plainOpen(target route.Target, own, nodes int64) bool {
+// referenceAccepts is a simple statement of the rule which groups may be chosen.
+func referenceAccepts(target route.Target, own, nodes int64) bool {
 	share := max(1, int64(target.Concurrency)/max(1, nodes))
 	return own < share || own+int64(target.PeerRunning) < int64(target.Concurrency)
 }
 
-// Random tables and loads, against the plain rule: what is chosen must be open,
-// and nothing is chosen only when nothing is open. What a node has running
-// never goes below zero and comes back to zero.
-func TestPickAgainstPlainRule(t *testing.T) {
+// Checks random tables and loads against the reference rule: a chosen group must accept the draft, and no group
+// is chosen only if none accepts it. The number of running drafts never goes below zero and returns to zero.
+func TestPickMatchesReferenceRule(t *testing.T) {
 	suite.FixRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 8).Draw(t, "nodes")
-		made := targets(rapid.IntRange(1, 60).Draw(t, "groups"))
-		for index := range made {
-			made[index].PeerRunning = uint32(rapid.IntRange(0, 9).Draw(t, "peers"))
-			made[index].QueuedTokens = uint32(rapid.IntRange(0, 5000).Draw(t, "queued"))
+		groups := targets(rapid.IntRange(1, 60).Draw(t, "groups"))
+		for index := range groups {
+			groups[index].PeerRunning = uint32(rapid.IntRange(0, 9).Draw(t, "peers"))
+			groups[index].QueuedTokens = uint32(rapid.IntRange(0, 5000).Draw(t, "queued"))
 		}
 		router := route.New()
-		router.Update(made, nodes)
+		router.Update(groups, nodes)
 		own := map[uint64]int64{}
 		open := []route.Choice{}
 		for range rapid.IntRange(1, 120).Draw(t, "requests") {
@@ -126,19 +123,19 @@
 				open[0].Done(false, now)
 				open = open[1:]
 			}
-			exclude := uint64(rapid.IntRange(0, len(made)).Draw(t, "exclude"))
+			exclude := uint64(rapid.IntRange(0, len(groups)).Draw(t, "exclude"))
 			choice, ok := router.Pick(route.Request{Model: "drafting", AnswerTokens: 10, Exclude: exclude}, now)
 			anyOpen := false
-			for _, target := range made {
-				anyOpen = anyOpen || (target.Number != exclude && plainOpen(target, own[target.Number], int64(nodes)))
+			for _, target := range groups {
+				anyOpen = anyOpen || (target.Number != exclude && referenceAccepts(target, own[target.Number], int64(nodes)))
 			}
 			if ok != anyOpen {
-				t.Fatalf("chosen %t, the plain rule says %t", ok, anyOpen)
+				t.Fatalf("chosen %t, the reference rule says %t", ok, anyOpen)
 			}
 			if !ok {
 				continue
 			}
-			if choice.Target.Number == exclude || !plainOpen(choice.Target, own[choice.Target.Number], int64(nodes)) {
+			if choice.Target.Number == exclude || !referenceAccepts(choice.Target, own[choice.Target.Number], int64(nodes)) {
 				t.Fatalf("group %d may not be chosen", choice.Target.Number)
 			}
 			own[choice.Target.Number]++
--- a/internal/run/node/answer.go
+++ b/internal/run/node/answer.go
@@ -87,7 +87,7 @@
 	for _, reading := range node.watcher.Readings() {
 		reply.Domains = append(reply.Domains, domainReport(&reading, held[reading.FabricDomain], node.Incarnation, now))
 	}
-	for _, group := range node.router.Sent() {
+	for _, group := range node.router.OwnLoads() {
 		reply.Sent = append(reply.Sent, &exchange.Sent{
 			Group: group.Target.Number, Tokens: uint32(max(0, group.Outstanding)), Running: uint32(group.Running),
 		})
--- a/internal/run/trial/trial.go
+++ b/internal/run/trial/trial.go
@@ -89,9 +89,9 @@
 		{"hazelslip", func() node.Policies { return node.Policies{} }},
 		{"round robin", roundRobin},
 		{"least reported load", func() node.Policies {
-			return node.Policies{Route: []route.Option{route.Predict(reported), route.Random(func(int) int { return 0 })}}
+			return node.Policies{Route: []route.Option{route.WithPredictor(reported), route.Random(func(int) int { return 0 })}}
 		}},
-		{"no shares", func() node.Policies { return node.Policies{Admission: []admission.Option{admission.Open()}} }},
+		{"no shares", func() node.Policies { return node.Policies{Admission: []admission.Option{admission.AdmitAll()}} }},
 		{"unlimited retries", func() node.Policies { return node.Policies{Retry: []retry.Option{retry.Endless()}} }},
 	}
 }
@@ -99,13 +99,13 @@
 func roundRobin() node.Policies {
 	var turn atomic.Int64
 	return node.Policies{Route: []route.Option{
-		route.Predict(func(*route.Target, route.Own, route.Request, time.Duration) time.Duration { return 0 }),
+		route.WithPredictor(func(*route.Target, route.LocalLoad, route.Request, time.Duration) time.Duration { return 0 }),
 		route.Random(func(n int) int { return int(turn.Add(1)) % n }),
 	}}
 }
 
 // reported ranks groups by what they last reported, and by nothing else.
-func reported(target *route.Target, _ route.Own, _ route.Request, _ time.Duration) time.Duration {
+func reported(target *route.Target, _ route.LocalLoad, _ route.Request, _ time.Duration) time.Duration {
 	return time.Duration(target.Running) * time.Second
 }
 
--- a/internal/serve/draft/draft.go
+++ b/internal/serve/draft/draft.go
@@ -131,7 +131,7 @@
 // emit means that the caller has left and ends the draft.
 func (server *Server) Run(ctx context.Context, request Request, emit func(token string) error) Result {
 	began := time.Now()
-	pass, refusal := server.gate.Enter(ctx, admission.Request{Class: request.Class, Workspace: request.Workspace}, func() admission.Capacity {
+	pass, refusal := server.gate.Admit(ctx, admission.Request{Class: request.Class, Workspace: request.Workspace}, func() admission.Capacity {
 		return server.capacity(request.Class.Model)
 	})
 	if refusal != nil {
@@ -139,7 +139,7 @@
 		request.Entry.Note("refused: %s", refusal.Cause)
 		return Result{Failure: &Failure{Outcome: outcome.NotRun, Cause: refusal.Cause, RetryAfter: refusal.RetryAfter}}
 	}
-	defer pass.Leave()
+	defer pass.Release()
 	server.running.Add(1)
 	defer server.running.Add(-1)
 	if pass.Guaranteed {
@@ -153,7 +153,7 @@
 
 func (server *Server) capacity(model string) admission.Capacity {
 	total, peers := server.router.Capacity(model)
-	return admission.Capacity{Total: total, Peers: peers, Nodes: int64(server.nodes())}
+	return admission.Capacity{Total: total, PeerRunning: peers, Nodes: int64(server.nodes())}
 }
 
 func (server *Server) count(result Result) {
@@ -256,13 +256,13 @@
 func (work *work) pick() (route.Choice, bool) {
 	request := route.Request{
 		Model: work.request.Class.Model, PromptTokens: len(work.request.Prompt)/bytesPerToken + len(work.tokens),
-		AnswerTokens: work.request.MaxTokens - len(work.tokens), Prefix: prefixHash(work.request.Prompt),
+		AnswerTokens: work.request.MaxTokens - len(work.tokens), PrefixHash: prefixHash(work.request.Prompt),
 		Exclude: work.exclude,
 	}
 	choice, ok := work.server.router.Pick(request, work.server.now())
 	if ok {
 		work.request.Entry.Note("group %d at %s: first token predicted in %s, one of %d near the best of %d",
-			choice.Target.Number, choice.Target.Leader, choice.Predicted.Round(time.Millisecond), choice.Near, choice.Known)
+			choice.Target.Number, choice.Target.Leader, choice.Predicted.Round(time.Millisecond), choice.NearBest, choice.Groups)
 	}
 	return choice, ok
 }
--- a/internal/serve/draft/reader.go
+++ b/internal/serve/draft/reader.go
@@ -69,7 +69,7 @@
 		if err := reader.work.accept(token); err != nil {
 			return err
 		}
-		choice.Token()
+		choice.RecordToken()
 		progress()
 	}
 }
