--- a/internal/fleet/detour/detour.go
+++ b/internal/fleet/detour/detour.go
@@ -105,7 +105,7 @@
 	if held, known := table.peers[node.Address]; known {
 		made.Target, made.avoidUntil = held.Target, held.avoidUntil
 	} else {
-		made.Target = dispatch.Apart(dispatch.Spec{ID: node.Address, Address: node.Address, DataCentre: node.DataCentre}, table.now)
+		made.Target = dispatch.NewStandaloneTarget(dispatch.Spec{ID: node.Address, Address: node.Address, DataCentre: node.DataCentre}, table.now)
 	}
 	table.peers[node.Address] = made
 	if len(table.peers) <= nodesMost {
@@ -198,7 +198,7 @@
 
 // load is the calls that the node said it has, and those that this node has sent there.
 func (peer *Peer) load() int {
-	return peer.Calls + peer.Taken()
+	return peer.Calls + peer.ActiveCalls()
 }
 
 // Failed notes that a node did not take a request.
@@ -216,7 +216,7 @@
 	defer table.mu.Unlock()
 	stalled := []string{}
 	for address, peer := range table.peers {
-		if peer.Stalled(still, unanswered) {
+		if peer.CancelStalled(still, unanswered) {
 			peer.avoidUntil = table.now() + avoidFailed
 			stalled = append(stalled, address)
 		}
@@ -259,7 +259,7 @@
 	for _, peer := range table.freshLocked() {
 		states = append(states, State{
 			Address: peer.Address, DataCentre: peer.DataCentre, Lost: peer.Node.Lost, Calls: peer.Calls,
-			Mine: peer.Taken(), AgeMilliseconds: (table.now() - peer.heardAt).Milliseconds(),
+			Mine: peer.ActiveCalls(), AgeMilliseconds: (table.now() - peer.heardAt).Milliseconds(),
 		})
 	}
 	return states
--- a/internal/fleet/tally/tally.go
+++ b/internal/fleet/tally/tally.go
@@ -21,7 +21,7 @@
 )
 
 // Shares is what some nodes have together at each server, by its ID.
-type Shares = map[string]dispatch.Share
+type Shares = map[string]dispatch.ServerLoad
 
 // Add adds to a sum.
 func Add(sum, shares Shares) {
@@ -35,7 +35,7 @@
 func Less(sum, part Shares) Shares {
 	rest := make(Shares, len(sum))
 	for server, share := range sum {
-		if left := share.Minus(part[server]); left != (dispatch.Share{}) {
+		if left := share.Minus(part[server]); left != (dispatch.ServerLoad{}) {
 			rest[server] = left
 		}
 	}
@@ -99,16 +99,16 @@
 	}
 	for server := range changes.said {
 		if _, there := sum[server]; !there {
-			changed[server] = dispatch.Share{}
+			changed[server] = dispatch.ServerLoad{}
 			delete(changes.said, server)
 		}
 	}
 	return changed, false
 }
 
-func saidAlready(said, share dispatch.Share) bool {
+func saidAlready(said, share dispatch.ServerLoad) bool {
 	near := func(a, b int) bool { return a-b < fadesUnsaid && b-a < fadesUnsaid }
-	return said.Calls == share.Calls && said.Unread == share.Unread && near(said.Failed, share.Failed) && near(said.Answered, share.Answered)
+	return said.Calls == share.Calls && said.PendingPromptTokens == share.PendingPromptTokens && near(said.Failed, share.Failed) && near(said.Answered, share.Answered)
 }
 
 // Copy is a sum as it was told.
@@ -122,7 +122,7 @@
 		copied.shares = Shares{}
 	}
 	for server, share := range told {
-		if share == (dispatch.Share{}) {
+		if share == (dispatch.ServerLoad{}) {
 			delete(copied.shares, server)
 			continue
 		}
--- a/internal/fleet/tally/tally_test.go
+++ b/internal/fleet/tally/tally_test.go
@@ -14,10 +14,10 @@
 func TestOwnPartIsTakenOff(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	sum := tally.Shares{}
-	tally.Add(sum, tally.Shares{"a": {Calls: 3, Unread: 700}, "b": {Calls: 1}})
-	tally.Add(sum, tally.Shares{"a": {Calls: 2, Unread: 300}})
-	rest := tally.Less(sum, tally.Shares{"a": {Calls: 2, Unread: 900}, "b": {Calls: 1}})
-	expect.Expect(rest).To(gomega.Equal(tally.Shares{"a": dispatch.Share{Calls: 3, Unread: 100}}))
+	tally.Add(sum, tally.Shares{"a": {Calls: 3, PendingPromptTokens: 700}, "b": {Calls: 1}})
+	tally.Add(sum, tally.Shares{"a": {Calls: 2, PendingPromptTokens: 300}})
+	rest := tally.Less(sum, tally.Shares{"a": {Calls: 2, PendingPromptTokens: 900}, "b": {Calls: 1}})
+	expect.Expect(rest).To(gomega.Equal(tally.Shares{"a": dispatch.ServerLoad{Calls: 3, PendingPromptTokens: 100}}))
 }
 
 // Three reports are on the way when a sum comes back that includes the first one
@@ -46,7 +46,7 @@
 		for range rapid.IntRange(1, 20).Draw(t, "frames") {
 			sum := tally.Shares{}
 			for _, server := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.ID).Draw(t, "servers") {
-				sum[server] = dispatch.Share{Calls: rapid.IntRange(1, 3).Draw(t, "calls"), Unread: rapid.IntRange(0, 2).Draw(t, "unread")}
+				sum[server] = dispatch.ServerLoad{Calls: rapid.IntRange(1, 3).Draw(t, "calls"), PendingPromptTokens: rapid.IntRange(0, 2).Draw(t, "unread")}
 			}
 			told, whole := changes.Next(sum)
 			copied.Apply(whole, told)
--- a/internal/policy/dispatch/admit.go
+++ b/internal/policy/dispatch/admit.go
@@ -8,48 +8,49 @@
 	"hazelslip/internal/policy/notice"
 )
 
-// closed says whether the target gets no new calls, by what this node saw of it, by what its
-// server says, or since its data centre is drained.
-func (target *Target) closed(now time.Duration) bool {
-	return target.unwilling(now) || target.Avoided(now)
+// unavailable reports whether the target gets no new calls: because of what this node observed, because of what
+// its server says, or because its data centre is drained.
+func (target *Target) unavailable(now time.Duration) bool {
+	return target.refusesCalls(now) || target.Avoided(now)
 }
 
-// unwilling says whether the target gets no new calls from any node: its group is lost, its server wants none, or its
-// data centre is drained.
-func (target *Target) unwilling(now time.Duration) bool {
-	return target.lost.Load() || target.drain.Drained() || !target.record.Takes(now)
+// refusesCalls reports whether the target gets no new calls from any node: its group has lost a member, its
+// server accepts none, or its data centre is drained.
+func (target *Target) refusesCalls(now time.Duration) bool {
+	return target.memberLost.Load() || target.drainMark.Drained() || !target.record.Takes(now)
 }
 
-// ErrDrained says that a call was withheld since the data centre of its target was drained
-// after it was chosen.
+// ErrDrained reports that a call was withheld because the data centre of its target was drained after the target
+// was chosen.
 var ErrDrained = errors.Mark(errors.New("the data centre is drained"), notice.ErrWithheld)
 
-// Admit lets a call through that is about to be written, or returns why it may not be sent.
+// Admit checks a call immediately before it is written, and returns an error if the call must not be sent.
 func (target *Target) Admit() error {
-	if target.drain.Drained() {
+	if target.drainMark.Drained() {
 		return ErrDrained
 	}
 	return target.record.Admit()
 }
 
-// cold says whether the server bears few calls as yet: it says so, or it may have become
+// cold reports whether the server must get few calls: either the server is reported cold, or it may have become
 // cold while its data centre was drained.
 func (target *Target) cold(now time.Duration) bool {
-	return target.ColdBound.Bounded() && (target.Cold || target.drain.EndedWithin(target.ColdTime, now))
+	return target.ColdLimit.Bounded() && (target.Cold || target.drainMark.EndedWithin(target.ColdDuration, now))
 }
 
-// Avoided says whether new calls are kept off the target.
+// Avoided reports whether new calls are kept away from the target.
 func (target *Target) Avoided(now time.Duration) bool {
-	return target.lost.Load() || time.Duration(target.avoidUntil.Load()) > now
+	return target.memberLost.Load() || time.Duration(target.avoidUntil.Load()) > now
 }
 
-// coldPart is how many calls a second this node may send a target while that is cold.
-func (board *Board) coldPart(target *Target) int {
-	return target.ColdBound.Part(board.nodes(), target.lot)
+// coldLimit returns the number of calls per second that this node may send to a cold target.
+func (board *Board) coldLimit(target *Target) int {
+	return target.ColdLimit.Part(board.nodeCount(), target.warmupDraw)
 }
 
-// warms lets a call through to a target, unless that is cold and has had this node's part.
-func (board *Board) warms(target *Target) bool {
+// takeColdPermit reports whether a call may be sent to the target: the target isn't cold, or this node's cold
+// limit is not used up. It counts the call against the limit.
+func (board *Board) takeColdPermit(target *Target) bool {
 	now := board.now()
-	return !target.cold(now) || target.warmup.Take(now, board.coldPart(target))
+	return !target.cold(now) || target.warmup.Take(now, board.coldLimit(target))
 }
--- a/internal/policy/dispatch/backoff_test.go
+++ b/internal/policy/dispatch/backoff_test.go
@@ -11,8 +11,8 @@
 	"hazelslip/internal/policy/ratelimit"
 )
 
-// noticedBoard is a board of two heads, and what their servers say.
-func noticedBoard() (*dispatch.Board, *notice.Notices, *time.Duration) {
+// newBoardWithNotices returns a board of two heads, the statements of their servers, and the clock.
+func newBoardWithNotices() (*dispatch.Board, *notice.Notices, *time.Duration) {
 	at := time.Minute
 	now := func() time.Duration { return at }
 	notices := notice.New(ratelimit.New(ratelimit.Clock(now)), notice.Clock(now))
@@ -21,79 +21,81 @@
 	return board, notices, &at
 }
 
-func backoff(notices *notice.Notices, server string, span time.Duration) {
-	notices.Heard(notices.Record(ratelimit.Run{Server: server}), notice.Answer{Backoff: notice.Backoff{Span: span}})
+func recordBackoff(notices *notice.Notices, server string, duration time.Duration) {
+	notices.Heard(notices.Record(ratelimit.Run{Server: server}), notice.Answer{Backoff: notice.Backoff{Span: duration}})
 }
 
-// Guards against a server in its backoff that looks empty and so is the first choice.
-func TestServerInItsBackoffIsNotChosen(t *testing.T) {
+// Guards against choosing a server in its backoff because it has the fewest calls.
+func TestPickSkipsServerInBackoff(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, notices, at := noticedBoard()
-	backoff(notices, "a", 3*time.Second)
-	board.PeerLoads(map[string]dispatch.Share{"b": {Calls: 3}})
+	board, notices, at := newBoardWithNotices()
+	recordBackoff(notices, "a", 3*time.Second)
+	board.SetPeerLoads(map[string]dispatch.ServerLoad{"b": {Calls: 3}})
 	for *at < time.Minute+3*time.Second {
-		target, verdict := board.Pick(pool, dispatch.Wish{})
+		target, verdict := board.Pick(pool, dispatch.Criteria{})
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
 		expect.Expect(target.ID).To(gomega.Equal("b"))
 		*at += 100 * time.Millisecond
 	}
-	target, _ := board.Pick(pool, dispatch.Wish{})
+	target, _ := board.Pick(pool, dispatch.Criteria{})
 	expect.Expect(target.ID).To(gomega.Equal("a"))
 }
 
-// Guards against a choice of the least bad, and callers that are told nothing of when to return.
-func TestPoolInItsBackoffNamesTheServerThatOpensFirst(t *testing.T) {
+// Guards against a call to a server in its backoff when all servers are in one, and against a result that
+// doesn't say which backoff ends first.
+func TestPickReturnsEarliestBackoffEnd(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, notices, at := noticedBoard()
-	backoff(notices, "a", 3*time.Second)
-	backoff(notices, "b", 2*time.Second)
-	target, verdict := board.Pick(pool, dispatch.Wish{Exclude: []string{"a"}})
+	board, notices, at := newBoardWithNotices()
+	recordBackoff(notices, "a", 3*time.Second)
+	recordBackoff(notices, "b", 2*time.Second)
+	target, verdict := board.Pick(pool, dispatch.Criteria{Exclude: []string{"a"}})
 	expect.Expect(verdict).To(gomega.Equal(dispatch.BackedOff))
 	expect.Expect(target.ID).To(gomega.Equal("b"))
-	expect.Expect(target.OpensAt() - *at).To(gomega.Equal(2 * time.Second))
+	expect.Expect(target.BackoffEndsAt() - *at).To(gomega.Equal(2 * time.Second))
 	expect.Expect(board.Occupancy(pool)).To(gomega.Equal(dispatch.Occupancy{}))
 	*at += 2 * time.Second
-	_, verdict = board.Pick(pool, dispatch.Wish{})
+	_, verdict = board.Pick(pool, dispatch.Criteria{})
 	expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
 }
 
-// Guards against a server in its backoff for which callers are told to wait though another is
-// only full.
-func TestFullServerIsNotABackoff(t *testing.T) {
+// Guards against BackedOff as the result, which makes callers wait for a backoff, when another server is only
+// full.
+func TestPickReportsFullBeforeBackedOff(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, notices, _ := noticedBoard()
-	backoff(notices, "a", 3*time.Second)
-	board.PeerLoads(map[string]dispatch.Share{"b": {Calls: 16}})
-	_, verdict := board.Pick(pool, dispatch.Wish{})
+	board, notices, _ := newBoardWithNotices()
+	recordBackoff(notices, "a", 3*time.Second)
+	board.SetPeerLoads(map[string]dispatch.ServerLoad{"b": {Calls: 16}})
+	_, verdict := board.Pick(pool, dispatch.Criteria{})
 	expect.Expect(verdict).To(gomega.Equal(dispatch.Full))
 }
 
-// Guards against a drain that a new list of targets, or another group of the server, ends.
-func TestDrainOutlivesGroups(t *testing.T) {
+// Guards against a server's drain that is forgotten when the targets are updated or the server heads another
+// group. A new run of the server takes calls again.
+func TestServerDrainSurvivesRegrouping(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, notices, _ := noticedBoard()
+	board, notices, _ := newBoardWithNotices()
 	for _, server := range []string{"a", "b"} {
 		notices.Heard(notices.Record(ratelimit.Run{Server: server}), notice.Answer{Draining: true})
 	}
 	for _, group := range []string{"g1", "g2"} {
-		again := head("a")
-		again.Group = group
-		board.Update(map[string][]dispatch.Spec{pool: {again}})
-		_, verdict := board.Pick(pool, dispatch.Wish{})
-		expect.Expect(verdict).To(gomega.Equal(dispatch.None))
+		regrouped := head("a")
+		regrouped.Group = group
+		board.Update(map[string][]dispatch.Spec{pool: {regrouped}})
+		_, verdict := board.Pick(pool, dispatch.Criteria{})
+		expect.Expect(verdict).To(gomega.Equal(dispatch.NoTarget))
 	}
-	born := head("a")
-	born.Born = 9
-	board.Update(map[string][]dispatch.Spec{pool: {born}})
-	_, verdict := board.Pick(pool, dispatch.Wish{})
+	restarted := head("a")
+	restarted.Born = 9
+	board.Update(map[string][]dispatch.Spec{pool: {restarted}})
+	_, verdict := board.Pick(pool, dispatch.Criteria{})
 	expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
 }
 
-// Guards against a pause after a refusal that cuts short a longer one after a lost connection.
-func TestShorterPauseDoesNotShortenALongerOne(t *testing.T) {
+// Guards against a pause after a refused call that cuts short a longer pause after a lost connection.
+func TestShorterAvoidKeepsLongerOne(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, _, at := noticedBoard()
-	target, _ := board.Pick(pool, dispatch.Wish{})
+	board, _, at := newBoardWithNotices()
+	target, _ := board.Pick(pool, dispatch.Criteria{})
 	target.Avoid(700 * time.Millisecond)
 	target.Avoid(150 * time.Millisecond)
 	*at += 600 * time.Millisecond
--- a/internal/policy/dispatch/backoffmodel_test.go
+++ b/internal/policy/dispatch/backoffmodel_test.go
@@ -11,36 +11,36 @@
 	"hazelslip/internal/policy/ratelimit"
 )
 
-// backoffModel is nodes before the servers of one pool, some of which refuse everything for a
-// while and ask for backoffs.
+// backoffModel simulates nodes that call the servers of one pool. Some servers refuse everything for some time
+// and ask for backoffs.
 type backoffModel struct {
 	nodes, servers, refusing int
-	// perSecond is the rate of calls of all nodes together.
-	perSecond float64
-	// told says that nodes tell each other of backoffs.
-	told bool
+	// callRate is the number of calls per second from all nodes together.
+	callRate float64
+	// sharesBackoffs makes nodes tell each other of backoffs.
+	sharesBackoffs bool
 
-	at      time.Duration
-	draw    *rand.Rand
-	boards  []*dispatch.Board
-	notices []*notice.Notices
-	later   []func()
-	laterAt []time.Duration
+	at        time.Duration
+	random    *rand.Rand
+	boards    []*dispatch.Board
+	notices   []*notice.Notices
+	pending   []func()
+	pendingAt []time.Duration
 
 	refusals, unserved, calls int
 }
 
 const (
-	modelBackoff = 3 * time.Second
-	modelSpan    = 9 * time.Second
-	// modelWay is how long word takes from any node to all others.
-	modelWay   = 200 * time.Millisecond
-	modelCall  = 400 * time.Millisecond
-	modelTries = 2
+	modelBackoffTime = 3 * time.Second
+	modelDuration    = 9 * time.Second
+	// modelPropagationDelay is the time until a message from one node has reached all others.
+	modelPropagationDelay = 200 * time.Millisecond
+	modelCallTime         = 400 * time.Millisecond
+	modelMaxAttempts      = 2
 )
 
 func (model *backoffModel) start() {
-	model.draw, model.at = rand.New(rand.NewPCG(1, 1)), time.Hour
+	model.random, model.at = rand.New(rand.NewPCG(1, 1)), time.Hour
 	now := func() time.Duration { return model.at }
 	specs := []dispatch.Spec{}
 	for number := range model.servers {
@@ -48,34 +48,34 @@
 	}
 	for range model.nodes {
 		notices := notice.New(ratelimit.New(ratelimit.Clock(now)), notice.Clock(now))
-		board := dispatch.New(dispatch.Clock(now), dispatch.Random(model.draw.IntN), dispatch.Notices(notices))
+		board := dispatch.New(dispatch.Clock(now), dispatch.Random(model.random.IntN), dispatch.Notices(notices))
 		board.Update(map[string][]dispatch.Spec{pool: specs})
 		model.boards, model.notices = append(model.boards, board), append(model.notices, notices)
 	}
 }
 
-func (model *backoffModel) after(span time.Duration, do func()) {
-	model.later, model.laterAt = append(model.later, do), append(model.laterAt, model.at+span)
+func (model *backoffModel) after(duration time.Duration, do func()) {
+	model.pending, model.pendingAt = append(model.pending, do), append(model.pendingAt, model.at+duration)
 }
 
-// pass moves the clock on, and does what was due by then.
-func (model *backoffModel) pass(span time.Duration) {
-	until := model.at + span
-	for len(model.laterAt) > 0 {
-		first := 0
-		for number, at := range model.laterAt {
-			if at < model.laterAt[first] {
-				first = number
+// advance moves the clock on and runs the functions that are due by then.
+func (model *backoffModel) advance(duration time.Duration) {
+	until := model.at + duration
+	for len(model.pendingAt) > 0 {
+		earliest := 0
+		for number, at := range model.pendingAt {
+			if at < model.pendingAt[earliest] {
+				earliest = number
 			}
 		}
-		if model.laterAt[first] > until {
+		if model.pendingAt[earliest] > until {
 			break
 		}
-		model.at = model.laterAt[first]
-		do := model.later[first]
-		last := len(model.later) - 1
-		model.later[first], model.laterAt[first] = model.later[last], model.laterAt[last]
-		model.later, model.laterAt = model.later[:last], model.laterAt[:last]
+		model.at = model.pendingAt[earliest]
+		do := model.pending[earliest]
+		last := len(model.pending) - 1
+		model.pending[earliest], model.pendingAt[earliest] = model.pending[last], model.pendingAt[last]
+		model.pending, model.pendingAt = model.pending[:last], model.pendingAt[:last]
 		do()
 	}
 	model.at = until
@@ -83,35 +83,35 @@
 
 func (model *backoffModel) run() {
 	model.start()
-	for end := model.at + modelSpan; model.at < end; {
-		model.pass(time.Duration(model.draw.ExpFloat64() / model.perSecond * float64(time.Second)))
-		model.call(model.draw.IntN(model.nodes))
+	for end := model.at + modelDuration; model.at < end; {
+		model.advance(time.Duration(model.random.ExpFloat64() / model.callRate * float64(time.Second)))
+		model.call(model.random.IntN(model.nodes))
 	}
 }
 
 func (model *backoffModel) call(node int) {
 	model.calls++
-	wish := dispatch.Wish{}
-	for range modelTries {
-		target, verdict := model.boards[node].Pick(pool, wish)
+	criteria := dispatch.Criteria{}
+	for range modelMaxAttempts {
+		target, verdict := model.boards[node].Pick(pool, criteria)
 		if verdict != dispatch.Chosen {
 			break
 		}
 		if target.Record().Admit() != nil {
-			wish.Exclude = append(wish.Exclude, target.ID)
+			criteria.Exclude = append(criteria.Exclude, target.ID)
 			continue
 		}
 		if !model.refuses(target.ID) {
-			use, sent := target.Begin(100, 0, func() {}), model.at
-			model.after(modelCall, func() {
-				use.End()
-				model.notices[node].Heard(target.Record(), notice.Answer{Taken: true, Began: sent})
+			call, sentAt := target.Begin(100, 0, func() {}), model.at
+			model.after(modelCallTime, func() {
+				call.End()
+				model.notices[node].Heard(target.Record(), notice.Answer{Taken: true, Began: sentAt})
 			})
 			return
 		}
 		model.refusals++
-		wish.Exclude = append(wish.Exclude, target.ID)
-		model.hear(node, target)
+		criteria.Exclude = append(criteria.Exclude, target.ID)
+		model.recordRefusal(node, target)
 	}
 	model.unserved++
 }
@@ -122,39 +122,39 @@
 	return number < model.refusing
 }
 
-func (model *backoffModel) hear(node int, target *dispatch.Target) {
-	changes := model.notices[node].Heard(target.Record(), notice.Answer{Backoff: notice.Backoff{Span: modelBackoff}})
-	told, known := model.notices[node].Told(target.ServerRun())
-	if !model.told || !changes.Tell || !known {
+func (model *backoffModel) recordRefusal(node int, target *dispatch.Target) {
+	changes := model.notices[node].Heard(target.Record(), notice.Answer{Backoff: notice.Backoff{Span: modelBackoffTime}})
+	report, known := model.notices[node].Told(target.ServerRun())
+	if !model.sharesBackoffs || !changes.Tell || !known {
 		return
 	}
-	model.after(modelWay, func() {
+	model.after(modelPropagationDelay, func() {
 		for other, notices := range model.notices {
 			if other != node {
-				notices.Take(told)
+				notices.Take(report)
 			}
 		}
 	})
 }
 
-// Compares nodes that each learn of a backoff by a refusal with nodes that tell each other.
+// Compares nodes that each learn of a backoff from a refused call with nodes that tell each other.
 func BenchmarkWaysToLearnOfABackoff(b *testing.B) {
 	for _, shape := range []backoffModel{
-		{nodes: 7, servers: 30, perSecond: 110}, {nodes: 74, servers: 80, perSecond: 450}, {nodes: 300, servers: 260, perSecond: 890},
+		{nodes: 7, servers: 30, callRate: 110}, {nodes: 74, servers: 80, callRate: 450}, {nodes: 300, servers: 260, callRate: 890},
 	} {
 		for _, part := range []int{0, 10, 2} {
-			for _, told := range []bool{false, true} {
+			for _, sharesBackoffs := range []bool{false, true} {
 				model := shape
-				model.told = told
+				model.sharesBackoffs = sharesBackoffs
 				if part > 0 {
 					model.refusing = model.servers / part
 				}
-				b.Run(fmt.Sprintf("%d-of-%d-at-%d-nodes/told=%v", model.refusing, model.servers, model.nodes, told), func(b *testing.B) {
+				b.Run(fmt.Sprintf("%d-of-%d-at-%d-nodes/told=%v", model.refusing, model.servers, model.nodes, sharesBackoffs), func(b *testing.B) {
 					for b.Loop() {
-						one := model
-						one.run()
-						b.ReportMetric(float64(one.refusals)/float64(one.calls)*100, "refusals/100calls")
-						b.ReportMetric(float64(one.unserved)/float64(one.calls)*100, "unserved/100calls")
+						run := model
+						run.run()
+						b.ReportMetric(float64(run.refusals)/float64(run.calls)*100, "refusals/100calls")
+						b.ReportMetric(float64(run.unserved)/float64(run.calls)*100, "unserved/100calls")
 					}
 				})
 			}
@@ -162,18 +162,17 @@
 	}
 }
 
-// Prints what a choice costs where none, some, and half of the servers of a pool are in a
-// backoff.
+// Measures Pick when none, some, or half of a pool's servers are in a backoff.
 func BenchmarkPickBesideBackoffs(b *testing.B) {
 	for _, part := range []int{0, 26, 130} {
 		b.Run(fmt.Sprintf("%d-of-260", part), func(b *testing.B) {
 			model := backoffModel{nodes: 1, servers: 260}
 			model.start()
 			for number := range part {
-				backoff(model.notices[0], fmt.Sprintf("s%d", number), time.Hour)
+				recordBackoff(model.notices[0], fmt.Sprintf("s%d", number), time.Hour)
 			}
 			for b.Loop() {
-				if _, verdict := model.boards[0].Pick(pool, dispatch.Wish{}); verdict != dispatch.Chosen {
+				if _, verdict := model.boards[0].Pick(pool, dispatch.Criteria{}); verdict != dispatch.Chosen {
 					b.Fatal(verdict)
 				}
 			}
--- a/internal/policy/dispatch/burst_test.go
+++ b/internal/policy/dispatch/burst_test.go
@@ -14,51 +14,49 @@
 	"hazelslip/internal/policy/dispatch"
 )
 
-// burstModel is nodes before a pool of groups, in virtual time. Nodes hear of each other's
-// calls with a delay. A group reads one prompt after the other, and only those of calls that
-// have a place.
+// burstModel simulates nodes that call a pool of groups, in virtual time. Nodes learn of each other's calls with
+// a delay. A group prefills one prompt after the other, and only the prompts of calls that have a slot.
 type burstModel struct {
 	nodes, groups int
-	// calm and burst are the calls a second, the burst lasting from burstFrom to burstTo.
-	calm, burst        float64
-	burstFrom, burstTo time.Duration
-	length             time.Duration
-	target, delay      time.Duration
-	// nearest makes nodes choose the best target by the counts that they have.
-	nearest bool
-	// sheds says whether calls that the pool can't run are refused at once, and told whether nodes
-	// hear what the others are asked for.
-	sheds, told bool
-	// heavy are the first nodes that get heavyPart of all calls.
-	heavy     int
-	heavyPart float64
-
-	draw    *rand.Rand
-	at      time.Duration
-	events  events
-	boards  []*dispatch.Board
-	demands []*demand.Demand
-	heads   map[string]*engine
-	order   int
+	// calmRate and burstRate are calls per second. The burst lasts from burstFrom to burstTo.
+	calmRate, burstRate             float64
+	burstFrom, burstTo              time.Duration
+	length                          time.Duration
+	latencyTarget, propagationDelay time.Duration
+	// greedy makes nodes choose the best target by the counts that they have, without balanced draws.
+	greedy bool
+	// sheds makes nodes refuse calls that the pool can't run. sharesDemand makes nodes tell each other their demand.
+	sheds, sharesDemand bool
+	// hotNodes is the number of first nodes that together get the fraction hotShare of all calls.
+	hotNodes int
+	hotShare float64
+
+	random    *rand.Rand
+	at        time.Duration
+	events    events
+	boards    []*dispatch.Board
+	demands   []*demand.Demand
+	engines   map[string]*engineModel
+	nextOrder int
 
 	asked, inTime, late, refused map[int]int
 }
 
-type engine struct {
-	slots   int
-	active  int
-	queue   []*work
-	readEnd time.Duration
-	per     time.Duration
-	pass    time.Duration
+type engineModel struct {
+	slots            int
+	active           int
+	queue            []*modelCall
+	prefillEnd       time.Duration
+	tokenPrefillTime time.Duration
+	passTime         time.Duration
 }
 
-type work struct {
-	node   int
-	prompt int
-	events int
-	came   time.Duration
-	use    *dispatch.Use
+type modelCall struct {
+	node         int
+	promptTokens int
+	events       int
+	arrivedAt    time.Duration
+	call         *dispatch.Call
 }
 
 type event struct {
@@ -76,8 +74,8 @@
 	}
 	return events[i].order < events[j].order
 }
-func (events events) Swap(i, j int) { events[i], events[j] = events[j], events[i] }
-func (events *events) Push(one any) { *events = append(*events, one.(event)) }
+func (events events) Swap(i, j int)  { events[i], events[j] = events[j], events[i] }
+func (events *events) Push(item any) { *events = append(*events, item.(event)) }
 func (events *events) Pop() any {
 	old := *events
 	last := old[len(old)-1]
@@ -85,178 +83,178 @@
 	return last
 }
 
-func (model *burstModel) after(span time.Duration, do func()) {
-	model.order++
-	heap.Push(&model.events, event{at: model.at + span, order: model.order, do: do})
+func (model *burstModel) after(delay time.Duration, do func()) {
+	model.nextOrder++
+	heap.Push(&model.events, event{at: model.at + delay, order: model.nextOrder, do: do})
 }
 
 const (
-	modelSlots  = 30
-	modelPass   = 32 * time.Millisecond
-	modelToken  = 12 * time.Microsecond
-	modelPrompt = 674
-	modelEvents = 31
-	modelBeyond = 4
-	modelTurn   = 33 * time.Millisecond
+	modelSlots           = 30
+	modelPassTime        = 32 * time.Millisecond
+	modelTokenPrefill    = 12 * time.Microsecond
+	modelPromptTokens    = 674
+	modelEvents          = 31
+	modelMaxQueued       = 4
+	modelReleaseInterval = 33 * time.Millisecond
 )
 
 func (model *burstModel) start(seed uint64) {
-	model.draw = rand.New(rand.NewPCG(seed, 1))
-	model.heads = map[string]*engine{}
+	model.random = rand.New(rand.NewPCG(seed, 1))
+	model.engines = map[string]*engineModel{}
 	model.asked, model.inTime, model.late, model.refused = map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
 	specs := []dispatch.Spec{}
-	prompt := modelPrompt * modelToken
-	if model.nearest {
+	prompt := modelPromptTokens * modelTokenPrefill
+	if model.greedy {
 		prompt = 0
 	}
 	for number := range model.groups {
 		id := fmt.Sprintf("h%d", number)
 		specs = append(specs, dispatch.Spec{
-			ID: id, Group: "g-" + id, Address: id, Slots: modelSlots, Pass: modelPass, PerToken: modelToken,
-			PerCall: 190 * time.Microsecond, Turnover: modelTurn, PerPrompt: prompt,
+			ID: id, Group: "g-" + id, Address: id, Slots: modelSlots, PassTime: modelPassTime, TokenPrefillTime: modelTokenPrefill,
+			PassTimePerCall: 190 * time.Microsecond, SlotReleaseInterval: modelReleaseInterval, PromptPrefillTime: prompt,
 			DataCentre: fmt.Sprintf("d%d", number%3),
 		})
-		model.heads[id] = &engine{slots: modelSlots, per: modelToken, pass: modelPass}
+		model.engines[id] = &engineModel{slots: modelSlots, tokenPrefillTime: modelTokenPrefill, passTime: modelPassTime}
 	}
 	for number := range model.nodes {
 		now := func() time.Duration { return model.at + time.Hour }
-		held := demand.New(demand.Clock(now))
-		model.demands = append(model.demands, held)
-		board := dispatch.New(dispatch.Clock(now), dispatch.Random(model.draw.IntN), dispatch.Demands(held),
-			dispatch.DataCentre(fmt.Sprintf("d%d", number%3)), dispatch.Counted(func() int { return model.nodes }))
+		tracker := demand.New(demand.Clock(now))
+		model.demands = append(model.demands, tracker)
+		board := dispatch.New(dispatch.Clock(now), dispatch.Random(model.random.IntN), dispatch.Demand(tracker),
+			dispatch.DataCentre(fmt.Sprintf("d%d", number%3)), dispatch.CountedNodes(func() int { return model.nodes }))
 		board.Update(map[string][]dispatch.Spec{pool: specs})
 		model.boards = append(model.boards, board)
 	}
 }
 
-func (model *burstModel) spread(mean, spread float64, most int) int {
-	sigma := math.Sqrt(math.Log(1 + spread*spread))
-	value := mean * math.Exp(sigma*model.draw.NormFloat64()-sigma*sigma/2)
-	return max(1, min(most, int(value)))
+func (model *burstModel) drawLogNormal(mean, deviation float64, limit int) int {
+	sigma := math.Sqrt(math.Log(1 + deviation*deviation))
+	value := mean * math.Exp(sigma*model.random.NormFloat64()-sigma*sigma/2)
+	return max(1, min(limit, int(value)))
 }
 
-// tell makes the counts as they are now known to all nodes after the delay.
-func (model *burstModel) tell() {
-	all := make([]map[string]dispatch.Share, len(model.boards))
-	sum := map[string]dispatch.Share{}
+// publishLoads delivers the current loads to all nodes after the propagation delay, and schedules itself again.
+func (model *burstModel) publishLoads() {
+	all := make([]map[string]dispatch.ServerLoad, len(model.boards))
+	sum := map[string]dispatch.ServerLoad{}
 	for number, board := range model.boards {
-		all[number] = board.Shares()
-		for id, share := range all[number] {
-			sum[id] = sum[id].Plus(share)
+		all[number] = board.OwnLoads()
+		for id, load := range all[number] {
+			sum[id] = sum[id].Plus(load)
 		}
 	}
-	model.after(model.delay, func() {
+	model.after(model.propagationDelay, func() {
 		for number, board := range model.boards {
-			others := map[string]dispatch.Share{}
-			for id, share := range sum {
-				others[id] = share.Minus(all[number][id])
+			others := map[string]dispatch.ServerLoad{}
+			for id, load := range sum {
+				others[id] = load.Minus(all[number][id])
 			}
-			board.PeerLoads(others)
+			board.SetPeerLoads(others)
 		}
 	})
-	model.tellDemands()
-	model.after(50*time.Millisecond, model.tell)
+	model.publishDemand()
+	model.after(50*time.Millisecond, model.publishLoads)
 }
 
-// tellDemands does the same for what the nodes are asked for.
-func (model *burstModel) tellDemands() {
-	if !model.told {
+// publishDemand delivers the current demand at each node to all nodes after the propagation delay.
+func (model *burstModel) publishDemand() {
+	if !model.sharesDemand {
 		return
 	}
-	owns, sum := make([]demand.Sums, len(model.demands)), demand.Sums{}
-	for number, held := range model.demands {
-		owns[number] = held.Own()
-		sum.Add(owns[number])
+	own, sum := make([]demand.Sums, len(model.demands)), demand.Sums{}
+	for number, tracker := range model.demands {
+		own[number] = tracker.Own()
+		sum.Add(own[number])
 	}
-	model.after(model.delay, func() {
-		for number, held := range model.demands {
-			held.Take(sum.Less(owns[number]))
+	model.after(model.propagationDelay, func() {
+		for number, tracker := range model.demands {
+			tracker.Take(sum.Less(own[number]))
 		}
 	})
 }
 
-// asks draws the node that a call comes to.
-func (model *burstModel) asks() int {
-	if model.heavy > 0 && model.draw.Float64() < model.heavyPart {
-		return model.draw.IntN(model.heavy)
+// drawArrivalNode draws the node at which a call arrives.
+func (model *burstModel) drawArrivalNode() int {
+	if model.hotNodes > 0 && model.random.Float64() < model.hotShare {
+		return model.random.IntN(model.hotNodes)
 	}
-	return model.heavy + model.draw.IntN(model.nodes-model.heavy)
+	return model.hotNodes + model.random.IntN(model.nodes-model.hotNodes)
 }
 
 func (model *burstModel) arrive() {
-	rate := model.calm
+	rate := model.calmRate
 	if model.at >= model.burstFrom && model.at < model.burstTo {
-		rate = model.burst
+		rate = model.burstRate
 	}
-	model.after(time.Duration(model.draw.ExpFloat64()/rate*float64(time.Second)), model.arrive)
-	model.call(&work{
-		node: model.asks(), came: model.at,
-		prompt: model.spread(modelPrompt, 0.89, 2340), events: model.spread(modelEvents, 0.7, 78),
+	model.after(time.Duration(model.random.ExpFloat64()/rate*float64(time.Second)), model.arrive)
+	model.placeCall(&modelCall{
+		node: model.drawArrivalNode(), arrivedAt: model.at,
+		promptTokens: model.drawLogNormal(modelPromptTokens, 0.89, 2340), events: model.drawLogNormal(modelEvents, 0.7, 78),
 	}, 24*time.Millisecond)
 }
 
-func (model *burstModel) window() int { return int(model.at/(2*time.Second)) * 2 }
+func (model *burstModel) windowStart() int { return int(model.at/(2*time.Second)) * 2 }
 
-func (model *burstModel) call(one *work, patience time.Duration) {
-	if one.came == model.at {
-		model.asked[model.window()]++
-		_, shed := model.boards[one.node].Sheds(pool, 0, dispatch.Wish{})
-		model.boards[one.node].Asked(pool, 0)
+func (model *burstModel) placeCall(call *modelCall, maxWait time.Duration) {
+	if call.arrivedAt == model.at {
+		model.asked[model.windowStart()]++
+		_, shed := model.boards[call.node].ShouldShed(pool, 0, dispatch.Criteria{})
+		model.boards[call.node].RecordDemand(pool, 0)
 		if shed && model.sheds {
-			model.refused[int(one.came/(2*time.Second))*2]++
+			model.refused[int(call.arrivedAt/(2*time.Second))*2]++
 			return
 		}
 	}
-	target, verdict := model.boards[one.node].Pick(pool, dispatch.Wish{DataCentre: fmt.Sprintf("d%d", one.node%3), Beyond: modelBeyond})
+	target, verdict := model.boards[call.node].Pick(pool, dispatch.Criteria{DataCentre: fmt.Sprintf("d%d", call.node%3), MaxQueued: modelMaxQueued})
 	if verdict != dispatch.Chosen {
-		if patience >= 8*time.Millisecond {
-			model.after(8*time.Millisecond, func() { model.call(one, patience-8*time.Millisecond) })
+		if maxWait >= 8*time.Millisecond {
+			model.after(8*time.Millisecond, func() { model.placeCall(call, maxWait-8*time.Millisecond) })
 			return
 		}
-		model.refused[int(one.came/(2*time.Second))*2]++
+		model.refused[int(call.arrivedAt/(2*time.Second))*2]++
 		return
 	}
-	one.use = target.Begin(one.prompt, 0, func() {})
-	engine := model.heads[target.ID]
-	engine.queue = append(engine.queue, one)
-	model.begin(engine)
+	call.call = target.Begin(call.promptTokens, 0, func() {})
+	engine := model.engines[target.ID]
+	engine.queue = append(engine.queue, call)
+	model.startQueued(engine)
 }
 
-func (model *burstModel) begin(engine *engine) {
+func (model *burstModel) startQueued(engine *engineModel) {
 	for engine.active < engine.slots && len(engine.queue) > 0 {
-		one := engine.queue[0]
+		call := engine.queue[0]
 		engine.queue = engine.queue[1:]
 		engine.active++
-		engine.readEnd = max(engine.readEnd, model.at) + time.Duration(one.prompt)*engine.per
-		first := engine.readEnd - model.at + engine.pass
+		engine.prefillEnd = max(engine.prefillEnd, model.at) + time.Duration(call.promptTokens)*engine.tokenPrefillTime
+		first := engine.prefillEnd - model.at + engine.passTime
 		model.after(first, func() {
-			one.use.Event()
-			took := model.at - one.came
-			window := int(one.came/(2*time.Second)) * 2
-			if took <= model.target {
+			call.call.RecordEvent()
+			elapsed := model.at - call.arrivedAt
+			window := int(call.arrivedAt/(2*time.Second)) * 2
+			if elapsed <= model.latencyTarget {
 				model.inTime[window]++
 			} else {
 				model.late[window]++
 			}
 		})
-		// Prompts that are read lengthen the passes between events by their part of the time.
-		model.after(first+time.Duration(float64(one.events-1)*float64(engine.pass)*1.2), func() {
-			one.use.End()
+		// Prefills lengthen the passes between events in proportion to their time.
+		model.after(first+time.Duration(float64(call.events-1)*float64(engine.passTime)*1.2), func() {
+			call.call.End()
 			engine.active--
-			model.begin(engine)
+			model.startQueued(engine)
 		})
 	}
 }
 
 func (model *burstModel) run(seed uint64) {
 	model.start(seed)
-	model.after(0, model.tell)
+	model.after(0, model.publishLoads)
 	model.after(0, model.arrive)
-	model.steps()
+	model.runEvents()
 }
 
-// steps does what is due until the model's time is over.
-func (model *burstModel) steps() {
+// runEvents runs the scheduled events until the simulated time is over.
+func (model *burstModel) runEvents() {
 	for model.events.Len() > 0 {
 		next, _ := heap.Pop(&model.events).(event)
 		if next.at > model.length {
@@ -267,95 +265,95 @@
 	}
 }
 
-// inBurst sums the calls that came in the burst of a model.
-func (model *burstModel) inBurst() (asked, inTime int) {
+// burstCounts returns the calls that arrived during the burst, and those of them with a first event in time.
+func (model *burstModel) burstCounts() (asked, inTime int) {
 	for window := 4; window < 8; window += 2 {
 		asked, inTime = asked+model.asked[window], inTime+model.inTime[window]
 	}
 	return asked, inTime
 }
 
-func burst(perSecond float64) *burstModel {
+func newBurstModel(perSecond float64) *burstModel {
 	return &burstModel{
-		nodes: 91, groups: 22, calm: 420, burst: perSecond, burstFrom: 4 * time.Second, burstTo: 8 * time.Second, length: 14 * time.Second,
-		target: 200 * time.Millisecond, delay: 100 * time.Millisecond, sheds: true,
+		nodes: 91, groups: 22, calmRate: 420, burstRate: perSecond, burstFrom: 4 * time.Second, burstTo: 8 * time.Second, length: 14 * time.Second,
+		latencyTarget: 200 * time.Millisecond, propagationDelay: 100 * time.Millisecond, sheds: true,
 	}
 }
 
-// Guards against goodput that falls when more is asked for: up to three times what fits, as many calls as
-// in calm get their first event in time.
-func TestGoodputStaysWhenMoreIsAskedFor(t *testing.T) {
+// Guards against goodput that falls under overload: at up to three times the load that fits, as many calls per
+// second as at normal load get their first event in time.
+func TestGoodputHoldsUnderOverload(t *testing.T) {
 	for _, perSecond := range []float64{760, 1000, 1300} {
 		t.Run(fmt.Sprintf("%.0f a second", perSecond), func(t *testing.T) {
 			expect := gomega.NewWithT(t)
-			model := burst(perSecond)
+			model := newBurstModel(perSecond)
 			model.run(1)
 			calm := model.inTime[2]
-			_, inTime := model.inBurst()
+			_, inTime := model.burstCounts()
 			expect.Expect(inTime).To(gomega.BeNumerically(">=", 2*calm), "calls in time in the four seconds of the burst")
 
-			unshed := burst(perSecond)
+			unshed := newBurstModel(perSecond)
 			unshed.sheds = false
 			unshed.run(1)
-			_, without := unshed.inBurst()
-			expect.Expect(without).To(gomega.BeNumerically("<", inTime*3/4), "without shedding")
+			_, inTimeUnshed := unshed.burstCounts()
+			expect.Expect(inTimeUnshed).To(gomega.BeNumerically("<", inTime*3/4), "without shedding")
 		})
 	}
 }
 
-// Guards against calls that are refused though the pool can run them.
-func TestNothingIsShedInCalm(t *testing.T) {
+// Guards against refusing calls that the pool can run.
+func TestNoSheddingAtNormalLoad(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	model := burst(420)
+	model := newBurstModel(420)
 	model.run(1)
 	for window, refused := range model.refused {
-		expect.Expect(refused).To(gomega.BeZero(), "calls of the second from %d on", window)
+		expect.Expect(refused).To(gomega.BeZero(), "calls refused in the two seconds from second %d on", window)
 	}
 }
 
-// Guards against all nodes that send to the group that looks best by counts that are late.
-func TestFewerAreLateWhereNearlyAllPlacesAreTaken(t *testing.T) {
+// Guards against all nodes sending to the group that looks best by outdated counts.
+func TestBalancedDrawReducesLateCalls(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	spread, nearest := burst(520), burst(520)
-	spread.sheds, nearest.sheds, nearest.nearest = false, false, true
-	spread.run(1)
-	nearest.run(1)
-	expect.Expect(spread.late[4] + spread.late[6]).To(gomega.BeNumerically("<", (nearest.late[4]+nearest.late[6])/2))
+	balanced, greedy := newBurstModel(520), newBurstModel(520)
+	balanced.sheds, greedy.sheds, greedy.greedy = false, false, true
+	balanced.run(1)
+	greedy.run(1)
+	expect.Expect(balanced.late[4] + balanced.late[6]).To(gomega.BeNumerically("<", (greedy.late[4]+greedy.late[6])/2))
 }
 
-// Guards against shedding that goes by a node's own share of the load: where a few nodes get most of
-// the calls these refuse nearly all of them, and the others none, so that places stay free.
-func TestSheddingByTheRatesOfAllNodesServesUnevenShares(t *testing.T) {
+// Guards against shedding by a node's own share of the load. If a few nodes get most of the calls, these nodes
+// refuse nearly all of them and the others none, so that slots stay free.
+func TestSheddingByFleetDemandServesUnevenLoad(t *testing.T) {
 	for _, perSecond := range []float64{760, 1000, 1300} {
 		t.Run(fmt.Sprintf("%.0f a second", perSecond), func(t *testing.T) {
 			expect := gomega.NewWithT(t)
 			inTime := map[bool]int{}
-			for _, told := range []bool{false, true} {
-				model := burst(perSecond)
-				model.heavy, model.heavyPart, model.told = 6, 0.85, told
+			for _, sharesDemand := range []bool{false, true} {
+				model := newBurstModel(perSecond)
+				model.hotNodes, model.hotShare, model.sharesDemand = 6, 0.85, sharesDemand
 				model.run(1)
-				_, inTime[told] = model.inBurst()
+				_, inTime[sharesDemand] = model.burstCounts()
 			}
-			t.Logf("%d in time by own rates, %d by those of all nodes", inTime[false], inTime[true])
+			t.Logf("%d in time by own demand, %d by the demand of all nodes", inTime[false], inTime[true])
 			expect.Expect(inTime[true]).To(gomega.BeNumerically(">", inTime[false]*103/100))
 		})
 	}
 }
 
-// Guards against sums of all nodes that let more calls through than an even share of the load needs: what is told late
-// must not cost more than the guess that all nodes are asked for the same.
-func TestSheddingByTheRatesOfAllNodesServesEvenShares(t *testing.T) {
+// Guards against shedding by fleet-wide demand that admits too many calls at an even load: late demand reports
+// must not cost more than the assumption that all nodes have the same demand.
+func TestSheddingByFleetDemandServesEvenLoad(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	inTime := map[bool]int{}
-	for _, told := range []bool{false, true} {
+	for _, sharesDemand := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			model := burst(1000)
-			model.told = told
+			model := newBurstModel(1000)
+			model.sharesDemand = sharesDemand
 			model.run(seed)
-			_, served := model.inBurst()
-			inTime[told] += served
+			_, served := model.burstCounts()
+			inTime[sharesDemand] += served
 		}
 	}
-	t.Logf("%d in time by own rates, %d by those of all nodes", inTime[false], inTime[true])
+	t.Logf("%d in time by own demand, %d by the demand of all nodes", inTime[false], inTime[true])
 	expect.Expect(inTime[true]).To(gomega.BeNumerically(">=", inTime[false]*98/100))
 }
--- a/internal/policy/dispatch/call.go
+++ b/internal/policy/dispatch/call.go
@@ -5,168 +5,167 @@
 	"time"
 )
 
-// Use is one call at a target. End must be called once.
-type Use struct {
-	target *Target
-	sent   time.Duration
-	tokens int64
-	// tag tells what the call asks.
-	tag     uint64
-	running atomic.Bool
-	// held says that the caller is being written to.
-	held atomic.Bool
-	// over says that the call was uncounted.
-	over  atomic.Bool
+// Call is one call at a target. End must be called once.
+type Call struct {
+	target       *Target
+	sentAt       time.Duration
+	promptTokens int64
+	// fingerprint identifies the content of the request.
+	fingerprint uint64
+	started     atomic.Bool
+	// paused reports that the stream isn't read because the caller is being written to.
+	paused atomic.Bool
+	// ended reports that the call is no longer counted.
+	ended atomic.Bool
 	moved atomic.Bool
-	// withdrawn says that the call was ended for what it asks.
-	withdrawn atomic.Bool
-	// eventAt is when the last event came, reading how long the target's prompts should have taken by
-	// then, and callerSlow says that the caller was slow to take it.
-	eventAt    atomic.Int64
-	reading    atomic.Int64
-	callerSlow atomic.Bool
-	// end stops the call from another goroutine.
-	end func()
+	// quarantined reports that the call was cancelled because its request is quarantined.
+	quarantined atomic.Bool
+	// eventAt is when the last event arrived, prefillAtEvent the expected prefill time of the target's pending
+	// prompts at that time. slowCaller reports that the caller was slow to take the event.
+	eventAt        atomic.Int64
+	prefillAtEvent atomic.Int64
+	slowCaller     atomic.Bool
+	// cancel ends the call from another goroutine.
+	cancel func()
 }
 
-// Begin counts a call with a prompt of so many tokens, whose tag tells what it asks. The
-// function given ends it from another goroutine.
-func (target *Target) Begin(tokens int, tag uint64, end func()) *Use {
-	use := &Use{target: target, sent: target.now(), tokens: int64(tokens), tag: tag, end: end}
+// Begin counts a call with the given number of prompt tokens and the fingerprint of its request. Other
+// goroutines end the call through cancel.
+func (target *Target) Begin(promptTokens int, fingerprint uint64, cancel func()) *Call {
+	call := &Call{target: target, sentAt: target.now(), promptTokens: int64(promptTokens), fingerprint: fingerprint, cancel: cancel}
 	target.mu.Lock()
 	defer target.mu.Unlock()
-	target.mine.Add(1)
-	target.unread.Add(use.tokens)
-	target.uses[use] = struct{}{}
-	return use
+	target.ownCalls.Add(1)
+	target.pendingPromptTokens.Add(call.promptTokens)
+	target.calls[call] = struct{}{}
+	return call
 }
 
-// Event tells that something came of the call; the first makes it a running
-// stream.
-func (use *Use) Event() {
-	use.Events(1)
+// RecordEvent records that something arrived for the call. The first event makes the call a started stream.
+func (call *Call) RecordEvent() {
+	call.RecordEvents(1)
 }
 
-// Events is Event for so many events of a stream that came together.
-func (use *Use) Events(count int) {
-	now := use.target.now()
-	use.target.progress.Store(int64(now))
-	use.target.centre.hear(now)
-	use.target.way.Heard(use.target.ID)
-	if !use.running.Swap(true) {
-		use.target.running.Add(1)
-		use.target.unread.Add(-use.tokens)
+// RecordEvents is RecordEvent for several events of a stream that arrived together.
+func (call *Call) RecordEvents(count int) {
+	now := call.target.now()
+	call.target.lastEventAt.Store(int64(now))
+	call.target.dataCentrePath.recordResponse(now)
+	call.target.path.Heard(call.target.ID)
+	if !call.started.Swap(true) {
+		call.target.startedStreams.Add(1)
+		call.target.pendingPromptTokens.Add(-call.promptTokens)
 	}
-	use.notePace(now, count)
+	call.recordGap(now, count)
 }
 
-// Hold tells that the call's caller is being written to. Until Resume, no event can be
-// read, which says nothing of the target: a caller may read slowly.
-func (use *Use) Hold() {
-	if use.over.Load() || use.held.Swap(true) {
+// PauseReading records that the caller is being written to. Until ResumeReading no event can be read, which says
+// nothing about the target: the caller may read slowly.
+func (call *Call) PauseReading() {
+	if call.ended.Load() || call.paused.Swap(true) {
 		return
 	}
-	use.target.held.Add(1)
+	call.target.pausedStreams.Add(1)
 }
 
-// Held says whether the call's caller is being written to.
-func (use *Use) Held() bool {
-	return use.held.Load()
+// ReadingPaused reports whether the caller is being written to.
+func (call *Call) ReadingPaused() bool {
+	return call.paused.Load()
 }
 
-// Resume tells that the caller has taken what it was written.
-func (use *Use) Resume() {
-	load := use.target.load
-	if !use.held.Swap(false) {
+// ResumeReading records that the caller has taken what was written to it.
+func (call *Call) ResumeReading() {
+	state := call.target.localState
+	if !call.paused.Swap(false) {
 		return
 	}
-	if held := load.held.Add(-1); load.running.Load()-held == 1 {
-		// Nothing was read of the target for as long as all its streams were held back.
-		load.progress.Store(int64(load.now()))
+	if paused := state.pausedStreams.Add(-1); state.startedStreams.Load()-paused == 1 {
+		// Nothing was read from the target while all its streams were paused.
+		state.lastEventAt.Store(int64(state.now()))
 	}
 }
 
-// active returns how many running streams are being read.
-func (load *load) active() int32 {
-	return load.running.Load() - load.held.Load()
+// readableStreams returns the number of started streams that are being read.
+func (localState *localState) readableStreams() int32 {
+	return localState.startedStreams.Load() - localState.pausedStreams.Load()
 }
 
-// End uncounts the call.
-func (use *Use) End() {
-	load := use.target.load
-	load.mu.Lock()
-	defer load.mu.Unlock()
-	if _, ok := load.uses[use]; !ok {
+// End stops counting the call.
+func (call *Call) End() {
+	state := call.target.localState
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	if _, ok := state.calls[call]; !ok {
 		return
 	}
-	delete(load.uses, use)
-	use.over.Store(true)
-	load.mine.Add(-1)
-	if use.held.Swap(false) {
-		load.held.Add(-1)
+	delete(state.calls, call)
+	call.ended.Store(true)
+	state.ownCalls.Add(-1)
+	if call.paused.Swap(false) {
+		state.pausedStreams.Add(-1)
 	}
-	if use.running.Load() {
-		load.running.Add(-1)
-		if use.target.holding != nil && !use.moved.Load() {
-			use.target.holding.note(load.now() - use.sent)
+	if call.started.Load() {
+		state.startedStreams.Add(-1)
+		if call.target.slotTime != nil && !call.moved.Load() {
+			call.target.slotTime.record(state.now() - call.sentAt)
 		}
 		return
 	}
-	load.unread.Add(-use.tokens)
+	state.pendingPromptTokens.Add(-call.promptTokens)
 }
 
-// Moved says whether the call was ended because its target was given up.
-func (use *Use) Moved() bool {
-	return use.moved.Load()
+// Moved reports whether the call was cancelled because its target was given up.
+func (call *Call) Moved() bool {
+	return call.moved.Load()
 }
 
-// Withdrawn says whether the call was ended for what it asks.
-func (use *Use) Withdrawn() bool {
-	return use.withdrawn.Load()
+// Quarantined reports whether the call was cancelled because its request is quarantined.
+func (call *Call) Quarantined() bool {
+	return call.quarantined.Load()
 }
 
-// Withdraw ends the calls with a tag of which nothing has come yet, and returns how
-// many there were. They may still wait at their servers, which then never run them.
-func (board *Board) Withdraw(tag uint64) int {
+// CancelUnanswered cancels the calls with the given fingerprint that have had no event, and returns their
+// number. They may still be queued at their servers, which then never run them.
+func (board *Board) CancelUnanswered(fingerprint uint64) int {
 	ended := 0
-	for _, target := range board.layout.Load().all {
-		ended += target.withdraw(tag)
+	for _, target := range board.snapshot.Load().targets {
+		ended += target.cancelUnanswered(fingerprint)
 	}
 	return ended
 }
 
-func (load *load) withdraw(tag uint64) int {
-	load.mu.Lock()
-	defer load.mu.Unlock()
+func (localState *localState) cancelUnanswered(fingerprint uint64) int {
+	localState.mu.Lock()
+	defer localState.mu.Unlock()
 	ended := 0
-	for use := range load.uses {
-		if use.tag == tag && !use.running.Load() {
-			use.withdrawn.Store(true)
-			use.end()
+	for call := range localState.calls {
+		if call.fingerprint == fingerprint && !call.started.Load() {
+			call.quarantined.Store(true)
+			call.cancel()
 			ended++
 		}
 	}
 	return ended
 }
 
-// move ends the calls of a target so that they go on elsewhere.
-func (load *load) move() int {
-	load.mu.Lock()
-	defer load.mu.Unlock()
-	for use := range load.uses {
-		use.moved.Store(true)
-		use.end()
+// moveCalls cancels the calls of a target so that they resume elsewhere, and returns their number.
+func (localState *localState) moveCalls() int {
+	localState.mu.Lock()
+	defer localState.mu.Unlock()
+	for call := range localState.calls {
+		call.moved.Store(true)
+		call.cancel()
 	}
-	return len(load.uses)
+	return len(localState.calls)
 }
 
-// Lose gives a group up: no new calls, and its calls go on elsewhere. It
-// returns how many calls there were.
-func (board *Board) Lose(group string) int {
+// MarkGroupLost gives up a group that has lost a member: the group gets no new calls, and its calls move
+// elsewhere. It returns the number of calls moved.
+func (board *Board) MarkGroupLost(group string) int {
 	moved := 0
-	for _, target := range board.layout.Load().all {
-		if target.Group == group && !target.lost.Swap(true) {
-			moved += target.move()
+	for _, target := range board.snapshot.Load().targets {
+		if target.Group == group && !target.memberLost.Swap(true) {
+			moved += target.moveCalls()
 		}
 	}
 	return moved
--- a/internal/policy/dispatch/datacentre.go
+++ b/internal/policy/dispatch/datacentre.go
@@ -6,150 +6,149 @@
 	"time"
 )
 
-// Servers of one data centre that fall silent together are one failure: the way there is
-// cut. Call by call, each of them was found silent anew, after a time-out, and the next
-// call went to the next server behind the same cut, until its caller had left.
+// If servers of one data centre fall silent together, the network path to the data centre is down. When each
+// server was found silent on its own, after a timeout, the next call went to another server behind the same
+// failed path, and callers gave up before the call was sent elsewhere.
 //
-// So each node notes when anything last came from a data centre, and doubts that it
-// reaches it when calls to two servers there time out, or the streams of two groups
-// stand still, and nothing has come from any since. Whoever runs the board then connects
-// to servers there, which takes milliseconds where the way is whole. While no server
-// answers, calls go elsewhere as long as there is an elsewhere.
+// Each node therefore records when it last received anything from a data centre. It suspects the path if calls
+// to two servers there time out, or the streams of two groups stall, and nothing has arrived from any server
+// since. The owner of the board then connects to some of the servers, which takes milliseconds if the path is
+// healthy. While no server answers, calls go to other data centres as long as there are any.
 
 const (
-	// doubtSilence is how long nothing may come of running streams of a data centre, at
-	// least; silentPasses goes for it as for one group.
-	doubtSilence = 300 * time.Millisecond
-	// doubtStreams and doubtTargets are how many streams must stand still, and at how many
-	// groups, and doubtTargets at how many servers calls must have timed out.
-	doubtStreams = 3
-	doubtTargets = 2
-	// probeEvery is how often a data centre that isn't reached is tried.
-	probeEvery = 400 * time.Millisecond
-	// probesAtOnce is how many servers are tried for it: one may have ended.
-	probesAtOnce = 3
+	// minDataCentreSilence is the minimum time without any event from a data centre's running streams after which
+	// the path is suspected. silentPasses applies as it does to a single group.
+	minDataCentreSilence = 300 * time.Millisecond
+	// suspectStreams is the minimum number of stalled streams. suspectTargets is the minimum number of groups at
+	// which these run, and the number of servers at which calls must have timed out.
+	suspectStreams = 3
+	suspectTargets = 2
+	// probeInterval is the interval between probes of a data centre that isn't reached.
+	probeInterval = 400 * time.Millisecond
+	// serversPerProbe is the number of servers that a probe connects to, as a single server may have ended.
+	serversPerProbe = 3
 )
 
-// standing is what a node believes of the way to a data centre.
-type standing = int32
+// pathStatus is a node's assessment of the path to a data centre.
+type pathStatus = int32
 
 const (
-	// reached: nothing speaks against it.
-	reached standing = iota
-	// doubted: it is being tried; calls go elsewhere meanwhile.
-	doubted
-	// cut: no server there could be connected to.
-	cut
+	// pathHealthy means that there is no sign of a failure.
+	pathHealthy pathStatus = iota
+	// pathSuspected means that the path is being probed. Calls go elsewhere meanwhile.
+	pathSuspected
+	// pathLost means that no server in the data centre accepted a connection.
+	pathLost
 )
 
-// centre is the way to another data centre.
-type centre struct {
-	// standing changes under the lock, and is read without it while a call is routed.
-	standing atomic.Int32
+// dataCentrePath is the network path to another data centre.
+type dataCentrePath struct {
+	// status is written under mu, and read without it when a call is routed.
+	status atomic.Int32
 
 	mu sync.Mutex
-	// heard is when anything last came from a server there.
-	heard time.Duration
-	// timedOut are the servers at which calls timed out that were sent after that.
-	timedOut map[string]struct{}
-	// triedAt is when servers there were last tried.
-	triedAt time.Duration
+	// lastResponseAt is when anything last arrived from a server in the data centre.
+	lastResponseAt time.Duration
+	// timedOutServers are the servers at which calls that were sent after lastResponseAt timed out.
+	timedOutServers map[string]struct{}
+	// lastProbeAt is when the data centre was last probed.
+	lastProbeAt time.Duration
 }
 
-// away says whether calls should go elsewhere.
-func (centre *centre) away() bool {
-	return centre != nil && centre.standing.Load() != reached
+// unhealthy reports whether calls should go elsewhere.
+func (dataCentrePath *dataCentrePath) unhealthy() bool {
+	return dataCentrePath != nil && dataCentrePath.status.Load() != pathHealthy
 }
 
-// hear notes that something came.
-func (centre *centre) hear(now time.Duration) {
-	if centre == nil {
+// recordResponse records that something arrived from the data centre.
+func (dataCentrePath *dataCentrePath) recordResponse(now time.Duration) {
+	if dataCentrePath == nil {
 		return
 	}
-	centre.mu.Lock()
-	defer centre.mu.Unlock()
-	centre.heard = now
-	centre.standing.Store(reached)
-	if len(centre.timedOut) > 0 {
-		clear(centre.timedOut)
+	dataCentrePath.mu.Lock()
+	defer dataCentrePath.mu.Unlock()
+	dataCentrePath.lastResponseAt = now
+	dataCentrePath.status.Store(pathHealthy)
+	if len(dataCentrePath.timedOutServers) > 0 {
+		clear(dataCentrePath.timedOutServers)
 	}
 }
 
-// missed notes a call that timed out.
-func (centre *centre) missed(server string, sent time.Duration) {
-	if centre == nil {
+// recordTimeout records that a call to a server, sent at the given time, timed out.
+func (dataCentrePath *dataCentrePath) recordTimeout(server string, sent time.Duration) {
+	if dataCentrePath == nil {
 		return
 	}
-	centre.mu.Lock()
-	defer centre.mu.Unlock()
-	if centre.heard > sent {
+	dataCentrePath.mu.Lock()
+	defer dataCentrePath.mu.Unlock()
+	if dataCentrePath.lastResponseAt > sent {
 		return
 	}
-	centre.timedOut[server] = struct{}{}
-	if centre.standing.Load() == reached && len(centre.timedOut) >= doubtTargets {
-		centre.standing.Store(doubted)
+	dataCentrePath.timedOutServers[server] = struct{}{}
+	if dataCentrePath.status.Load() == pathHealthy && len(dataCentrePath.timedOutServers) >= suspectTargets {
+		dataCentrePath.status.Store(pathSuspected)
 	}
 }
 
-// still notes that streams stand still there.
-func (centre *centre) still(now time.Duration, pass time.Duration, streams, groups int) {
-	centre.mu.Lock()
-	defer centre.mu.Unlock()
-	silent := now-centre.heard >= max(doubtSilence, silentPasses*pass)
-	if centre.standing.Load() == reached && silent && streams >= doubtStreams && groups >= doubtTargets {
-		centre.standing.Store(doubted)
+// checkStalled suspects the path if enough streams at enough groups have been silent for too long.
+func (dataCentrePath *dataCentrePath) checkStalled(now time.Duration, pass time.Duration, streams, groups int) {
+	dataCentrePath.mu.Lock()
+	defer dataCentrePath.mu.Unlock()
+	silent := now-dataCentrePath.lastResponseAt >= max(minDataCentreSilence, silentPasses*pass)
+	if dataCentrePath.status.Load() == pathHealthy && silent && streams >= suspectStreams && groups >= suspectTargets {
+		dataCentrePath.status.Store(pathSuspected)
 	}
 }
 
-// due says whether servers there are to be tried, and notes that they are.
-func (centre *centre) due(now time.Duration) bool {
-	centre.mu.Lock()
-	defer centre.mu.Unlock()
-	if centre.standing.Load() == reached || (centre.triedAt != 0 && now-centre.triedAt < probeEvery) {
+// takeDueProbe reports whether a probe is due, and records the probe as made.
+func (dataCentrePath *dataCentrePath) takeDueProbe(now time.Duration) bool {
+	dataCentrePath.mu.Lock()
+	defer dataCentrePath.mu.Unlock()
+	if dataCentrePath.status.Load() == pathHealthy || (dataCentrePath.lastProbeAt != 0 && now-dataCentrePath.lastProbeAt < probeInterval) {
 		return false
 	}
-	centre.triedAt = now
+	dataCentrePath.lastProbeAt = now
 	return true
 }
 
-// fail notes that no server there could be connected to, and says whether that is news.
-func (centre *centre) fail() bool {
-	centre.mu.Lock()
-	defer centre.mu.Unlock()
-	news := centre.standing.Load() == doubted
-	if news {
-		centre.standing.Store(cut)
+// markLost records that no server accepted a connection, and reports whether the path has just become lost.
+func (dataCentrePath *dataCentrePath) markLost() bool {
+	dataCentrePath.mu.Lock()
+	defer dataCentrePath.mu.Unlock()
+	changed := dataCentrePath.status.Load() == pathSuspected
+	if changed {
+		dataCentrePath.status.Store(pathLost)
 	}
-	return news
+	return changed
 }
 
-// Probe is a data centre that may be cut off, with servers to try.
-type Probe struct {
+// DataCentreProbe lists servers to connect to in a data centre whose path may be down.
+type DataCentreProbe struct {
 	DataCentre string
 	Addresses  []string
 
-	board  *Board
-	centre *centre
+	board *Board
+	path  *dataCentrePath
 }
 
-// Probes returns the data centres to be tried now.
-func (board *Board) Probes() []Probe {
+// DueDataCentreProbes returns the probes that are due now.
+func (board *Board) DueDataCentreProbes() []DataCentreProbe {
 	now := board.now()
-	held := board.layout.Load()
-	board.noteStill(held, now)
-	probes := []Probe{}
-	for name, centre := range held.centres {
-		if !centre.due(now) {
+	current := board.snapshot.Load()
+	board.detectStalledStreams(current, now)
+	probes := []DataCentreProbe{}
+	for name, path := range current.dataCentrePaths {
+		if !path.takeDueProbe(now) {
 			continue
 		}
-		probe := Probe{DataCentre: name, board: board, centre: centre}
+		probe := DataCentreProbe{DataCentre: name, board: board, path: path}
 		addresses := []string{}
-		for _, target := range held.all {
+		for _, target := range current.targets {
 			if target.DataCentre == name {
 				addresses = append(addresses, target.Address)
 			}
 		}
-		for count := min(probesAtOnce, len(addresses)); count > 0; count-- {
+		for count := min(serversPerProbe, len(addresses)); count > 0; count-- {
 			chosen := board.random(len(addresses))
 			probe.Addresses = append(probe.Addresses, addresses[chosen])
 			addresses = append(addresses[:chosen], addresses[chosen+1:]...)
@@ -159,46 +158,46 @@
 	return probes
 }
 
-// noteStill looks for data centres of which all streams stand still.
-func (board *Board) noteStill(held *layout, now time.Duration) {
-	for name, centre := range held.centres {
+// detectStalledStreams looks for data centres whose streams have all stalled.
+func (board *Board) detectStalledStreams(current *snapshot, now time.Duration) {
+	for name, path := range current.dataCentrePaths {
 		streams, groups, pass := 0, 0, time.Duration(0)
-		for _, target := range held.all {
-			if running := int(target.active()); target.DataCentre == name && running > 0 {
-				streams, groups, pass = streams+running, groups+1, max(pass, target.Pass)
+		for _, target := range current.targets {
+			if running := int(target.readableStreams()); target.DataCentre == name && running > 0 {
+				streams, groups, pass = streams+running, groups+1, max(pass, target.PassTime)
 			}
 		}
-		centre.still(now, pass, streams, groups)
+		path.checkStalled(now, pass, streams, groups)
 	}
 }
 
-// Done tells how a probe ended. Where no server answered, the streams that run there go
-// on elsewhere; it returns how many calls were moved, and whether that is news.
-func (probe *Probe) Done(answered bool) (moved int, news bool) {
+// Done records the result of a probe. If no server answered, the streams that run in the data centre move
+// elsewhere. Done returns the number of calls moved and whether the path has just become lost.
+func (dataCentreProbe *DataCentreProbe) Done(answered bool) (moved int, changed bool) {
 	if answered {
-		probe.centre.hear(probe.board.now())
+		dataCentreProbe.path.recordResponse(dataCentreProbe.board.now())
 		return 0, false
 	}
-	if !probe.centre.fail() {
+	if !dataCentreProbe.path.markLost() {
 		return 0, false
 	}
-	for _, target := range probe.board.layout.Load().all {
-		if target.DataCentre == probe.DataCentre && target.Group != "" {
-			moved += target.move()
+	for _, target := range dataCentreProbe.board.snapshot.Load().targets {
+		if target.DataCentre == dataCentreProbe.DataCentre && target.Group != "" {
+			moved += target.moveCalls()
 		}
 	}
 	return moved, true
 }
 
-// Heard tells that something came of a call at the target.
-func (target *Target) Heard() {
-	target.breaker.answered(target.now())
-	target.centre.hear(target.now())
-	target.way.Heard(target.ID)
+// RecordResponse records that something arrived for a call at the target.
+func (target *Target) RecordResponse() {
+	target.breaker.recordAnswer(target.now())
+	target.dataCentrePath.recordResponse(target.now())
+	target.path.Heard(target.ID)
 }
 
-// Missed tells that a call at the target, sent at a time, timed out.
-func (target *Target) Missed(sent time.Duration) {
-	target.centre.missed(target.ID, sent)
-	target.way.Broke(target.ID, sent)
+// RecordTimeout records that a call to the target, sent at the given time, timed out.
+func (target *Target) RecordTimeout(sent time.Duration) {
+	target.dataCentrePath.recordTimeout(target.ID, sent)
+	target.path.Broke(target.ID, sent)
 }
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -1,28 +1,25 @@
-// Package dispatch chooses the server for a call and watches what becomes of
-// the calls that were sent.
+// Package dispatch chooses the server for each call and tracks the calls that are in progress.
 //
-// A pool is a set of Targets that can do the same work: the heads of the groups
-// of one model, or the servers of a plain service. A call goes where its first
-// event should come soonest. All nodes see the same counts late and would rush to
-// the same target, so the choice is random: among the servers nearly as good, and among groups in
-// proportion to what each would get of the calls that other nodes are expected to have sent. The count of
-// calls hardly matters until all places are taken: a group that was just opened
-// reads prompts no faster than a busy one, and a rush to it makes its first
-// events late. What is known of a target is what this node has there and what
-// its peers last said they have.
+// A pool is a set of targets that do the same work: the heads of the groups that serve one model, or the servers
+// of a plain service. Pick chooses the target with the shortest expected time to the first event. Pick chooses
+// at random among nearly equal targets, because all nodes see the same outdated counts and would otherwise
+// overload the same target. Among groups, a target's probability is proportional to the calls that it would get
+// if the calls that other nodes are expected to have sent were placed first. The number of calls at a group
+// matters little until all its slots are taken: a new group prefills prompts no faster than a busy one, and a
+// burst of calls to the new group delays their first events. The load of a target is what this node has there
+// plus what its peers last reported.
 //
-// A group whose member is lost accepts calls and stands still, and no error
-// shows it. All its streams falling silent together does: a target with running
-// streams and no event for a while gets no new calls, its streams are moved,
-// and the node that repairs groups is told.
+// A group that has lost a member still accepts calls but makes no progress, and no error shows it. The only sign
+// is that all its streams fall silent together. A target with running streams and no event for some time gets no
+// new calls, its streams move to other targets, and the node that repairs groups is notified.
 //
 // # Usage
 //
 //	board := dispatch.New(dispatch.Clock(clock.Boot))
 //	board.Update(pools)
-//	target, verdict := board.Pick("draft/large", dispatch.Wish{})
-//	use := target.Begin(promptTokens, tag, cancel)
-//	defer use.End()
+//	target, verdict := board.Pick("draft/large", dispatch.Criteria{})
+//	call := target.Begin(promptTokens, fingerprint, cancel)
+//	defer call.End()
 package dispatch
 
 import (
@@ -45,148 +42,147 @@
 
 // Spec describes a target for Update.
 type Spec struct {
-	// ID is the server's ID, the head's for a group.
+	// ID is the server's ID. For a group, ID is the ID of the group's head.
 	ID string
-	// Born tells one run of the server's process from the next.
+	// Born distinguishes successive runs of the server's process.
 	Born       int64
 	Address    string
 	DataCentre string
 	Region     string
-	// Service is the one that the server belongs to.
+	// Service is the service that the server belongs to.
 	Service string
-	// Group is empty for a plain server.
+	// Group is the group's name, empty for a plain server.
 	Group string
-	// Number is the target's place in what peers tell of all of them.
-	Number int
-	// Slots is how many calls run there at once.
+	// CatalogueIndex is the index of the target in the per-server counts that peers report.
+	CatalogueIndex int
+	// Slots is the number of calls that the server runs concurrently.
 	Slots int
-	// Pass is how long a group takes between two events of a stream when all
-	// its places are taken; 0 for a plain server.
-	Pass time.Duration
-	// PerToken is how long reading one token of a prompt takes, PerCall by how
-	// much each further call lengthens a pass, and Turnover how long it takes,
-	// with all places taken, until one comes free.
-	PerToken time.Duration
-	PerCall  time.Duration
-	Turnover time.Duration
-	// PerPrompt is how long reading a prompt of usual length takes; 0 for a plain server.
-	PerPrompt time.Duration
-	// Cold says that the server bears ColdBound only. So it may for ColdTime after a drain of
-	// its data centre.
-	Cold      bool
-	ColdBound warmup.Bound
-	ColdTime  time.Duration
-}
-
-// Target is a place that runs calls.
+	// PassTime is the duration of a forward pass of a group, the time between two events of a stream, when all slots
+	// are taken. It is 0 for a plain server.
+	PassTime time.Duration
+	// TokenPrefillTime is the time to prefill one prompt token, PassTimePerCall the time that each further call adds
+	// to a pass, and SlotReleaseInterval the time until a slot comes free when all slots are taken.
+	// For a plain server, PassTimePerCall is the delay that one call causes the next.
+	TokenPrefillTime    time.Duration
+	PassTimePerCall     time.Duration
+	SlotReleaseInterval time.Duration
+	// PromptPrefillTime is the time to prefill a prompt of usual length, 0 for a plain server.
+	PromptPrefillTime time.Duration
+	// Cold reports that the server is cold and must not get more calls than ColdLimit. A server also counts as cold
+	// for ColdDuration after a drain of its data centre.
+	Cold         bool
+	ColdLimit    warmup.Bound
+	ColdDuration time.Duration
+}
+
+// Target is a server, or the head of a group, that runs calls.
 type Target struct {
 	Spec
-	*load
-	// centre is the way to the target's data centre, nil for the node's own.
-	centre *centre
-	// way is this node's way to the servers of the target's service in its data centre.
-	way *reach.Way
-	// holding is what was seen of the calls of the target's pool, nil for a plain server.
-	holding *holding
-	// drain is the mark of the target's data centre.
-	drain *drain.Mark
-	// goneAt is when the target was first in no pool, 0 while it is in one; the
-	// board's lock guards it.
-	goneAt time.Duration
-}
-
-// load is what this node knows of a target from its own calls. It outlives the
-// lists of targets and is the same object in each.
-type load struct {
+	*localState
+	// dataCentrePath is the network path to the target's data centre, nil for the node's own data centre.
+	dataCentrePath *dataCentrePath
+	// path is this node's network path to the servers of the target's service in the target's data centre.
+	path *reach.Way
+	// slotTime holds the measured slot times of the target's pool, nil for a plain server.
+	slotTime *slotTime
+	// drainMark tells whether the target's data centre is drained.
+	drainMark *drain.Mark
+	// delistedAt is when the target was first found to be in no pool, 0 while it is in one. The board's lock guards
+	// it.
+	delistedAt time.Duration
+}
+
+// localState is what this node knows of a target from its own calls and from peers' reports. It survives Update:
+// all snapshots share the same object.
+type localState struct {
 	now clock.Now
-	// record is what the server said of itself, whatever groups it heads.
+	// record holds the server's own statements (rate limit, backoff, draining), whatever group the server heads.
 	record *notice.Record
-	// warmup counts this node's calls while the server is cold, lot is the node's for these.
-	warmup warmup.Gate
-	lot    float64
-	// mine and peers count the calls under way.
-	mine  atomic.Int32
-	peers atomic.Int32
-	// unread is the prompt tokens of this node's calls that have had no event.
-	unread atomic.Int64
-	// peersUnread is the same of the peers.
-	peersUnread atomic.Int64
-	// running counts the streams that have had their first event, progress is
-	// when something last came of any call.
-	running atomic.Int32
-	// held counts the running streams whose callers are being written to.
-	held     atomic.Int32
-	progress atomic.Int64
-	// avoidUntil is up to when the target gets no new calls unless there is no
-	// other.
+	// warmup limits this node's calls while the server is cold. warmupDraw is the random number that decides the
+	// node's share of the limit.
+	warmup     warmup.Gate
+	warmupDraw float64
+	// ownCalls and peerCalls count the calls in progress.
+	ownCalls  atomic.Int32
+	peerCalls atomic.Int32
+	// pendingPromptTokens counts the prompt tokens of this node's calls that have had no event yet.
+	pendingPromptTokens atomic.Int64
+	// peerPendingPromptTokens is the same count for the calls of other nodes.
+	peerPendingPromptTokens atomic.Int64
+	// startedStreams counts the streams that have had their first event.
+	startedStreams atomic.Int32
+	// pausedStreams counts the started streams that are not read because their callers are being written to.
+	// lastEventAt is when the last event of any call arrived.
+	pausedStreams atomic.Int32
+	lastEventAt   atomic.Int64
+	// avoidUntil is the time until which the target gets new calls only if there is no other target.
 	avoidUntil atomic.Int64
-	// lost says that the group was found to have lost a member.
-	lost    atomic.Bool
-	breaker breaker
-	paced   paced
-	// former says that the target is in no pool any more. How a former run of a
-	// server ended its calls says nothing of the one under the same ID.
-	former atomic.Bool
-	// ends is how this node's calls ended; the peers' are in hundredths.
-	ends          record
-	peersFailed   atomic.Int64
-	peersAnswered atomic.Int64
-
-	mu   sync.Mutex
-	uses map[*Use]struct{}
-}
-
-// pool is the targets that can do the same work.
+	// memberLost reports that the group was found to have lost a member.
+	memberLost atomic.Bool
+	breaker    breaker
+	pace       paceState
+	// delisted reports that the target is in no pool any more. The outcomes of a previous run of a server say
+	// nothing about the run that has the same ID now.
+	delisted atomic.Bool
+	// outcomes counts how this node's calls ended. The counts of other nodes are in hundredths of a call.
+	outcomes     outcomeStats
+	peerFailed   atomic.Int64
+	peerAnswered atomic.Int64
+
+	mu    sync.Mutex
+	calls map[*Call]struct{}
+}
+
+// pool is a set of targets that do the same work.
 type pool struct {
 	targets []*Target
 }
 
-// layout is all targets at a moment. It is replaced whole.
-type layout struct {
+// snapshot is an immutable view of all targets; Update replaces it as a whole.
+type snapshot struct {
 	pools map[string]*pool
-	// all are the targets of all pools, and those that are in none any more
-	// while calls are under way there. A group that lost a member leaves the
-	// list of servers, often before its silence is noticed: its calls would
-	// wait for nothing until their deadline if nobody watched them.
-	all []*Target
-	// centres are the ways to other data centres.
-	centres map[string]*centre
-	// runs are those of the servers, with their data centres.
-	runs map[ratelimit.Run]string
-}
-
-// Board holds the pools.
+	// targets holds the targets of all pools, and delisted targets that still have calls in progress. A group that
+	// lost a member leaves the server list, often before its silence is detected. If the group were no longer
+	// watched, its calls would wait until their deadlines.
+	targets []*Target
+	// dataCentrePaths holds the paths to other data centres by name.
+	dataCentrePaths map[string]*dataCentrePath
+	// serverRuns maps the runs of the servers to their data centres.
+	serverRuns map[ratelimit.Run]string
+}
+
+// Board holds the pools and chooses targets from them.
 type Board struct {
-	layout atomic.Pointer[layout]
-	// dataCentre is the node's.
-	dataCentre string
-	random     func(n int) int
-	now        clock.Now
-	record     func(run ratelimit.Run) *notice.Record
-	ways       *reach.Ways
-	// idle says whether there is an open connection to an address that carries no call.
-	idle  func(address string) bool
-	drain func(dataCentre string) *drain.Mark
-	// incarnation and nodes decide this node's part of what a cold server bears.
+	snapshot atomic.Pointer[snapshot]
+	// dataCentre is the node's own data centre.
+	dataCentre   string
+	random       func(n int) int
+	now          clock.Now
+	serverRecord func(run ratelimit.Run) *notice.Record
+	paths        *reach.Ways
+	// hasIdleConnection reports whether there is an open connection to an address that carries no call.
+	hasIdleConnection func(address string) bool
+	drainMark         func(dataCentre string) *drain.Mark
+	// incarnation and nodeCount determine this node's share of the calls that a cold server may get.
 	incarnation uint64
-	nodes       func() int
-	// counted is how many nodes' calls are in the counts that this node has.
-	counted func() int
+	nodeCount   func() int
+	// countedNodes returns the number of nodes whose calls are included in the peer counts that this node has.
+	countedNodes func() int
 
-	// PaceCounts count what was learnt of how slow groups are.
+	// PaceCounts counts the groups found slow and recovered, and the slowdown factors learned from peers.
 	PaceCounts pace.Counts
 
-	// holdings are the times that calls hold their places, by pool; the lock guards the map.
-	holdings map[string]*holding
-	// demand is what is asked of the pools.
+	// slotTimes holds the measured slot times by pool. mu guards the map.
+	slotTimes map[string]*slotTime
+	// demand counts the calls that are requested of the pools.
 	demand *demand.Demand
 
 	mu sync.Mutex
-	// known are the targets by loadKey.
-	known map[string]*Target
+	// targets holds the targets by targetKey.
+	targets map[string]*Target
 }
 
-// Option changes how a Board is built.
+// Option configures a Board.
 type Option func(*Board)
 
 // Clock sets the clock.
@@ -194,159 +190,157 @@
 	return func(board *Board) { board.now = now }
 }
 
-// DataCentre sets where the node is.
+// DataCentre sets the node's own data centre.
 func DataCentre(name string) Option {
 	return func(board *Board) { board.dataCentre = name }
 }
 
-// Random sets how a number below n is drawn; it is called from many goroutines.
+// Random sets the function that draws a random number in [0, n). It must be safe for concurrent use.
 func Random(draw func(n int) int) Option {
 	return func(board *Board) { board.random = draw }
 }
 
-// Notices sets what servers say of themselves.
+// Notices sets the source of the servers' own statements: rate limits, backoffs and draining.
 func Notices(notices *notice.Notices) Option {
-	return func(board *Board) { board.record = notices.Record }
+	return func(board *Board) { board.serverRecord = notices.Record }
 }
 
-// Drains sets the marks of data centres.
+// Drains sets the source of the drain state of data centres.
 func Drains(mark func(dataCentre string) *drain.Mark) Option {
-	return func(board *Board) { board.drain = mark }
+	return func(board *Board) { board.drainMark = mark }
 }
 
-// Ways sets what this node knows of its ways to servers.
-func Ways(ways *reach.Ways) Option {
-	return func(board *Board) { board.ways = ways }
+// Paths sets this node's network paths to servers.
+func Paths(paths *reach.Ways) Option {
+	return func(board *Board) { board.paths = paths }
 }
 
-// Idle sets what tells of open connections to servers.
-func Idle(idle func(address string) bool) Option {
-	return func(board *Board) { board.idle = idle }
+// IdleConnections sets the function that reports whether an idle connection to an address is open.
+func IdleConnections(idle func(address string) bool) Option {
+	return func(board *Board) { board.hasIdleConnection = idle }
 }
 
-// Lots sets what decides this node's part of what a cold server bears: its incarnation, and
-// how many nodes share that.
-func Lots(incarnation uint64, nodes func() int) Option {
-	return func(board *Board) { board.incarnation, board.nodes = incarnation, nodes }
+// ColdShare sets what determines this node's share of the calls that a cold server may get: the node's
+// incarnation and the number of nodes that share the limit.
+func ColdShare(incarnation uint64, nodes func() int) Option {
+	return func(board *Board) { board.incarnation, board.nodeCount = incarnation, nodes }
 }
 
-// Counted sets how many nodes' calls are in the counts that the board is given, its own node included.
-func Counted(nodes func() int) Option {
-	return func(board *Board) { board.counted = nodes }
+// CountedNodes sets the number of nodes whose calls are included in the peer counts, this node included.
+func CountedNodes(nodes func() int) Option {
+	return func(board *Board) { board.countedNodes = nodes }
 }
 
-// Demands sets where calls that are asked for and refused are counted, and what all nodes are asked
-// for. By default the board counts on its own and knows of no other node.
-func Demands(held *demand.Demand) Option {
-	return func(board *Board) { board.demand = held }
+// Demand sets the tracker of requested and refused calls, which also knows the demand at other nodes. By default
+// the board has a tracker of its own that knows of no other node.
+func Demand(tracker *demand.Demand) Option {
+	return func(board *Board) { board.demand = tracker }
 }
 
-// New returns a board with no targets.
+// New returns a board without targets.
 func New(options ...Option) *Board {
 	board := &Board{
-		random: rand.IntN, now: clock.Boot, record: notice.New(ratelimit.New()).Record, known: map[string]*Target{}, holdings: map[string]*holding{},
-		idle: func(string) bool { return false }, drain: drain.New().Mark, nodes: func() int { return 1 }, counted: func() int { return 1 },
+		random: rand.IntN, now: clock.Boot, serverRecord: notice.New(ratelimit.New()).Record, targets: map[string]*Target{}, slotTimes: map[string]*slotTime{},
+		hasIdleConnection: func(string) bool { return false }, drainMark: drain.New().Mark, nodeCount: func() int { return 1 }, countedNodes: func() int { return 1 },
 	}
-	board.layout.Store(&layout{})
+	board.snapshot.Store(&snapshot{})
 	for _, option := range options {
 		option(board)
 	}
 	if board.demand == nil {
 		board.demand = demand.New(demand.Clock(board.now))
 	}
-	if board.ways == nil {
-		board.ways = reach.New(reach.Clock(board.now), reach.Random(board.random))
+	if board.paths == nil {
+		board.paths = reach.New(reach.Clock(board.now), reach.Random(board.random))
 	}
 	return board
 }
 
-// loadKey tells one group's calls from those of the next group with the same
-// head, and those of one run of a server from the next: what was seen of the one
-// says nothing of the other.
-func loadKey(spec Spec) string {
+// targetKey identifies a run of a server in a group. What was observed of a group says nothing about the next
+// group with the same head, nor what was observed of a server's run about the next run.
+func targetKey(spec Spec) string {
 	return spec.ID + "/" + spec.Group + "/" + strconv.FormatInt(spec.Born, 10)
 }
 
-// Update replaces the pools. Targets that are gone are kept while calls are
-// under way there.
+// Update replaces the pools. Targets that are no longer listed are kept while calls are in progress there.
 func (board *Board) Update(pools map[string][]Spec) {
 	board.mu.Lock()
 	defer board.mu.Unlock()
-	next := &layout{pools: make(map[string]*pool, len(pools)), centres: map[string]*centre{}}
+	next := &snapshot{pools: make(map[string]*pool, len(pools)), dataCentrePaths: map[string]*dataCentrePath{}}
 	listed := map[string]*Target{}
 	for name, specs := range pools {
-		filled := &pool{}
+		pool := &pool{}
 		for _, spec := range specs {
-			target := &Target{Spec: spec, load: board.load(spec), centre: board.centre(spec.DataCentre, next), way: board.ways.Of(wayOf(&spec)), drain: board.drain(spec.DataCentre)}
+			target := &Target{Spec: spec, localState: board.localState(spec), dataCentrePath: board.dataCentrePath(spec.DataCentre, next), path: board.paths.Of(destinationOf(&spec)), drainMark: board.drainMark(spec.DataCentre)}
 			if spec.Group != "" {
-				target.holding = board.holding(name)
+				target.slotTime = board.slotTime(name)
 			}
-			target.former.Store(false)
-			listed[loadKey(spec)] = target
-			filled.targets = append(filled.targets, target)
+			target.delisted.Store(false)
+			listed[targetKey(spec)] = target
+			pool.targets = append(pool.targets, target)
 		}
-		next.pools[name] = filled
-		next.all = append(next.all, filled.targets...)
+		next.pools[name] = pool
+		next.targets = append(next.targets, pool.targets...)
 	}
-	for key, target := range board.known {
-		if listed[key] == nil && board.stays(target) {
-			target.former.Store(true)
+	for key, target := range board.targets {
+		if listed[key] == nil && board.retains(target) {
+			target.delisted.Store(true)
 			listed[key] = target
-			next.all = append(next.all, target)
-			board.centre(target.DataCentre, next)
+			next.targets = append(next.targets, target)
+			board.dataCentrePath(target.DataCentre, next)
 		}
 	}
-	next.runs = make(map[ratelimit.Run]string, len(next.all))
-	for _, target := range next.all {
-		next.runs[target.serverRun()] = target.DataCentre
+	next.serverRuns = make(map[ratelimit.Run]string, len(next.targets))
+	for _, target := range next.targets {
+		next.serverRuns[target.serverRun()] = target.DataCentre
 	}
-	board.known = listed
-	board.layout.Store(next)
-	board.listWays(next)
+	board.targets = listed
+	board.snapshot.Store(next)
+	board.updatePathServers(next)
 }
 
-func (board *Board) holding(pool string) *holding {
-	if board.holdings[pool] == nil {
-		board.holdings[pool] = &holding{}
+func (board *Board) slotTime(poolName string) *slotTime {
+	if board.slotTimes[poolName] == nil {
+		board.slotTimes[poolName] = &slotTime{}
 	}
-	return board.holdings[pool]
+	return board.slotTimes[poolName]
 }
 
-// centre returns the way to a data centre, and notes it in the next layout.
-func (board *Board) centre(dataCentre string, next *layout) *centre {
+// dataCentrePath returns the path to a data centre and adds it to the next snapshot.
+func (board *Board) dataCentrePath(dataCentre string, next *snapshot) *dataCentrePath {
 	if dataCentre == board.dataCentre || board.dataCentre == "" {
 		return nil
 	}
-	if next.centres[dataCentre] == nil {
-		held := board.layout.Load().centres[dataCentre]
-		if held == nil {
-			held = &centre{timedOut: map[string]struct{}{}, heard: board.now()}
+	if next.dataCentrePaths[dataCentre] == nil {
+		path := board.snapshot.Load().dataCentrePaths[dataCentre]
+		if path == nil {
+			path = &dataCentrePath{timedOutServers: map[string]struct{}{}, lastResponseAt: board.now()}
 		}
-		next.centres[dataCentre] = held
+		next.dataCentrePaths[dataCentre] = path
 	}
-	return next.centres[dataCentre]
+	return next.dataCentrePaths[dataCentre]
 }
 
-// goneKept is how long a target that is in no pool any more is kept without
-// calls: one may have been chosen for it just before and not have begun.
-const goneKept = time.Second
+// delistedRetention is how long a delisted target without calls is kept: Pick may have returned it just before
+// it was delisted, and the call may not have begun.
+const delistedRetention = time.Second
 
-// stays says whether a target that is in no pool any more is kept.
-func (board *Board) stays(target *Target) bool {
+// retains reports whether a target that is in no pool any more is kept.
+func (board *Board) retains(target *Target) bool {
 	now := board.now()
-	if target.goneAt == 0 {
-		target.goneAt = now
+	if target.delistedAt == 0 {
+		target.delistedAt = now
 	}
-	return target.mine.Load() > 0 || now-target.goneAt < goneKept
+	return target.ownCalls.Load() > 0 || now-target.delistedAt < delistedRetention
 }
 
-func (board *Board) load(spec Spec) *load {
-	if target, ok := board.known[loadKey(spec)]; ok {
-		return target.load
+func (board *Board) localState(spec Spec) *localState {
+	if target, ok := board.targets[targetKey(spec)]; ok {
+		return target.localState
 	}
-	return &load{
-		now: board.now, record: board.record(spec.serverRun()), uses: map[*Use]struct{}{},
-		lot: rendezvous.Draw(loadKey(spec), board.incarnation),
+	return &localState{
+		now: board.now, record: board.serverRecord(spec.serverRun()), calls: map[*Call]struct{}{},
+		warmupDraw: rendezvous.Draw(targetKey(spec), board.incarnation),
 	}
 }
 
@@ -354,68 +348,68 @@
 	return ratelimit.Run{Server: spec.ID, Born: spec.Born}
 }
 
-// ServerRuns are the runs of servers that targets stand for, with their data centres.
+// ServerRuns returns the runs of the targets' servers and their data centres.
 func (board *Board) ServerRuns() map[ratelimit.Run]string {
-	return board.layout.Load().runs
+	return board.snapshot.Load().serverRuns
 }
 
 func (board *Board) pool(name string) (*pool, bool) {
-	filled, ok := board.layout.Load().pools[name]
-	return filled, ok
+	pool, ok := board.snapshot.Load().pools[name]
+	return pool, ok
 }
 
-// Taken is how many calls are under way at the target as far as is known.
-func (target *Target) Taken() int {
-	return int(target.mine.Load() + target.peers.Load())
+// ActiveCalls returns the number of calls in progress at the target, as far as this node knows.
+func (target *Target) ActiveCalls() int {
+	return int(target.ownCalls.Load() + target.peerCalls.Load())
 }
 
-// Lost says whether the target's group was found to have lost a member.
-func (target *Target) Lost() bool {
-	return target.lost.Load()
+// MemberLost reports whether the target's group was found to have lost a member.
+func (target *Target) MemberLost() bool {
+	return target.memberLost.Load()
 }
 
-// Run names the run of the server, in its group, that the target stands for.
-func (target *Target) Run() string {
-	return loadKey(target.Spec)
+// Key identifies the target: a run of a server in its group.
+func (target *Target) Key() string {
+	return targetKey(target.Spec)
 }
 
-// ServerRun names the run of the server, whatever group it heads.
+// ServerRun identifies the run of the target's server, whatever group the server heads.
 func (target *Target) ServerRun() ratelimit.Run {
 	return target.serverRun()
 }
 
-// Await counts a call that waits for a permit of the target's server until the function
-// is called.
-func (target *Target) Await(urgency int) (done func()) {
+// AwaitPermit counts a call as waiting for a permit of the target's server until done is called.
+func (target *Target) AwaitPermit(urgency int) (done func()) {
 	return target.record.Gate.Await(urgency)
 }
 
-// Record is what the target's server said of itself.
+// Record returns the statements of the target's server: rate limit, backoff and draining.
 func (target *Target) Record() *notice.Record {
 	return target.record
 }
 
-// OpensAt is when a target whose server asked for a backoff may get the next call.
-func (target *Target) OpensAt() time.Duration {
+// BackoffEndsAt returns when a target whose server asked for a backoff may get the next call.
+func (target *Target) BackoffEndsAt() time.Duration {
 	return target.record.OpensAt()
 }
 
-// Avoid keeps new calls off the target for a while, after it failed one. It doesn't shorten
-// what is left of an earlier while.
-func (target *Target) Avoid(span time.Duration) {
-	until := int64(target.now() + span)
-	for held := target.avoidUntil.Load(); held < until; held = target.avoidUntil.Load() {
-		if target.avoidUntil.CompareAndSwap(held, until) {
+// Avoid keeps new calls away from a target that failed a call. A shorter duration doesn't cut an earlier, longer
+// one.
+func (target *Target) Avoid(duration time.Duration) {
+	until := int64(target.now() + duration)
+	for current := target.avoidUntil.Load(); current < until; current = target.avoidUntil.Load() {
+		if target.avoidUntil.CompareAndSwap(current, until) {
 			return
 		}
 	}
 }
 
-// Apart returns a target that is in no pool and counts its calls: another node that calls go through.
-func Apart(spec Spec, now clock.Now) *Target {
+// NewStandaloneTarget returns a target that is in no pool, such as another node that calls are forwarded
+// through, and counts its calls.
+func NewStandaloneTarget(spec Spec, now clock.Now) *Target {
 	notices := notice.New(ratelimit.New(ratelimit.Clock(now)), notice.Clock(now))
 	return &Target{
-		Spec: spec, drain: drain.New().Mark(spec.DataCentre),
-		load: &load{now: now, record: notices.Record(spec.serverRun()), uses: map[*Use]struct{}{}},
+		Spec: spec, drainMark: drain.New().Mark(spec.DataCentre),
+		localState: &localState{now: now, record: notices.Record(spec.serverRun()), calls: map[*Call]struct{}{}},
 	}
 }
--- a/internal/policy/dispatch/dispatch_test.go
+++ b/internal/policy/dispatch/dispatch_test.go
@@ -16,8 +16,8 @@
 
 func head(id string) dispatch.Spec {
 	return dispatch.Spec{
-		ID: id, Address: id + ":1", Group: "g-" + id, Slots: 16, Pass: 45 * time.Millisecond,
-		PerToken: 22 * time.Microsecond, PerCall: 500 * time.Microsecond, Turnover: 80 * time.Millisecond,
+		ID: id, Address: id + ":1", Group: "g-" + id, Slots: 16, PassTime: 45 * time.Millisecond,
+		TokenPrefillTime: 22 * time.Microsecond, PassTimePerCall: 500 * time.Microsecond, SlotReleaseInterval: 80 * time.Millisecond,
 	}
 }
 
@@ -28,44 +28,43 @@
 	return board
 }
 
-// fill begins calls whose prompts were read.
-func fill(board *dispatch.Board, target *dispatch.Target, calls int) {
+// startStreams begins calls that have had their first event.
+func startStreams(board *dispatch.Board, target *dispatch.Target, calls int) {
 	for range calls {
-		use := target.Begin(1000, 0, func() {})
-		use.Event()
+		call := target.Begin(1000, 0, func() {})
+		call.RecordEvent()
 	}
 	_ = board
 }
 
 func pick(board *dispatch.Board) *dispatch.Target {
-	target, _ := board.Pick(pool, dispatch.Wish{Beyond: 4})
+	target, _ := board.Pick(pool, dispatch.Criteria{MaxQueued: 4})
 	return target
 }
 
-// A third of the calls went to groups of each data centre, wherever they came from.
-// When one was cut off, two thirds of its streams stood still. Among groups nearly
-// as good, one of the own data centre is taken; with more prompts to read it isn't.
-func TestOwnDataCentreComesFirst(t *testing.T) {
+// Guards against spreading calls evenly over the data centres: when one was cut off, two thirds of its streams
+// stalled because they ran elsewhere. Among nearly equal groups the local one is chosen, but not if it has more
+// prompts to prefill.
+func TestPickPrefersLocalDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		own, other := head("a"), head("b")
-		own.DataCentre, other.DataCentre = "north", "south"
-		board := newBoard(own, other)
-		target, _ := board.Pick(pool, dispatch.Wish{DataCentre: "north"})
+		local, remote := head("a"), head("b")
+		local.DataCentre, remote.DataCentre = "north", "south"
+		board := newBoard(local, remote)
+		target, _ := board.Pick(pool, dispatch.Criteria{DataCentre: "north"})
 		for range 40 {
-			chosen, _ := board.Pick(pool, dispatch.Wish{DataCentre: "north"})
+			chosen, _ := board.Pick(pool, dispatch.Criteria{DataCentre: "north"})
 			expect.Expect(chosen.ID).To(gomega.Equal("a"))
 		}
 		target.Begin(2500, 0, func() {})
-		chosen, _ := board.Pick(pool, dispatch.Wish{DataCentre: "north"})
+		chosen, _ := board.Pick(pool, dispatch.Criteria{DataCentre: "north"})
 		expect.Expect(chosen.ID).To(gomega.Equal("b"))
 	})
 }
 
-// A group was just opened beside busy ones, at peak load. Counted by places, it
-// drew every request of all nodes at once; their prompts queued there, and their
-// first events came later than at the busy groups. Requests must spread.
-func TestNewGroupIsNotRushed(t *testing.T) {
+// Guards against flooding a group that was just formed at peak load. Chosen by free slots, it got the requests
+// of all nodes at once, and their prompts queued there longer than at the busy groups.
+func TestNewGroupIsNotFlooded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"), head("b"), head("c"))
@@ -73,7 +72,7 @@
 		for len(busy) < 2 {
 			target := pick(board)
 			if target.ID != "c" && !busy[target.ID] {
-				fill(board, target, 10)
+				startStreams(board, target, 10)
 				busy[target.ID] = true
 			}
 		}
@@ -88,175 +87,174 @@
 	})
 }
 
-// Prompts that wait to be read, here or sent by peers, make the next first event
-// late; a request goes where fewer wait.
-func TestUnreadPromptsAreAvoided(t *testing.T) {
+// Pending prompts, of this node's calls or those of peers, delay the next first event. A request goes where
+// fewer are pending.
+func TestPickAvoidsPendingPrompts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"), head("b"))
-		board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 3, Unread: 6000}})
+		board.SetPeerLoads(map[string]dispatch.ServerLoad{"a": {Calls: 3, PendingPromptTokens: 6000}})
 		for range 20 {
 			expect.Expect(pick(board).ID).To(gomega.Equal("b"))
 		}
 	})
 }
 
-func TestFullAndEmptyPoolsAreToldApart(t *testing.T) {
+func TestPickDistinguishesFullFromNoTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"))
-		board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 20}})
-		_, verdict := board.Pick(pool, dispatch.Wish{Beyond: 4})
+		board.SetPeerLoads(map[string]dispatch.ServerLoad{"a": {Calls: 20}})
+		_, verdict := board.Pick(pool, dispatch.Criteria{MaxQueued: 4})
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Full))
-		_, verdict = board.Pick(pool, dispatch.Wish{Beyond: 5})
+		_, verdict = board.Pick(pool, dispatch.Criteria{MaxQueued: 5})
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
-		_, verdict = board.Pick(pool, dispatch.Wish{Exclude: []string{"a"}})
-		expect.Expect(verdict).To(gomega.Equal(dispatch.None))
-		_, verdict = board.Pick("drafts/other", dispatch.Wish{})
-		expect.Expect(verdict).To(gomega.Equal(dispatch.None))
+		_, verdict = board.Pick(pool, dispatch.Criteria{Exclude: []string{"a"}})
+		expect.Expect(verdict).To(gomega.Equal(dispatch.NoTarget))
+		_, verdict = board.Pick("drafts/other", dispatch.Criteria{})
+		expect.Expect(verdict).To(gomega.Equal(dispatch.NoTarget))
 	})
 }
 
-// A member of a group is lost: the head goes on accepting, and no stream moves.
-// New calls stay away within a few passes, and soon after the streams move. A
-// group that reads a long prompt for some passes stays.
-func TestSilentGroupIsAvoidedThenLeft(t *testing.T) {
+// Guards against calls that wait at a group that has lost a member, whose head still accepts calls while no
+// stream progresses. New calls stay away within a few passes, and soon after the streams move. A group that is
+// silent for some passes because it prefills a long prompt keeps its streams.
+func TestStalledGroupIsAvoidedThenCallsMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"), head("b"))
 		target := pick(board)
 		moved := false
-		use := target.Begin(100, 0, func() { moved = true })
-		use.Event()
+		call := target.Begin(100, 0, func() { moved = true })
+		call.RecordEvent()
 		time.Sleep(200 * time.Millisecond)
-		expect.Expect(board.Watch()).To(gomega.BeEmpty())
+		expect.Expect(board.WatchGroups()).To(gomega.BeEmpty())
 		time.Sleep(50 * time.Millisecond)
-		expect.Expect(board.Watch()).To(gomega.HaveLen(1))
+		expect.Expect(board.WatchGroups()).To(gomega.HaveLen(1))
 		expect.Expect(moved).To(gomega.BeFalse())
 		for range 10 {
 			expect.Expect(pick(board).ID).NotTo(gomega.Equal(target.ID))
 		}
 		time.Sleep(200 * time.Millisecond)
-		board.Watch()
+		board.WatchGroups()
 		expect.Expect(moved).To(gomega.BeTrue())
-		expect.Expect(use.Moved()).To(gomega.BeTrue())
-		use.End()
+		expect.Expect(call.Moved()).To(gomega.BeTrue())
+		call.End()
 	})
 }
 
-// Guards against a group that is avoided, and whose stream is moved, since its only caller reads
-// slowly; and against one whose silence isn't seen any more after that, or beside it.
-func TestStreamOfASlowReaderIsNoSilence(t *testing.T) {
+// Guards against avoiding a group and moving its stream because its only caller reads slowly, and against
+// missing the silence of a group after such a pause or beside a paused stream.
+func TestPausedStreamIsNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"))
 		target := pick(board)
-		use := target.Begin(100, 0, func() {})
-		use.Event()
-		use.Hold()
+		call := target.Begin(100, 0, func() {})
+		call.RecordEvent()
+		call.PauseReading()
 		time.Sleep(10 * time.Second)
-		expect.Expect(board.Watch()).To(gomega.BeEmpty())
-		use.Resume()
+		expect.Expect(board.WatchGroups()).To(gomega.BeEmpty())
+		call.ResumeReading()
 		time.Sleep(200 * time.Millisecond)
-		expect.Expect(board.Watch()).To(gomega.BeEmpty())
+		expect.Expect(board.WatchGroups()).To(gomega.BeEmpty())
 		time.Sleep(50 * time.Millisecond)
-		expect.Expect(board.Watch()).To(gomega.HaveLen(1))
-		use.Hold()
+		expect.Expect(board.WatchGroups()).To(gomega.HaveLen(1))
+		call.PauseReading()
 		waiting := target.Begin(100, 0, func() {})
 		time.Sleep(800 * time.Millisecond)
-		expect.Expect(board.Watch()).To(gomega.BeEmpty())
+		expect.Expect(board.WatchGroups()).To(gomega.BeEmpty())
 		time.Sleep(200 * time.Millisecond)
-		expect.Expect(board.Watch()).To(gomega.HaveLen(1), "the other call waits for its first event")
+		expect.Expect(board.WatchGroups()).To(gomega.HaveLen(1), "the other call waits for its first event")
 		waiting.End()
-		use.Resume()
-		use.End()
+		call.ResumeReading()
+		call.End()
 	})
 }
 
-// At peak load a group's calls wait over a second for their first events. Taken
-// from it they used up their attempts and failed, while the group was whole. They
-// stay, new calls are kept away, and only callers' patience bounds the wait.
-func TestCallsOfACrowdedGroupStay(t *testing.T) {
+// Guards against moving calls from a group that is only overloaded. At peak load calls wait over a second for
+// their first events; moved, they used up their attempts and failed. They stay, new calls are kept away, and the
+// wait is bounded only by the callers' patience.
+func TestCallsOfOverloadedGroupStay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"), head("b"))
 		target := pick(board)
 		moved := false
-		use := target.Begin(100, 0, func() { moved = true })
+		call := target.Begin(100, 0, func() { moved = true })
 		time.Sleep(1200 * time.Millisecond)
-		expect.Expect(board.Watch()).To(gomega.HaveLen(1))
+		expect.Expect(board.WatchGroups()).To(gomega.HaveLen(1))
 		expect.Expect(moved).To(gomega.BeFalse())
 		expect.Expect(pick(board).ID).NotTo(gomega.Equal(target.ID))
 		time.Sleep(500 * time.Millisecond)
-		board.Watch()
+		board.WatchGroups()
 		expect.Expect(moved).To(gomega.BeTrue())
-		use.End()
+		call.End()
 	})
 }
 
-// The node that mends groups says that one is lost; its calls move at once, and
-// a later group with the same head starts afresh.
-func TestLostGroupIsLeftAtOnce(t *testing.T) {
+// Guards against calls that stay at a group that the repairing node reports lost, and against a later group with
+// the same head that inherits its counts.
+func TestMarkGroupLostMovesCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"))
 		ended := 0
-		use := pick(board).Begin(100, 0, func() { ended++ })
-		expect.Expect(board.Lose("g-a")).To(gomega.Equal(1))
-		expect.Expect(board.Lose("g-a")).To(gomega.BeZero())
+		call := pick(board).Begin(100, 0, func() { ended++ })
+		expect.Expect(board.MarkGroupLost("g-a")).To(gomega.Equal(1))
+		expect.Expect(board.MarkGroupLost("g-a")).To(gomega.BeZero())
 		expect.Expect(ended).To(gomega.Equal(1))
 		expect.Expect(pick(board)).To(gomega.BeNil())
 		next := head("a")
 		next.Group = "g-later"
 		board.Update(map[string][]dispatch.Spec{pool: {next}})
-		expect.Expect(pick(board).Taken()).To(gomega.BeZero())
-		use.End()
+		expect.Expect(pick(board).ActiveCalls()).To(gomega.BeZero())
+		call.End()
 	})
 }
 
-// Counts of a target survive the lists that show it, and calls are uncounted
-// once however often they end.
-func TestCountsOutliveLists(t *testing.T) {
+// Guards against call counts that are reset by Update, and against a call that is subtracted twice when it ends
+// twice.
+func TestCallCountsSurviveUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"))
-		use := pick(board).Begin(700, 0, func() {})
+		call := pick(board).Begin(700, 0, func() {})
 		board.Update(map[string][]dispatch.Spec{pool: {head("a"), head("b")}})
-		expect.Expect(board.Shares()).To(gomega.Equal(map[string]dispatch.Share{"a": {Calls: 1, Unread: 700}}))
-		use.Event()
-		expect.Expect(board.Shares()).To(gomega.Equal(map[string]dispatch.Share{"a": {Calls: 1}}))
-		use.End()
-		use.End()
-		expect.Expect(board.Shares()).To(gomega.BeEmpty())
+		expect.Expect(board.OwnLoads()).To(gomega.Equal(map[string]dispatch.ServerLoad{"a": {Calls: 1, PendingPromptTokens: 700}}))
+		call.RecordEvent()
+		expect.Expect(board.OwnLoads()).To(gomega.Equal(map[string]dispatch.ServerLoad{"a": {Calls: 1}}))
+		call.End()
+		call.End()
+		expect.Expect(board.OwnLoads()).To(gomega.BeEmpty())
 	})
 }
 
-// A caller waits until its deadline for a stream that nobody will go on with: a
-// member of its group is lost, and before the group's silence is noticed, the
-// list of servers shows the group incomplete. The group leaves the pool, and
-// its calls with it left the watch, so that they were neither moved nor ended.
-func TestCallsOfGroupThatLeftThePoolAreWatched(t *testing.T) {
+// Guards against callers that wait until their deadline for a stalled stream: a member of its group is lost, and
+// the server list shows the group as incomplete before its silence is detected. The group leaves the pool, and
+// its calls must still be watched.
+func TestDelistedGroupIsWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"))
 		target := pick(board)
 		ended := 0
-		use := target.Begin(1000, 0, func() { ended++ })
-		use.Event()
+		call := target.Begin(1000, 0, func() { ended++ })
+		call.RecordEvent()
 		board.Update(map[string][]dispatch.Spec{})
 		time.Sleep(2 * time.Second)
-		silent := board.Watch()
-		expect.Expect(silent).To(gomega.HaveLen(1))
-		expect.Expect(silent[0].Group).To(gomega.Equal("g-a"))
+		stalled := board.WatchGroups()
+		expect.Expect(stalled).To(gomega.HaveLen(1))
+		expect.Expect(stalled[0].Group).To(gomega.Equal("g-a"))
 		expect.Expect(ended).To(gomega.Equal(1))
-		use.End()
-		expect.Expect(board.Watch()).To(gomega.BeEmpty())
+		call.End()
+		expect.Expect(board.WatchGroups()).To(gomega.BeEmpty())
 	})
 }
 
-// The same, and the node that mends groups finds the loss first: its news must
-// reach the calls of a group that the list no longer shows.
-func TestCallsOfGroupThatLeftThePoolAreMovedByNews(t *testing.T) {
+// The same when the node that repairs groups finds the loss first: MarkGroupLost must reach the calls of a group
+// that is no longer listed.
+func TestMarkGroupLostReachesDelistedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"))
@@ -264,30 +262,30 @@
 		ended := 0
 		target.Begin(1000, 0, func() { ended++ })
 		board.Update(map[string][]dispatch.Spec{})
-		expect.Expect(board.Lose("g-a")).To(gomega.Equal(1))
+		expect.Expect(board.MarkGroupLost("g-a")).To(gomega.Equal(1))
 		expect.Expect(ended).To(gomega.Equal(1))
 	})
 }
 
-// Two groups lose a member at once. The streams of the one were moved to the
-// other, which had none of its own to show that it stood still, and used up
-// their last attempt there. A moved stream goes where events are seen to come.
-func TestMovedStreamGoesToAGroupSeenGoingOn(t *testing.T) {
+// Guards against moving the streams of one lost group to another one, when two groups lose a member at once. The
+// other group had no streams of its own that showed the loss, and the moved streams used up their last attempt
+// there. A moved stream goes to a group that has had events.
+func TestMovedStreamPrefersActiveGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"), head("b"), head("c"))
 		for target := pick(board); ; target = pick(board) {
 			if target.ID == "b" {
-				fill(board, target, 6)
+				startStreams(board, target, 6)
 				break
 			}
 		}
 		for range 20 {
-			target, _ := board.Pick(pool, dispatch.Wish{Beyond: 4, Proven: true})
+			target, _ := board.Pick(pool, dispatch.Criteria{MaxQueued: 4, PreferActive: true})
 			expect.Expect(target.ID).To(gomega.Equal("b"))
 		}
 		time.Sleep(time.Second)
-		target, verdict := board.Pick(pool, dispatch.Wish{Beyond: 4, Proven: true, Exclude: []string{"b"}})
+		target, verdict := board.Pick(pool, dispatch.Criteria{MaxQueued: 4, PreferActive: true, Exclude: []string{"b"}})
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
 		expect.Expect(target.ID).NotTo(gomega.Equal("b"))
 	})
--- a/internal/policy/dispatch/drain_test.go
+++ b/internal/policy/dispatch/drain_test.go
@@ -14,99 +14,99 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// drainable is a board of one head in each of two data centres.
-func drainable() (*dispatch.Board, *drain.Table, *time.Duration) {
+// newDrainableBoard returns a board of one head in each of two data centres.
+func newDrainableBoard() (*dispatch.Board, *drain.Table, *time.Duration) {
 	at := time.Minute
 	now := func() time.Duration { return at }
 	table := drain.New(drain.Clock(now))
 	board := dispatch.New(dispatch.Clock(now), dispatch.Drains(table.Mark))
-	one, other := head("a"), head("b")
-	one.DataCentre, other.DataCentre = "north", "south"
-	for _, spec := range []*dispatch.Spec{&one, &other} {
-		spec.ColdBound, spec.ColdTime = warmup.Bound{PerSecond: 5}, 2*time.Second
+	north, south := head("a"), head("b")
+	north.DataCentre, south.DataCentre = "north", "south"
+	for _, spec := range []*dispatch.Spec{&north, &south} {
+		spec.ColdLimit, spec.ColdDuration = warmup.Bound{PerSecond: 5}, 2*time.Second
 	}
-	board.Update(map[string][]dispatch.Spec{pool: {one, other}})
+	board.Update(map[string][]dispatch.Spec{pool: {north, south}})
 	return board, table, &at
 }
 
-func drainNorth(table *drain.Table, offset int64, drained bool) {
+func setNorthDrained(table *drain.Table, offset int64, drained bool) {
 	table.Told([]drain.Record{{DataCentre: "north", Position: storelog.Position{Offset: offset}, Drained: drained}})
 }
 
-// Guards against calls to a drained data centre that is near, and against waiting for it.
-func TestTargetOfADrainedDataCentreIsNotChosen(t *testing.T) {
+// Guards against calls to a drained local data centre, and against waiting for its servers.
+func TestPickSkipsDrainedDataCentre(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, table, _ := drainable()
-	drainNorth(table, 1, true)
+	board, table, _ := newDrainableBoard()
+	setNorthDrained(table, 1, true)
 	for range 20 {
-		target, verdict := board.Pick(pool, dispatch.Wish{DataCentre: "north"})
+		target, verdict := board.Pick(pool, dispatch.Criteria{DataCentre: "north"})
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
 		expect.Expect(target.ID).To(gomega.Equal("b"))
 	}
-	_, verdict := board.Pick(pool, dispatch.Wish{Exclude: []string{"b"}})
-	expect.Expect(verdict).To(gomega.Equal(dispatch.None))
+	_, verdict := board.Pick(pool, dispatch.Criteria{Exclude: []string{"b"}})
+	expect.Expect(verdict).To(gomega.Equal(dispatch.NoTarget))
 	expect.Expect(board.Occupancy(pool).Targets).To(gomega.Equal(1))
 }
 
-// Guards against a call that is sent since its target was chosen before the drain.
-func TestCallChosenBeforeADrainIsWithheld(t *testing.T) {
+// Guards against sending a call whose target was chosen before its data centre was drained.
+func TestAdmitWithholdsCallAfterDrain(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, table, _ := drainable()
-	target, _ := board.Pick(pool, dispatch.Wish{Exclude: []string{"b"}})
+	board, table, _ := newDrainableBoard()
+	target, _ := board.Pick(pool, dispatch.Criteria{Exclude: []string{"b"}})
 	expect.Expect(target.Admit()).To(gomega.Succeed())
-	drainNorth(table, 1, true)
+	setNorthDrained(table, 1, true)
 	expect.Expect(errors.Is(target.Admit(), notice.ErrWithheld)).To(gomega.BeTrue())
 	expect.Expect(target.Admit()).To(gomega.MatchError(dispatch.ErrDrained))
 }
 
-// Guards against servers that get a rush as soon as a drain ends.
-func TestServerOutOfADrainGetsFewCallsAtFirst(t *testing.T) {
+// Guards against a burst of calls to a server as soon as a drain ends.
+func TestServerIsColdAfterDrain(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, table, at := drainable()
-	drainNorth(table, 1, true)
-	drainNorth(table, 2, false)
+	board, table, at := newDrainableBoard()
+	setNorthDrained(table, 1, true)
+	setNorthDrained(table, 2, false)
 	chosen := map[string]int{}
 	for range 50 {
-		if target, verdict := board.Pick(pool, dispatch.Wish{DataCentre: "north", Exclude: []string{"b"}}); verdict == dispatch.Chosen {
+		if target, verdict := board.Pick(pool, dispatch.Criteria{DataCentre: "north", Exclude: []string{"b"}}); verdict == dispatch.Chosen {
 			chosen[target.ID]++
 		}
 	}
 	expect.Expect(chosen).To(gomega.Equal(map[string]int{"a": 3}))
 	*at += 2 * time.Second
 	for range 50 {
-		board.Pick(pool, dispatch.Wish{DataCentre: "north", Exclude: []string{"b"}})
+		board.Pick(pool, dispatch.Criteria{DataCentre: "north", Exclude: []string{"b"}})
 	}
-	_, verdict := board.Pick(pool, dispatch.Wish{Exclude: []string{"b"}})
-	expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen), "it is warm")
+	_, verdict := board.Pick(pool, dispatch.Criteria{Exclude: []string{"b"}})
+	expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen), "the server is warm")
 }
 
-// Guards against a cold server that keeps calls from the others.
-func TestCallsGoElsewhereWhileAServerIsCold(t *testing.T) {
+// Guards against a cold server that keeps calls from other servers.
+func TestCallsOverflowFromColdServer(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, table, _ := drainable()
-	drainNorth(table, 1, true)
-	drainNorth(table, 2, false)
+	board, table, _ := newDrainableBoard()
+	setNorthDrained(table, 1, true)
+	setNorthDrained(table, 2, false)
 	chosen := map[string]int{}
 	for range 50 {
-		target, verdict := board.Pick(pool, dispatch.Wish{DataCentre: "north"})
+		target, verdict := board.Pick(pool, dispatch.Criteria{DataCentre: "north"})
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
 		chosen[target.ID]++
 	}
 	expect.Expect(chosen).To(gomega.Equal(map[string]int{"a": 3, "b": 47}))
 }
 
-// Guards against calls to servers outside of the regions that they are bound to.
-func TestCallsStayInTheirRegions(t *testing.T) {
+// Guards against calls to servers outside the regions that the calls are confined to.
+func TestPickHonoursRegions(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	one, other := head("a"), head("b")
-	one.Region, other.Region = "andes", "coast"
-	board := newBoard(one, other)
+	north, south := head("a"), head("b")
+	north.Region, south.Region = "andes", "coast"
+	board := newBoard(north, south)
 	for range 20 {
-		target, _ := board.Pick(pool, dispatch.Wish{Regions: []string{"coast"}})
+		target, _ := board.Pick(pool, dispatch.Criteria{Regions: []string{"coast"}})
 		expect.Expect(target.ID).To(gomega.Equal("b"))
 	}
-	_, verdict := board.Pick(pool, dispatch.Wish{Regions: []string{"coast"}, Exclude: []string{"b"}})
-	expect.Expect(verdict).To(gomega.Equal(dispatch.None))
-	_, verdict = board.Pick(pool, dispatch.Wish{Regions: []string{}})
-	expect.Expect(verdict).To(gomega.Equal(dispatch.None), "no region is common to all that bind it")
+	_, verdict := board.Pick(pool, dispatch.Criteria{Regions: []string{"coast"}, Exclude: []string{"b"}})
+	expect.Expect(verdict).To(gomega.Equal(dispatch.NoTarget))
+	_, verdict = board.Pick(pool, dispatch.Criteria{Regions: []string{}})
+	expect.Expect(verdict).To(gomega.Equal(dispatch.NoTarget), "no region is allowed")
 }
--- a/internal/policy/dispatch/limit_test.go
+++ b/internal/policy/dispatch/limit_test.go
@@ -12,8 +12,8 @@
 	"hazelslip/internal/policy/ratelimit"
 )
 
-// limitedBoard is a board of two heads, of which a names a limit of two a second.
-func limitedBoard() (*dispatch.Board, *ratelimit.Limits, *time.Duration) {
+// newBoardWithRateLimit returns a board of two heads; a has a rate limit of two calls per second.
+func newBoardWithRateLimit() (*dispatch.Board, *ratelimit.Limits, *time.Duration) {
 	at := time.Minute
 	now := func() time.Duration { return at }
 	limits := ratelimit.New(ratelimit.Clock(now))
@@ -24,43 +24,43 @@
 	return board, limits, &at
 }
 
-func home(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Home: true, Part: 1} }
+func homeOfAll(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Home: true, Part: 1} }
 
-// Guards against calls that wait for a server that names a limit while another has places.
-func TestCallsGoElsewhereBeforeALimitIsReached(t *testing.T) {
+// Guards against calls that wait for a rate-limited server while another server has free slots.
+func TestPickAvoidsRateLimitedServer(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, limits, at := limitedBoard()
+	board, limits, at := newBoardWithRateLimit()
 	chosen := map[string]int{}
 	for range 500 {
 		*at += 20 * time.Millisecond
-		limits.Refresh(home)
-		target, verdict := board.Pick(pool, dispatch.Wish{})
+		limits.Refresh(homeOfAll)
+		target, verdict := board.Pick(pool, dispatch.Criteria{})
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
 		chosen[target.ID]++
 	}
-	expect.Expect(chosen["a"]).To(gomega.BeNumerically("~", 20, 4), "two a second for ten seconds")
+	expect.Expect(chosen["a"]).To(gomega.BeNumerically("~", 20, 4), "two per second for ten seconds")
 }
 
-// Guards against a limited server that is taken for full, or full ones for limited.
-func TestOnlyLimitedServersAreWaitedFor(t *testing.T) {
+// Guards against taking a rate-limited server for a full one, or a full one for a rate-limited one.
+func TestPickDistinguishesRateLimitedFromFull(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, _, _ := limitedBoard()
-	target, verdict := board.Pick(pool, dispatch.Wish{Exclude: []string{"b"}})
-	expect.Expect(verdict).To(gomega.Equal(dispatch.Limited))
+	board, _, _ := newBoardWithRateLimit()
+	target, verdict := board.Pick(pool, dispatch.Criteria{Exclude: []string{"b"}})
+	expect.Expect(verdict).To(gomega.Equal(dispatch.RateLimited))
 	expect.Expect(target.ID).To(gomega.Equal("a"))
-	_, verdict = board.Pick(pool, dispatch.Wish{Exclude: []string{"a", "b"}})
-	expect.Expect(verdict).To(gomega.Equal(dispatch.None))
-	board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 16}, "b": {Calls: 16}})
-	_, verdict = board.Pick(pool, dispatch.Wish{})
+	_, verdict = board.Pick(pool, dispatch.Criteria{Exclude: []string{"a", "b"}})
+	expect.Expect(verdict).To(gomega.Equal(dispatch.NoTarget))
+	board.SetPeerLoads(map[string]dispatch.ServerLoad{"a": {Calls: 16}, "b": {Calls: 16}})
+	_, verdict = board.Pick(pool, dispatch.Criteria{})
 	expect.Expect(verdict).To(gomega.Equal(dispatch.Full))
 }
 
-// Guards against groups that are planned as if a limited one had all its places.
-func TestLimitedServerCountsWithThePlacesThatItUses(t *testing.T) {
+// Guards against planning groups as if all slots of a rate-limited server were usable.
+func TestOccupancyCountsUsedSlotsOfRateLimitedServer(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	board, limits, _ := limitedBoard()
-	board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 3}})
-	expect.Expect(board.Occupancy(pool)).To(gomega.Equal(dispatch.Occupancy{Targets: 2, Places: 19, Taken: 3, Limit: 2}))
+	board, limits, _ := newBoardWithRateLimit()
+	board.SetPeerLoads(map[string]dispatch.ServerLoad{"a": {Calls: 3}})
+	expect.Expect(board.Occupancy(pool)).To(gomega.Equal(dispatch.Occupancy{Targets: 2, Slots: 19, ActiveCalls: 3, RateLimit: 2}))
 	limits.Take(ratelimit.Limit{Run: ratelimit.Run{Server: "a"}, Version: 9, Ended: true})
-	expect.Expect(board.Occupancy(pool)).To(gomega.Equal(dispatch.Occupancy{Targets: 2, Places: 32, Taken: 3}))
+	expect.Expect(board.Occupancy(pool)).To(gomega.Equal(dispatch.Occupancy{Targets: 2, Slots: 32, ActiveCalls: 3}))
 }
--- a/internal/policy/dispatch/outcomes.go
+++ b/internal/policy/dispatch/outcomes.go
@@ -7,83 +7,82 @@
 )
 
 const (
-	// recordHalf is the time after which the end of a call counts half. A server
-	// that fails gets fewer calls, so that little is learnt of it; it should not
-	// be forgotten before the fault is over, which takes some seconds.
-	recordHalf = 3 * time.Second
-	// riskLeast is how many failures make a target risky: a single one says
-	// little.
-	riskLeast = 1.5
-	// riskPrior is how many good ends every target is given besides, so that two
-	// failures of two calls weigh less than twenty of twenty.
-	riskPrior = 2
-	// failureCost is what a failed call counts in time to the first event: what
-	// it waited in vain, and the next server's way.
-	failureCost = 1200 * time.Millisecond
+	// outcomeHalfLife is the time after which an outcome has half its weight. A failing server gets fewer calls, so
+	// few new outcomes arrive. Its failures must not be forgotten before the fault is over, which takes some
+	// seconds.
+	outcomeHalfLife = 3 * time.Second
+	// minFailures is the number of failures below which a target has no failure cost, because a single failure is
+	// weak evidence.
+	minFailures = 1.5
+	// priorAnswers is the number of answered calls that every target is credited with, so that two failures out of
+	// two calls weigh less than twenty out of twenty.
+	priorAnswers = 2
+	// failedCallCost is the cost of a failed call as a delay of the first event: the time waited in vain and the
+	// call to the next server.
+	failedCallCost = 1200 * time.Millisecond
 )
 
-// record is how calls ended, the older ones counting less.
-type record struct {
+// outcomeStats counts how calls ended. Older outcomes have less weight.
+type outcomeStats struct {
 	mu               sync.Mutex
 	failed, answered float64
-	at               time.Duration
+	decayedAt        time.Duration
 }
 
-func (record *record) note(now time.Duration, failed bool) {
-	record.mu.Lock()
-	defer record.mu.Unlock()
-	record.decay(now)
+func (outcomeStats *outcomeStats) record(now time.Duration, failed bool) {
+	outcomeStats.mu.Lock()
+	defer outcomeStats.mu.Unlock()
+	outcomeStats.decay(now)
 	if failed {
-		record.failed++
+		outcomeStats.failed++
 		return
 	}
-	record.answered++
+	outcomeStats.answered++
 }
 
-func (record *record) decay(now time.Duration) {
-	faded := math.Exp2(-float64(now-record.at) / float64(recordHalf))
-	record.failed *= faded
-	record.answered *= faded
-	record.at = now
+func (outcomeStats *outcomeStats) decay(now time.Duration) {
+	factor := math.Exp2(-float64(now-outcomeStats.decayedAt) / float64(outcomeHalfLife))
+	outcomeStats.failed *= factor
+	outcomeStats.answered *= factor
+	outcomeStats.decayedAt = now
 }
 
-func (record *record) read(now time.Duration) (failed, answered float64) {
-	record.mu.Lock()
-	defer record.mu.Unlock()
-	record.decay(now)
-	return record.failed, record.answered
+func (outcomeStats *outcomeStats) decayedCounts(now time.Duration) (failed, answered float64) {
+	outcomeStats.mu.Lock()
+	defer outcomeStats.mu.Unlock()
+	outcomeStats.decay(now)
+	return outcomeStats.failed, outcomeStats.answered
 }
 
-// Note tells how a call at the target ended. A call that the server refused
-// without running it, and one that was moved or whose caller left, is neither.
-// For groups it does nothing; see risk.
-func (target *Target) Note(failed bool) {
+// RecordOutcome records whether a call at the target failed or was answered. Calls that the server refused
+// without running them, calls that moved, and calls whose callers left must not be recorded. RecordOutcome does
+// nothing for groups; see failureCost.
+func (target *Target) RecordOutcome(failed bool) {
 	if target.Group == "" {
-		target.ends.note(target.now(), failed)
+		target.outcomes.record(target.now(), failed)
 	}
 }
 
-// risk is the time that failures at a plain server cost on average.
+// failureCost returns the average delay that failures at a plain server cause.
 //
-// Some servers fail part of their calls, or all of some callers', while their
-// health answers are good and the others' calls go on. One that fails at once
-// has few calls under way and draws ever more. In a large fleet a node sends a
-// server less than a call a second, so what counts is what all nodes saw.
+// Some servers fail part of their calls, or all calls of some callers, while their health checks pass and other
+// callers' calls succeed. A server that fails immediately has few calls in progress and attracts ever more. In a
+// large fleet a node sends a server less than one call per second, so the outcomes of all nodes count.
 //
-// It isn't for groups: what calls of a group failed by was mostly a member that
-// was lost, and the head's next group, which is well, would be kept idle for it.
-func (target *Target) risk(now time.Duration) time.Duration {
+// Groups have no failure cost. Calls of a group fail mostly because a member was lost, and the head's next
+// group, which is healthy, would be kept idle for these failures.
+func (target *Target) failureCost(now time.Duration) time.Duration {
 	if target.Group != "" {
 		return 0
 	}
-	failed, answered := target.ends.read(now)
-	failed += float64(target.peersFailed.Load()) / hundredths
-	answered += float64(target.peersAnswered.Load()) / hundredths
-	if failed < riskLeast {
+	failed, answered := target.outcomes.decayedCounts(now)
+	failed += float64(target.peerFailed.Load()) / hundredths
+	answered += float64(target.peerAnswered.Load()) / hundredths
+	if failed < minFailures {
 		return 0
 	}
-	return time.Duration(failed / (failed + answered + riskPrior) * float64(failureCost))
+	return time.Duration(failed / (failed + answered + priorAnswers) * float64(failedCallCost))
 }
 
-// hundredths is the unit in which nodes tell each other decayed counts.
+// hundredths is the number of units per call, or per factor of 1, in the values that nodes exchange as integers.
 const hundredths = 100
--- a/internal/policy/dispatch/outcomes_test.go
+++ b/internal/policy/dispatch/outcomes_test.go
@@ -10,20 +10,19 @@
 	"hazelslip/internal/policy/dispatch"
 )
 
-// plain is a server without a group.
-func plain(id string) dispatch.Spec {
-	return dispatch.Spec{ID: id, Address: id + ":1", Slots: 6, PerCall: 5 * time.Millisecond, Turnover: 5 * time.Millisecond}
+// plainServer describes a server without a group.
+func plainServer(id string) dispatch.Spec {
+	return dispatch.Spec{ID: id, Address: id + ":1", Slots: 6, PassTimePerCall: 5 * time.Millisecond, SlotReleaseInterval: 5 * time.Millisecond}
 }
 
-// A server resets every call of some callers at once, and its health is good.
-// It never has calls under way, so that it looked like the emptiest of all, drew
-// most of the calls, and the fleet's repeats were spent on it within seconds.
-// What other nodes saw counts too: one of many sends it too little to know.
-func TestServerThatFailsAtOnceDrawsNoCalls(t *testing.T) {
+// Guards against a server that resets every call of some callers immediately while its health check passes. It
+// has no calls in progress, so it looked least loaded, attracted most calls, and used up the fleet's retries
+// within seconds. The outcomes of other nodes count too, because a single node sends too few calls to notice.
+func TestFastFailingServerIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		board := newBoard(plain("a"), plain("b"), plain("c"))
-		board.PeerLoads(map[string]dispatch.Share{
+		board := newBoard(plainServer("a"), plainServer("b"), plainServer("c"))
+		board.SetPeerLoads(map[string]dispatch.ServerLoad{
 			"a": {Failed: 800, Answered: 100}, "b": {Calls: 3, Answered: 2000}, "c": {Calls: 3, Failed: 100, Answered: 2000},
 		})
 		sent := map[string]int{}
@@ -35,24 +34,24 @@
 	})
 }
 
-// The fault is over: the server gets calls again within some seconds, although
-// nobody sends it any meanwhile.
-func TestFailuresAreForgotten(t *testing.T) {
+// Guards against a server that gets no calls long after its fault is over, because no new outcomes arrive
+// without calls.
+func TestFailuresDecay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		board := newBoard(plain("a"), plain("b"))
+		board := newBoard(plainServer("a"), plainServer("b"))
 		for target := pick(board); ; target = pick(board) {
 			if target.ID == "a" {
-				target.Note(true)
-				target.Note(true)
-				target.Note(true)
+				target.RecordOutcome(true)
+				target.RecordOutcome(true)
+				target.RecordOutcome(true)
 				break
 			}
 		}
 		for range 20 {
 			expect.Expect(pick(board).ID).To(gomega.Equal("b"))
 		}
-		expect.Expect(board.Shares()["a"].Failed).To(gomega.Equal(300))
+		expect.Expect(board.OwnLoads()["a"].Failed).To(gomega.Equal(300))
 		time.Sleep(6 * time.Second)
 		drawn := map[string]bool{}
 		for range 40 {
@@ -62,35 +61,35 @@
 	})
 }
 
-// A server that is the only one is used however it fails.
-func TestOnlyServerIsUsed(t *testing.T) {
+// The only server is used however often it fails.
+func TestOnlyServerIsUsedDespiteFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		board := newBoard(plain("a"))
-		board.PeerLoads(map[string]dispatch.Share{"a": {Failed: 9000}})
+		board := newBoard(plainServer("a"))
+		board.SetPeerLoads(map[string]dispatch.ServerLoad{"a": {Failed: 9000}})
 		expect.Expect(pick(board).ID).To(gomega.Equal("a"))
 	})
 }
 
-// A group loses a member, and calls to its head fail until that is found. The
-// head's next group is well and must be used at once.
-func TestNextGroupOfAHeadIsNotAvoided(t *testing.T) {
+// Guards against avoiding the next group of a head whose previous group lost a member and failed calls until the
+// loss was found. The next group is healthy and must be used immediately.
+func TestFailuresDoNotCarryOverToNextGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		board := newBoard(head("a"), head("b"))
 		for target := pick(board); ; target = pick(board) {
 			if target.ID == "a" {
 				for range 9 {
-					target.Note(true)
+					target.RecordOutcome(true)
 				}
 				break
 			}
 		}
-		expect.Expect(board.Shares()).To(gomega.BeEmpty())
+		expect.Expect(board.OwnLoads()).To(gomega.BeEmpty())
 		next := head("a")
 		next.Group = "g-later"
 		board.Update(map[string][]dispatch.Spec{pool: {next, head("b")}})
-		board.PeerLoads(map[string]dispatch.Share{"a": {Failed: 900}, "b": {Calls: 4}})
+		board.SetPeerLoads(map[string]dispatch.ServerLoad{"a": {Failed: 900}, "b": {Calls: 4}})
 		drawn := map[string]bool{}
 		for range 40 {
 			drawn[pick(board).ID] = true
@@ -99,9 +98,9 @@
 	})
 }
 
-// A plain server failed all its calls and was started again under its ID. What was
-// learnt of its former run kept calls off it for seconds after it was well.
-func TestServerThatStartedAgainHasACleanRecord(t *testing.T) {
+// Guards against avoiding a plain server that restarted under the same ID: the failures of its previous run kept
+// calls away for seconds after it was healthy.
+func TestRestartedServerHasNoFailures(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	now := time.Minute
 	board := dispatch.New(dispatch.Clock(func() time.Duration { return now }), dispatch.Random(func(int) int { return 0 }))
@@ -110,14 +109,14 @@
 	}
 	board.Update(pools(1))
 	for range 20 {
-		target, verdict := board.Pick("p", dispatch.Wish{Exclude: []string{"b"}})
+		target, verdict := board.Pick("p", dispatch.Criteria{Exclude: []string{"b"}})
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
-		target.Note(true)
+		target.RecordOutcome(true)
 	}
-	target, _ := board.Pick("p", dispatch.Wish{})
+	target, _ := board.Pick("p", dispatch.Criteria{})
 	expect.Expect(target.ID).To(gomega.Equal("b"))
 	board.Update(pools(2))
-	target, _ = board.Pick("p", dispatch.Wish{})
+	target, _ = board.Pick("p", dispatch.Criteria{})
 	expect.Expect(target.ID).To(gomega.Equal("a"))
-	expect.Expect(board.Shares()).NotTo(gomega.HaveKey("a"))
+	expect.Expect(board.OwnLoads()).NotTo(gomega.HaveKey("a"))
 }
--- a/internal/policy/dispatch/pace.go
+++ b/internal/policy/dispatch/pace.go
@@ -10,217 +10,219 @@
 	"hazelslip/internal/policy/pace"
 )
 
-// A group may be slower than configured: it is as slow as its slowest member, and servers differ, are
-// slow for a while after they start, or become slow. What is predicted of it is multiplied by its pace,
-// which package pace learns from the events that come and from what other nodes tell.
+// A group may be slower than configured: it is as slow as its slowest member, and servers differ, are slow for
+// some time after they start, or become slow. Predictions for a group are multiplied by its slowdown factor,
+// which package pace derives from the times between events and from what other nodes report.
 
 const (
-	// passedOnPart is the part of a pass that passing an event on to the caller may take for the gap
-	// that follows to count: events wait meanwhile, and the gap is the caller's.
-	passedOnPart = 8
-	// slowPasses is how many passes, as learnt, a slow group's streams may stand still. It is less than
-	// silentPasses, since a learnt pass was measured under load.
-	slowPasses = 3
+	// slowCallerDivisor limits the time that forwarding an event to the caller may take to
+	// PassTime/slowCallerDivisor. If it takes longer, the next gap is not measured: events queue up meanwhile, so
+	// the caller caused the gap.
+	slowCallerDivisor = 8
+	// slowGroupSilentPasses is the number of measured passes for which the streams of a slow group may be silent. It
+	// is less than silentPasses because a measured pass time already includes the load.
+	slowGroupSilentPasses = 3
 )
 
-// paced is the pace of a target as it takes effect, in hundredths; 0 counts as 100.
-type paced struct {
+// paceState holds a target's slowdown factors in hundredths; 0 counts as 100.
+type paceState struct {
 	meter pace.Meter
-	// used is what times are multiplied by, learnt what this node knows whatever the pool's other
-	// groups do.
-	used   atomic.Int64
-	learnt atomic.Int64
-	// found says that this node found the group slow and has not said since that it isn't, slowAt when
-	// it last was. Only Paces uses them.
-	found  bool
-	slowAt time.Duration
-}
-
-// endedAfter is after which time a group that was slow isn't any more: long enough that one that is tried
-// again, and is as slow as before, isn't told of as another.
-const endedAfter = 3 * time.Second
-
-// note says whether this node has just found the group slow, and whether one that it found is slow no more.
-func (paced *paced) note(news, slow bool, now time.Duration) (found, ended bool) {
+	// applied is the factor that expected times are multiplied by. measured is the factor that this node knows for
+	// the group alone, regardless of the pool's other groups.
+	applied  atomic.Int64
+	measured atomic.Int64
+	// reportedSlow is set while this node has reported the group slow and has not reported its recovery. lastSlowAt
+	// is when the group was last slow. Only UpdatePaces uses them.
+	reportedSlow bool
+	lastSlowAt   time.Duration
+}
+
+// recoveredAfter is how long a slow group must not be slow to count as recovered. It is long enough that a group
+// that is tried again and is still slow isn't reported a second time.
+const recoveredAfter = 3 * time.Second
+
+// update reports whether this node has just found the group slow, and whether a group that it found slow has
+// recovered.
+func (paceState *paceState) update(changed, slow bool, now time.Duration) (becameSlow, recovered bool) {
 	if slow {
-		paced.slowAt = now
+		paceState.lastSlowAt = now
 	}
-	found = news && slow && !paced.found
-	ended = paced.found && now-paced.slowAt >= endedAfter
-	paced.found = (paced.found || found) && !ended
-	return found, ended
+	becameSlow = changed && slow && !paceState.reportedSlow
+	recovered = paceState.reportedSlow && now-paceState.lastSlowAt >= recoveredAfter
+	paceState.reportedSlow = (paceState.reportedSlow || becameSlow) && !recovered
+	return becameSlow, recovered
 }
 
-func hundredthsOf(factor float64) int64 {
+func toHundredths(factor float64) int64 {
 	return int64(math.Round(factor * hundredths))
 }
 
-func factorOf(told int64) float64 {
-	return max(1, float64(told)/hundredths)
+func fromHundredths(value int64) float64 {
+	return max(1, float64(value)/hundredths)
 }
 
-// slower is by how much the target's times are longer than configured.
-func (load *load) slower() float64 {
-	return factorOf(load.paced.used.Load())
+// slowdown returns the factor by which the target's times exceed the configured ones.
+func (localState *localState) slowdown() float64 {
+	return fromHundredths(localState.pace.applied.Load())
 }
 
-// slowed is a span at the target's pace.
-func (load *load) slowed(span time.Duration) time.Duration {
-	if told := load.paced.used.Load(); told > hundredths {
-		return span * time.Duration(told) / hundredths
+// scaleBySlowdown returns the duration multiplied by the target's slowdown factor.
+func (localState *localState) scaleBySlowdown(duration time.Duration) time.Duration {
+	if factor := localState.pace.applied.Load(); factor > hundredths {
+		return duration * time.Duration(factor) / hundredths
 	}
-	return span
+	return duration
 }
 
-// learntPass is the duration of a pass as learnt, 0 where the target isn't slow.
-func (target *Target) learntPass() time.Duration {
-	if told := target.paced.learnt.Load(); told > hundredths {
-		return target.Pass * time.Duration(told) / hundredths
+// slowPassTime returns the measured pass time, or 0 if the target isn't slow.
+func (target *Target) slowPassTime() time.Duration {
+	if factor := target.pace.measured.Load(); factor > hundredths {
+		return target.PassTime * time.Duration(factor) / hundredths
 	}
 	return 0
 }
 
-// reading is how long the prompts should take that the target reads, without those of calls that wait
-// there for a place.
-func (target *Target) reading() time.Duration {
-	unread := time.Duration(target.unread.Load()+target.peersUnread.Load()) * target.PerToken
-	return max(0, unread-time.Duration(max(0, target.Taken()-target.Slots))*target.PerPrompt)
+// pendingPrefillTime returns the expected time to prefill the pending prompts at the target, without those of
+// calls that wait there for a slot.
+func (target *Target) pendingPrefillTime() time.Duration {
+	prefillTime := time.Duration(target.pendingPromptTokens.Load()+target.peerPendingPromptTokens.Load()) * target.TokenPrefillTime
+	return max(0, prefillTime-time.Duration(max(0, target.ActiveCalls()-target.Slots))*target.PromptPrefillTime)
 }
 
-// notePace takes events that came together of a stream. Prompts that the group may have read since the
-// event before lengthen its pass.
-func (use *Use) notePace(now time.Duration, events int) {
-	target := use.target
-	if target.Group == "" || target.Pass <= 0 {
+// recordGap measures the time since the previous event of a stream, for events that arrived together. Prompts
+// that the group may have prefilled since the previous event lengthen the pass.
+func (call *Call) recordGap(now time.Duration, events int) {
+	target := call.target
+	if target.Group == "" || target.PassTime <= 0 {
 		return
 	}
-	reading := target.reading()
-	before := time.Duration(use.eventAt.Swap(int64(now)))
-	readBefore := time.Duration(use.reading.Swap(int64(reading)))
-	if before == 0 || use.callerSlow.Swap(false) {
+	prefillTime := target.pendingPrefillTime()
+	previousAt := time.Duration(call.eventAt.Swap(int64(now)))
+	previousPrefillTime := time.Duration(call.prefillAtEvent.Swap(int64(prefillTime)))
+	if previousAt == 0 || call.slowCaller.Swap(false) {
 		return
 	}
-	expected := target.Pass - time.Duration(max(0, target.Slots-target.Taken()))*target.PerCall
+	expected := target.PassTime - time.Duration(max(0, target.Slots-target.ActiveCalls()))*target.PassTimePerCall
 	events = max(1, events)
-	several := time.Duration(events)
-	target.paced.meter.Note(pace.Gap{Took: (now - before) / several, Pass: max(expected, target.Pass/4), Reading: max(reading, readBefore) / several}, now)
+	eventCount := time.Duration(events)
+	target.pace.meter.Note(pace.Gap{Took: (now - previousAt) / eventCount, Pass: max(expected, target.PassTime/4), Reading: max(prefillTime, previousPrefillTime) / eventCount}, now)
 }
 
-// PassedOn tells how long passing the last event on to the caller took.
-func (use *Use) PassedOn(took time.Duration) {
-	if took > use.target.Pass/passedOnPart {
-		use.callerSlow.Store(true)
+// RecordForwardTime records how long forwarding the last event to the caller took.
+func (call *Call) RecordForwardTime(elapsed time.Duration) {
+	if elapsed > call.target.PassTime/slowCallerDivisor {
+		call.slowCaller.Store(true)
 	}
 }
 
-// PaceNews is what changed in what is known of a target's pace.
-type PaceNews struct {
+// PaceChange is a change of what this node knows of a target's slowdown.
+type PaceChange struct {
 	Target *Target
-	// Factor is the pace as measured.
+	// Factor is the measured slowdown factor.
 	Factor float64
-	// Tell says that other nodes are to be told, Found that this node found the group slow, Ended that
-	// a group isn't slow any more that it found so.
-	Tell, Found, Ended bool
+	// Broadcast reports that other nodes must be told, BecameSlow that this node has found the group slow, and
+	// Recovered that a group that this node found slow isn't slow any more.
+	Broadcast, BecameSlow, Recovered bool
 }
 
-// Paces works out the paces of all groups anew, and returns what changed by what this node measured. It
-// isn't called twice at a time.
-func (board *Board) Paces() []PaceNews {
-	news := []PaceNews{}
+// UpdatePaces recomputes the slowdown factors of all groups, and returns the changes that result from this
+// node's own measurements. It must not be called concurrently.
+func (board *Board) UpdatePaces() []PaceChange {
+	changes := []PaceChange{}
 	now := board.now()
-	pools := board.layout.Load().pools
+	pools := board.snapshot.Load().pools
 	for _, name := range slices.Sorted(maps.Keys(pools)) {
-		filled := pools[name]
-		for number, learnt := range filled.weigh(now) {
-			target := filled.targets[number]
-			found, ended := target.paced.note(learnt.News, target.slower() > 1, now)
+		pool := pools[name]
+		for index, result := range pool.updatePaces(now) {
+			target := pool.targets[index]
+			becameSlow, recovered := target.pace.update(result.News, target.slowdown() > 1, now)
 			switch {
-			case found:
+			case becameSlow:
 				board.PaceCounts.Found.Add(1)
-			case ended:
+			case recovered:
 				board.PaceCounts.Ended.Add(1)
-			case !learnt.News:
+			case !result.News:
 				continue
 			}
-			news = append(news, PaceNews{Target: target, Factor: learnt.Factor, Tell: learnt.News, Found: found, Ended: ended})
+			changes = append(changes, PaceChange{Target: target, Factor: result.Factor, Broadcast: result.News, BecameSlow: becameSlow, Recovered: recovered})
 		}
 	}
-	return news
+	return changes
 }
 
-// weigh puts the paces of a pool's groups in force.
-func (filled *pool) weigh(now time.Duration) []pace.Learnt {
-	if len(filled.targets) == 0 || filled.targets[0].Group == "" {
+// updatePaces recomputes and applies the slowdown factors of the pool's groups.
+func (pool *pool) updatePaces(now time.Duration) []pace.Learnt {
+	if len(pool.targets) == 0 || pool.targets[0].Group == "" {
 		return nil
 	}
-	learnt, factors := make([]pace.Learnt, len(filled.targets)), make([]float64, len(filled.targets))
+	results, factors := make([]pace.Learnt, len(pool.targets)), make([]float64, len(pool.targets))
 	measured := []pace.Measurement{}
-	for _, target := range filled.targets {
-		if one, known := target.paced.meter.Measured(now); known {
-			measured = append(measured, one)
+	for _, target := range pool.targets {
+		if measurement, known := target.pace.meter.Measured(now); known {
+			measured = append(measured, measurement)
 		}
 	}
-	usual := pace.Usual(measured)
-	for number, target := range filled.targets {
-		learnt[number] = target.paced.meter.Look(usual, now)
-		factors[number] = learnt[number].Factor
-		target.paced.learnt.Store(hundredthsOf(factors[number]))
+	baseline := pace.Usual(measured)
+	for index, target := range pool.targets {
+		results[index] = target.pace.meter.Look(baseline, now)
+		factors[index] = results[index].Factor
+		target.pace.measured.Store(toHundredths(factors[index]))
 	}
-	for number, factor := range pace.Slow(factors) {
-		filled.targets[number].paced.used.Store(hundredthsOf(factor))
+	for index, factor := range pace.Slow(factors) {
+		pool.targets[index].pace.applied.Store(toHundredths(factor))
 	}
-	return learnt
+	return results
 }
 
-// ToldPace is a target's pace as nodes tell it to each other.
-type ToldPace struct {
+// PeerPace is a target's slowdown factor as nodes exchange it.
+type PeerPace struct {
 	Server, Group string
 	Born          int64
 	Factor        float64
 	Age           time.Duration
 }
 
-// Run names the target as Target.Run does.
-func (told *ToldPace) Run() string {
-	return loadKey(Spec{ID: told.Server, Group: told.Group, Born: told.Born})
+// TargetKey identifies the target as Target.Key does.
+func (peerPace *PeerPace) TargetKey() string {
+	return targetKey(Spec{ID: peerPace.Server, Group: peerPace.Group, Born: peerPace.Born})
 }
 
-// TakePace takes what another node measured, and says whether that is news. It is in force from the next
-// Paces on.
-func (board *Board) TakePace(told *ToldPace) bool {
-	target := board.knownTarget(told.Run())
+// ApplyPeerPace records a factor that another node measured, and reports whether it was new. The factor takes
+// effect with the next UpdatePaces.
+func (board *Board) ApplyPeerPace(peerPace *PeerPace) bool {
+	target := board.targetByKey(peerPace.TargetKey())
 	now := board.now()
-	if target == nil || !target.paced.meter.Take(told.Factor, now-told.Age, now) {
+	if target == nil || !target.pace.meter.Take(peerPace.Factor, now-peerPace.Age, now) {
 		return false
 	}
 	board.PaceCounts.Heard.Add(1)
 	return true
 }
 
-// TellPace returns what other nodes are to know of the target that Run names.
-func (board *Board) TellPace(run string) (ToldPace, bool) {
-	target := board.knownTarget(run)
+// PaceForPeers returns the factor to send to other nodes for the target with the given key.
+func (board *Board) PaceForPeers(key string) (PeerPace, bool) {
+	target := board.targetByKey(key)
 	if target == nil {
-		return ToldPace{}, false
+		return PeerPace{}, false
 	}
-	factor, age := target.paced.meter.Told(board.now())
-	return ToldPace{Server: target.ID, Group: target.Group, Born: target.Born, Factor: factor, Age: age}, true
+	factor, age := target.pace.meter.Told(board.now())
+	return PeerPace{Server: target.ID, Group: target.Group, Born: target.Born, Factor: factor, Age: age}, true
 }
 
-// SlowRuns are the targets, as Run names them, that seem slow.
-func (board *Board) SlowRuns() []string {
-	runs := []string{}
-	for _, target := range board.layout.Load().all {
-		if target.paced.learnt.Load() > hundredths {
-			runs = append(runs, target.Run())
+// SlowTargets returns the keys of the targets that seem slow, sorted.
+func (board *Board) SlowTargets() []string {
+	keys := []string{}
+	for _, target := range board.snapshot.Load().targets {
+		if target.pace.measured.Load() > hundredths {
+			keys = append(keys, target.Key())
 		}
 	}
-	slices.Sort(runs)
-	return runs
+	slices.Sort(keys)
+	return keys
 }
 
-func (board *Board) knownTarget(run string) *Target {
+func (board *Board) targetByKey(key string) *Target {
 	board.mu.Lock()
 	defer board.mu.Unlock()
-	return board.known[run]
+	return board.targets[key]
 }
--- a/internal/policy/dispatch/path.go
+++ b/internal/policy/dispatch/path.go
@@ -7,153 +7,155 @@
 )
 
 const (
-	// waySilence is how long nothing may come of the calls of a way, at least; silentPasses goes for it
-	// as for one group.
-	waySilence = 300 * time.Millisecond
-	// wayAlive is within how long something must have come of a group's calls for them to be left
-	// there when their way is lost: connections may live on while new ones are refused.
-	wayAlive = 250 * time.Millisecond
+	// minPathSilence is the minimum time without any event on a path's calls before the path is suspected.
+	// silentPasses applies as it does to a single group.
+	minPathSilence = 300 * time.Millisecond
+	// recentEvent is the maximum age of a group's last event for its calls to stay when the path is lost: open
+	// connections may keep working while new ones are refused.
+	recentEvent = 250 * time.Millisecond
 )
 
-func wayOf(spec *Spec) reach.Place {
+func destinationOf(spec *Spec) reach.Place {
 	return reach.Place{Service: spec.Service, DataCentre: spec.DataCentre}
 }
 
-// listWays tells the ways which servers they lead to.
-func (board *Board) listWays(held *layout) {
+// updatePathServers tells each path which servers it leads to.
+func (board *Board) updatePathServers(current *snapshot) {
 	servers := map[reach.Place][]string{}
-	for _, filled := range held.pools {
-		for _, target := range filled.targets {
-			servers[wayOf(&target.Spec)] = append(servers[wayOf(&target.Spec)], target.ID)
+	for _, pool := range current.pools {
+		for _, target := range pool.targets {
+			servers[destinationOf(&target.Spec)] = append(servers[destinationOf(&target.Spec)], target.ID)
 		}
 	}
-	for _, way := range board.ways.All() {
-		way.List(servers[way.Place])
+	for _, path := range board.paths.All() {
+		path.List(servers[path.Place])
 	}
 }
 
-// Opened tells that the target was connected to for a call.
-func (target *Target) Opened() {
-	target.way.Opened(target.ID)
+// RecordConnected records that a connection to the target was opened for a call.
+func (target *Target) RecordConnected() {
+	target.path.Opened(target.ID)
 }
 
-// Unopened tells that the target could not be connected to, by an attempt begun at a time.
-func (target *Target) Unopened(began time.Duration) {
-	target.way.Unopened(target.ID, began)
+// RecordConnectFailure records that connecting to the target failed, by an attempt that began at the given time.
+func (target *Target) RecordConnectFailure(began time.Duration) {
+	target.path.Unopened(target.ID, began)
 }
 
-// Broke tells that the connection of a call at the target broke.
-func (target *Target) Broke() {
-	target.way.Broke(target.ID, target.now())
+// RecordBrokenConnection records that the connection of a call at the target broke.
+func (target *Target) RecordBrokenConnection() {
+	target.path.Broke(target.ID, target.now())
 }
 
-// Reached says whether the way to the target is beyond doubt. What calls there end by says nothing of the
-// server where it isn't.
-func (target *Target) Reached() bool {
-	return target.way.Standing() == reach.Open
+// PathHealthy reports whether the path to the target is healthy. If it isn't, a failed call there says nothing
+// about the server.
+func (target *Target) PathHealthy() bool {
+	return target.path.Standing() == reach.Open
 }
 
-// Way is this node's way to the target.
-func (target *Target) Way() *reach.Way {
-	return target.way
+// Path returns this node's network path to the target.
+func (target *Target) Path() *reach.Way {
+	return target.path
 }
 
-// LivesOn says whether a target can only be called over a connection that is open: its way is lost, something has just
-// come from it, and such a connection is there.
-func (board *Board) LivesOn(target *Target) bool {
-	return target.way.Alive(target.ID) && board.idle(target.Address)
+// ReachableByIdleConnection reports whether the target can still be called although its path is lost: something
+// has just arrived from it, and an idle connection to it is open.
+func (board *Board) ReachableByIdleConnection(target *Target) bool {
+	return target.path.Alive(target.ID) && board.hasIdleConnection(target.Address)
 }
 
-// WayLost says whether a pool has servers that this node doesn't reach beyond doubt, and none that it may reach.
-func (board *Board) WayLost(name string) bool {
-	filled, ok := board.pool(name)
-	if !ok || len(filled.targets) == 0 {
+// AllPathsLost reports whether a pool has targets and the paths to all of them are lost.
+func (board *Board) AllPathsLost(name string) bool {
+	pool, ok := board.pool(name)
+	if !ok || len(pool.targets) == 0 {
 		return false
 	}
-	for _, target := range filled.targets {
-		if target.way.Standing() != reach.Lost {
+	for _, target := range pool.targets {
+		if target.path.Standing() != reach.Lost {
 			return false
 		}
 	}
 	return true
 }
 
-// Ways are this node's ways to servers.
-func (board *Board) Ways() *reach.Ways {
-	return board.ways
+// Paths returns this node's network paths to servers.
+func (board *Board) Paths() *reach.Ways {
+	return board.paths
 }
 
-// WatchWays looks for ways of which all calls stand still.
-func (board *Board) WatchWays() {
+// WatchPaths checks the paths of all targets with calls in progress. A path is suspected if its calls have waited for
+// too long and nothing has arrived from any of its servers meanwhile.
+func (board *Board) WatchPaths() {
 	now := board.now()
-	for _, target := range board.layout.Load().all {
-		if target.mine.Load() == 0 {
+	for _, target := range board.snapshot.Load().targets {
+		if target.ownCalls.Load() == 0 {
 			continue
 		}
-		if span := target.stillAfter(waySilence); target.active() > 0 || now-target.oldest(now) >= span {
-			target.way.Silent(span)
+		if silence := target.silenceThreshold(minPathSilence); target.readableStreams() > 0 || now-target.oldestUnanswered(now) >= silence {
+			target.path.Silent(silence)
 		}
 	}
 }
 
-// WayProbe is servers to be connected to, with their addresses.
-type WayProbe struct {
+// PathProbe lists servers to connect to, with their addresses.
+type PathProbe struct {
 	reach.Probe
 	Addresses map[string]string
 }
 
-// WayProbes returns what is to be tried of ways that are doubted or lost.
-func (board *Board) WayProbes() []WayProbe {
-	due := board.ways.Due()
+// DuePathProbes returns the probes that are due on suspected and lost paths.
+func (board *Board) DuePathProbes() []PathProbe {
+	due := board.paths.Due()
 	if len(due) == 0 {
 		return nil
 	}
 	addresses := map[string]string{}
-	for _, target := range board.layout.Load().all {
+	for _, target := range board.snapshot.Load().targets {
 		addresses[target.ID] = target.Address
 	}
-	found := make([]WayProbe, 0, len(due))
+	probes := make([]PathProbe, 0, len(due))
 	for _, probe := range due {
-		found = append(found, WayProbe{Probe: probe, Addresses: addresses})
+		probes = append(probes, PathProbe{Probe: probe, Addresses: addresses})
 	}
-	return found
+	return probes
 }
 
-// Leave ends the calls of a way that is lost, but for those of which something has just come, so that they go on
-// elsewhere. It returns how many there were.
-func (board *Board) Leave(way *reach.Way) int {
+// MoveCallsOff moves the calls of a lost path elsewhere, except at groups that have just had an event. It
+// returns the number of calls moved.
+func (board *Board) MoveCallsOff(path *reach.Way) int {
 	moved, now := 0, board.now()
-	for _, target := range board.layout.Load().all {
-		if target.way == way && target.Group != "" && now-time.Duration(target.progress.Load()) > wayAlive {
-			moved += target.move()
+	for _, target := range board.snapshot.Load().targets {
+		if target.path == path && target.Group != "" && now-time.Duration(target.lastEventAt.Load()) > recentEvent {
+			moved += target.moveCalls()
 		}
 	}
 	return moved
 }
 
-// Calls counts this node's calls at all targets.
-func (board *Board) Calls() int {
+// OwnCalls returns the number of this node's calls at all targets.
+func (board *Board) OwnCalls() int {
 	calls := 0
-	for _, target := range board.layout.Load().all {
-		calls += int(target.mine.Load())
+	for _, target := range board.snapshot.Load().targets {
+		calls += int(target.ownCalls.Load())
 	}
 	return calls
 }
 
-// Stalled ends the calls of a target that is apart, where nothing has come of them for too long: of those that have
-// had an event, or of one that hasn't. It says whether it did.
-func (target *Target) Stalled(still, unanswered time.Duration) bool {
-	if target.mine.Load() == 0 {
+// CancelStalled cancels the calls of a standalone target if nothing has arrived for too long: streaming limits
+// the silence of started streams, unanswered the wait for a first event. It reports whether it cancelled the
+// calls.
+func (target *Target) CancelStalled(streaming, unanswered time.Duration) bool {
+	if target.ownCalls.Load() == 0 {
 		return false
 	}
-	most := unanswered
-	span, running := target.stillFor(target.now())
+	maxSilence := unanswered
+	silence, running := target.silentFor(target.now())
 	if running {
-		most = still
+		maxSilence = streaming
 	}
-	if span < most {
+	if silence < maxSilence {
 		return false
 	}
-	target.move()
+	target.moveCalls()
 	return true
 }
--- a/internal/policy/dispatch/pick.go
+++ b/internal/policy/dispatch/pick.go
@@ -5,384 +5,382 @@
 	"time"
 )
 
-// Wish is what a choice depends on.
-type Wish struct {
-	// DataCentre is where the caller's node is.
+// Criteria are the conditions under which Pick chooses a target.
+type Criteria struct {
+	// DataCentre is the data centre of the caller's node.
 	DataCentre string
-	// Exclude are servers that failed this request.
+	// Exclude lists the servers that have failed this request.
 	Exclude []string
-	// Beyond is how many calls more than its slots a target may have. They
-	// wait at the server, which takes the most urgent first.
-	Beyond int
-	// Regions are those to whose servers the call may go, nil for all.
+	// MaxQueued is the number of calls that a target may have beyond its slots. These calls wait at the server,
+	// which runs the most urgent first.
+	MaxQueued int
+	// Regions are the regions that the call may be sent to, nil for all.
 	Regions []string
-	// Urgency ranks the call among those that wait for a server that names a limit, 0 the
-	// most urgent.
+	// Urgency ranks the call among those that wait for a rate-limited server; 0 is the most urgent.
 	Urgency int
-	// ReachedOnly takes no servers that this node doesn't reach, since another node may.
-	ReachedOnly bool
-	// anywhere also takes data centres and servers that are not reached.
-	anywhere bool
-	// broken also takes targets whose breakers are open.
-	broken bool
-	// Proven asks for a group whose streams this node has just seen going on,
-	// if there is one with a place. A stream that was moved has mostly one more
-	// attempt: servers are lost several at a time, and an idle group beside the
-	// lost one says nothing of itself until a call has waited there for long.
-	Proven bool
+	// ReachableOnly excludes servers that this node doesn't reach, because another node may reach them.
+	ReachableOnly bool
+	// includeUnreachable allows data centres and servers that this node doesn't reach.
+	includeUnreachable bool
+	// ignoreBreakers allows targets whose circuit breakers are open.
+	ignoreBreakers bool
+	// PreferActive prefers a group with a free slot whose streams have just had events. A moved stream usually has
+	// only one attempt left. Servers are often lost several at a time, and an idle group that has lost a member
+	// looks healthy until a call has waited there for long.
+	PreferActive bool
 }
 
-// Verdict says why no target was chosen.
+// Verdict is the result of Pick: Chosen, or why no target was chosen.
 type Verdict int
 
 // The verdicts of Pick.
 const (
 	Chosen Verdict = iota
-	// None means that no target serves this work.
-	None
-	// Full means that every target has all the calls that it may have.
+	// NoTarget means that no target serves the pool.
+	NoTarget
+	// Full means that every target has as many calls as it may have.
 	Full
-	// Limited means that only servers could take the call that name a limit, and that this
-	// node has no permit for any. The target returned with it is one to wait for.
-	Limited
-	// BackedOff means that only servers could take the call that asked for a backoff. The
-	// target returned with it is the one that takes calls first.
+	// RateLimited means that only rate-limited servers could take the call and this node has no permit for any of
+	// them. The target returned with it is one to wait for.
+	RateLimited
+	// BackedOff means that only servers that asked for a backoff could take the call. The target returned with it is
+	// the one whose backoff ends first.
 	BackedOff
-	// Unreached means that only servers could take the call that this node doesn't reach.
-	Unreached
+	// Unreachable means that only servers that this node doesn't reach could take the call.
+	Unreachable
 )
 
 const (
-	// near is how much later than at the best target the first event may come
-	// at one that is chosen. It is about what a node can't know: a prompt that
-	// another node sent since it last spoke.
-	near = 15 * time.Millisecond
-	// abroad is what a target in another data centre counts: more than near, so that
-	// one of the own data centre is chosen among those nearly as good, and less than
-	// two prompts of usual length. Calls that went across stand still when it is cut off.
-	abroad = 25 * time.Millisecond
-	// hinted is what a server counts that asked another node for a backoff: it would most
-	// likely refuse the call, which costs a repeat, but nobody knows.
-	hinted = 400 * time.Millisecond
-	// never marks a target that can't be chosen.
-	never = time.Duration(-1)
+	// nearBestMargin is how much later than at the best target the first event may come at the chosen one. It is
+	// about the error of a node's counts: the prefill of a prompt that another node has sent since its last report.
+	nearBestMargin = 15 * time.Millisecond
+	// remotePenalty is added for a target in another data centre, because calls to it stall when the data centre is
+	// cut off. It is more than nearBestMargin, so that the node's own data centre wins among nearly equal targets,
+	// and less than the prefill of two prompts of usual length.
+	remotePenalty = 25 * time.Millisecond
+	// backoffHintPenalty is added for a server that asked another node for a backoff. The server would most likely
+	// refuse the call, which costs a retry, but this isn't certain.
+	backoffHintPenalty = 400 * time.Millisecond
+	// notSelectable marks a target that can't be chosen.
+	notSelectable = time.Duration(-1)
 )
 
-// Pick chooses a target of a pool. The call must be sent: it counts against the limit of
-// the target's server.
-func (board *Board) Pick(name string, wish Wish) (*Target, Verdict) {
-	filled, ok := board.pool(name)
-	if !ok || len(filled.targets) == 0 {
-		return nil, None
+// Pick chooses a target of a pool. The caller must send the call, because Pick counts it against the rate limit
+// of the target's server.
+func (board *Board) Pick(name string, criteria Criteria) (*Target, Verdict) {
+	pool, ok := board.pool(name)
+	if !ok || len(pool.targets) == 0 {
+		return nil, NoTarget
 	}
-	costs, usable, broken, unreached := wish.costs(filled.targets, board)
+	costs, usable, breakerOpen, unreachable := criteria.costs(pool.targets, board)
 	switch {
-	case usable == 0 && broken > 0:
-		wish.broken = true
-		return board.Pick(name, wish)
-	case usable == 0 && wish.ReachedOnly && unreached > 0:
-		return nil, Unreached
-	case usable == 0 && !wish.anywhere:
-		wish.anywhere = true
-		return board.Pick(name, wish)
+	case usable == 0 && breakerOpen > 0:
+		criteria.ignoreBreakers = true
+		return board.Pick(name, criteria)
+	case usable == 0 && criteria.ReachableOnly && unreachable > 0:
+		return nil, Unreachable
+	case usable == 0 && !criteria.includeUnreachable:
+		criteria.includeUnreachable = true
+		return board.Pick(name, criteria)
 	case usable == 0:
-		return wish.opensFirst(filled.targets, board.now())
+		return criteria.earliestBackoffEnd(pool.targets, board.now())
 	}
-	target, verdict := board.choose(filled.targets, costs, &wish)
-	if verdict == Full && wish.ReachedOnly && unreached > 0 {
-		verdict = Unreached
+	target, verdict := board.chooseCheapest(pool.targets, costs, &criteria)
+	if verdict == Full && criteria.ReachableOnly && unreachable > 0 {
+		verdict = Unreachable
 	}
 	return target, verdict
 }
 
-// costs returns what each target costs, never for those that can't be chosen, and how many
-// could be if they had a place. Those whose breakers are open are counted apart, and those that are not reached.
-func (wish *Wish) costs(targets []*Target, board *Board) (costs []time.Duration, usable, broken, unreached int) {
+// costs returns the cost of each target, notSelectable for those that can't be chosen, and the number of targets
+// that could be chosen if they had a free slot. Targets with open breakers and unreachable targets are counted
+// separately.
+func (criteria *Criteria) costs(targets []*Target, board *Board) (costs []time.Duration, usable, breakerOpen, unreachable int) {
 	now := board.now()
 	costs = make([]time.Duration, len(targets))
-	trusted := !wish.broken && trustBreakers(targets, now)
-	for number, target := range targets {
-		costs[number] = never
-		if target.unwilling(now) || !wish.allows(target) {
+	checkBreakers := !criteria.ignoreBreakers && breakersApply(targets, now)
+	for index, target := range targets {
+		costs[index] = notSelectable
+		if target.refusesCalls(now) || !criteria.allows(target) {
 			continue
 		}
-		if !wish.anywhere && (target.centre.away() || target.way.Blocks(target.ID)) && !board.LivesOn(target) {
-			unreached++
+		if !criteria.includeUnreachable && (target.dataCentrePath.unhealthy() || target.path.Blocks(target.ID)) && !board.ReachableByIdleConnection(target) {
+			unreachable++
 			continue
 		}
-		if target.Avoided(now) || slices.Contains(wish.Exclude, target.ID) {
+		if target.Avoided(now) || slices.Contains(criteria.Exclude, target.ID) {
 			continue
 		}
-		if trusted && target.breaker.open(now) {
-			broken++
+		if checkBreakers && target.breaker.open(now) {
+			breakerOpen++
 			continue
 		}
 		usable++
-		if target.Taken() >= target.Slots+wish.Beyond || (target.cold(now) && !target.warmup.Open(now, board.coldPart(target))) {
+		if target.ActiveCalls() >= target.Slots+criteria.MaxQueued || (target.cold(now) && !target.warmup.Open(now, board.coldLimit(target))) {
 			continue
 		}
-		costs[number] = wish.cost(target) + target.risk(now)
+		costs[index] = criteria.cost(target) + target.failureCost(now)
 		if target.record.Hinted(now) {
-			costs[number] += hinted
+			costs[index] += backoffHintPenalty
 		}
-		if wish.Proven && !target.proven(now) {
-			costs[number] += unproven
+		if criteria.PreferActive && !target.recentlyActive(now) {
+			costs[index] += inactivePenalty
 		}
 	}
-	return costs, usable, broken, unreached
+	return costs, usable, breakerOpen, unreachable
 }
 
-// allows says whether the call may go to the target's region.
-func (wish *Wish) allows(target *Target) bool {
-	return wish.Regions == nil || slices.Contains(wish.Regions, target.Region)
+// allows reports whether the call may be sent to the target's region.
+func (criteria *Criteria) allows(target *Target) bool {
+	return criteria.Regions == nil || slices.Contains(criteria.Regions, target.Region)
 }
 
-// opensFirst returns the target whose server's backoff ends first.
-func (wish *Wish) opensFirst(targets []*Target, now time.Duration) (*Target, Verdict) {
+// earliestBackoffEnd returns the target whose server's backoff ends first.
+func (criteria *Criteria) earliestBackoffEnd(targets []*Target, now time.Duration) (*Target, Verdict) {
 	var first *Target
 	for _, target := range targets {
-		if target.Lost() || target.drain.Drained() || !wish.allows(target) || target.record.Draining() || target.record.Takes(now) {
+		if target.MemberLost() || target.drainMark.Drained() || !criteria.allows(target) || target.record.Draining() || target.record.Takes(now) {
 			continue
 		}
-		if first == nil || target.OpensAt() < first.OpensAt() {
+		if first == nil || target.BackoffEndsAt() < first.BackoffEndsAt() {
 			first = target
 		}
 	}
 	if first == nil {
-		return nil, None
+		return nil, NoTarget
 	}
 	return first, BackedOff
 }
 
-// choose draws among the cheapest targets until its server's limit lets a call through.
-func (board *Board) choose(targets []*Target, costs []time.Duration, wish *Wish) (*Target, Verdict) {
-	var limited *Target
+// chooseCheapest draws from the cheapest targets until the rate limit of a target's server admits the call.
+func (board *Board) chooseCheapest(targets []*Target, costs []time.Duration, criteria *Criteria) (*Target, Verdict) {
+	var rateLimited *Target
 	for {
-		number := board.draw(targets, costs, wish)
+		index := board.drawCheapest(targets, costs, criteria)
 		switch {
-		case number < 0 && limited != nil:
-			return limited, Limited
-		case number < 0:
+		case index < 0 && rateLimited != nil:
+			return rateLimited, RateLimited
+		case index < 0:
 			return nil, Full
-		case !board.warms(targets[number]):
-		case targets[number].record.Gate.Take(wish.Urgency):
-			if limited != nil {
-				limited.record.Gate.Ask()
+		case !board.takeColdPermit(targets[index]):
+		case targets[index].record.Gate.Take(criteria.Urgency):
+			if rateLimited != nil {
+				rateLimited.record.Gate.Ask()
 			}
-			return targets[number], Chosen
-		case limited == nil:
-			limited = targets[number]
+			return targets[index], Chosen
+		case rateLimited == nil:
+			rateLimited = targets[index]
 		}
-		costs[number] = never
+		costs[index] = notSelectable
 	}
 }
 
 const (
-	// provenPasses is within how many passes a group's last event must have come
-	// for it to be known whole.
-	provenPasses = 2
-	// unproven is what a group counts of which nothing is known: longer than the
-	// reading of a long prompt, shorter than a caller waits for a full group.
-	unproven = 400 * time.Millisecond
+	// activePasses is the number of passes within which a group's last event must have come for the group to count
+	// as active, that is, known to be complete.
+	activePasses = 2
+	// inactivePenalty is added for a group that isn't known to be active. It is longer than the prefill of a long
+	// prompt and shorter than the time that a caller waits for a full group.
+	inactivePenalty = 400 * time.Millisecond
 )
 
-// proven says whether an event of the target's streams came just now.
-func (target *Target) proven(now time.Duration) bool {
-	return target.running.Load() > 0 && now-time.Duration(target.progress.Load()) <= provenPasses*target.Pass
+// recentlyActive reports whether the target has running streams and one of them has just had an event.
+func (target *Target) recentlyActive(now time.Duration) bool {
+	return target.startedStreams.Load() > 0 && now-time.Duration(target.lastEventAt.Load()) <= activePasses*target.PassTime
 }
 
-// cost is how long the first event should take, beyond what it takes anywhere.
-func (wish *Wish) cost(target *Target) time.Duration {
-	taken := target.Taken()
-	unread := target.unread.Load() + target.peersUnread.Load()
-	cost := time.Duration(unread)*target.PerToken + time.Duration(taken)*target.PerCall
-	if beyond := taken - target.Slots + 1; beyond > 0 {
-		cost += time.Duration(beyond) * target.Turnover
+// cost returns the expected time to the first event at the target, less the part that is the same at all
+// targets.
+func (criteria *Criteria) cost(target *Target) time.Duration {
+	activeCalls := target.ActiveCalls()
+	pendingTokens := target.pendingPromptTokens.Load() + target.peerPendingPromptTokens.Load()
+	cost := time.Duration(pendingTokens)*target.TokenPrefillTime + time.Duration(activeCalls)*target.PassTimePerCall
+	if queued := activeCalls - target.Slots + 1; queued > 0 {
+		cost += time.Duration(queued) * target.SlotReleaseInterval
 	}
-	// A pass and the call's own prompt take the same anywhere but at a slow group.
-	own := target.Pass + target.PerPrompt
-	cost = target.slowed(cost+own) - own
-	if target.DataCentre != wish.DataCentre {
-		cost += abroad
+	// A pass and the call's own prefill take the same time at all targets except slow groups.
+	baseTime := target.PassTime + target.PromptPrefillTime
+	cost = target.scaleBySlowdown(cost+baseTime) - baseTime
+	if target.DataCentre != criteria.DataCentre {
+		cost += remotePenalty
 	}
 	return cost
 }
 
-// draw picks at random among the targets that cost little more than the cheapest, and
-// returns its place, -1 for none. One for which there is a permit comes first: permits run
-// out, and its server has nothing to spare for a call without one.
-func (board *Board) draw(targets []*Target, costs []time.Duration, wish *Wish) int {
-	most := never
+// drawCheapest returns the index of a random target among those that cost little more than the cheapest, or -1
+// for none. Rate-limited targets with a permit come first: permits expire, and their servers accept no call
+// without one.
+func (board *Board) drawCheapest(targets []*Target, costs []time.Duration, criteria *Criteria) int {
+	maxCost := notSelectable
 	for _, cost := range costs {
-		if cost != never && (most == never || cost+near < most) {
-			most = cost + near
+		if cost != notSelectable && (maxCost == notSelectable || cost+nearBestMargin < maxCost) {
+			maxCost = cost + nearBestMargin
 		}
 	}
-	cheap, permitted := 0, -1
-	for number, cost := range costs {
-		if cost == never || cost > most {
+	candidateCount, permitted := 0, -1
+	for index, cost := range costs {
+		if cost == notSelectable || cost > maxCost {
 			continue
 		}
-		cheap++
-		if gate := targets[number].record.Gate; gate.Limited() && gate.Open() && (permitted < 0 || cost < costs[permitted]) {
-			permitted = number
+		candidateCount++
+		if gate := targets[index].record.Gate; gate.Limited() && gate.Open() && (permitted < 0 || cost < costs[permitted]) {
+			permitted = index
 		}
 	}
-	if cheap == 0 || permitted >= 0 {
+	if candidateCount == 0 || permitted >= 0 {
 		return permitted
 	}
-	if targets[0].PerPrompt > 0 {
-		return board.spread(targets, costs, wish.Beyond)
+	if targets[0].PromptPrefillTime > 0 {
+		return board.drawBalanced(targets, costs, criteria.MaxQueued)
 	}
-	chosen := board.random(cheap)
-	for number, cost := range costs {
-		if cost == never || cost > most {
+	chosen := board.random(candidateCount)
+	for index, cost := range costs {
+		if cost == notSelectable || cost > maxCost {
 			continue
 		}
 		if chosen == 0 {
-			return number
+			return index
 		}
 		chosen--
 	}
 	return -1
 }
 
-// Occupancy is what of a pool is taken.
+// Occupancy is the use of a pool's slots.
 type Occupancy struct {
-	Targets int
-	Places  int
-	Taken   int
-	// Limit is what the servers that name limits take together, in requests a second.
-	Limit float64
+	Targets     int
+	Slots       int
+	ActiveCalls int
+	// RateLimit is the total rate limit of the rate-limited servers, in requests per second.
+	RateLimit float64
 }
 
-// places is how many calls the target has places for. A server that names a limit has
-// none beside those that are taken.
-func (target *Target) places() int {
+// effectiveSlots returns the number of slots that count as usable. A rate-limited server has no slots beyond
+// those in use.
+func (target *Target) effectiveSlots() int {
 	if target.record.Gate.Limited() {
-		return min(target.Slots, target.Taken())
+		return min(target.Slots, target.ActiveCalls())
 	}
 	return target.Slots
 }
 
-// Occupancy returns how much of a pool's places is taken.
+// Occupancy returns the use of a pool's slots.
 func (board *Board) Occupancy(name string) Occupancy {
-	filled, ok := board.pool(name)
+	pool, ok := board.pool(name)
 	if !ok {
 		return Occupancy{}
 	}
 	now := board.now()
 	occupancy := Occupancy{}
-	for _, target := range filled.targets {
-		if target.closed(now) {
+	for _, target := range pool.targets {
+		if target.unavailable(now) {
 			continue
 		}
 		occupancy.Targets++
-		occupancy.Places += target.places()
-		occupancy.Limit += target.record.Gate.Rate()
-		occupancy.Taken += target.Taken()
+		occupancy.Slots += target.effectiveSlots()
+		occupancy.RateLimit += target.record.Gate.Rate()
+		occupancy.ActiveCalls += target.ActiveCalls()
 	}
 	return occupancy
 }
 
 const (
-	// silentPasses is how many passes without an event make a group with
-	// running streams suspect, and silentLeast how long it takes at least: the
-	// reading of a long prompt between two passes takes so long.
-	silentPasses = 4
-	silentLeast  = 220 * time.Millisecond
-	// unansweredLeast is how long the first events of calls may take together
-	// at a group where no stream of this node runs.
-	unansweredLeast = 900 * time.Millisecond
-	// unansweredMost is how long such calls stay all the same. A crowded group is
-	// slow, not lost; a call that is taken from it has used one of its attempts
-	// and waits anew elsewhere. Callers give up after two seconds.
-	unansweredMost = 1600 * time.Millisecond
-	// movePatience is how much longer the streams stay, for the members to be
-	// asked whether one is lost.
-	movePatience = 200 * time.Millisecond
-	// avoidSilent is how long a silent group gets no new calls if it is not
-	// found to be lost.
-	avoidSilent = 500 * time.Millisecond
+	// silentPasses is the number of passes without an event after which a group with running streams is suspected.
+	// minGroupSilence is the minimum time for that, because prefilling a long prompt between two passes takes so
+	// long.
+	silentPasses    = 4
+	minGroupSilence = 220 * time.Millisecond
+	// avoidUnansweredAfter is how long calls may wait for their first events, at a group where no stream of this
+	// node runs, before the group is avoided.
+	avoidUnansweredAfter = 900 * time.Millisecond
+	// moveUnansweredAfter is how long such calls wait before they move. An overloaded group is slow, not lost. A
+	// call that moves has used one of its attempts and starts waiting again elsewhere. Callers give up after two
+	// seconds.
+	moveUnansweredAfter = 1600 * time.Millisecond
+	// moveDelay is how much longer streams stay at a stalled group, so that its members can be checked for a loss.
+	moveDelay = 200 * time.Millisecond
+	// avoidStalledFor is how long a stalled group gets no new calls if it isn't found to have lost a member.
+	avoidStalledFor = 500 * time.Millisecond
 )
 
-// Silent is a group whose streams stand still.
-type Silent struct {
-	Head  string
-	Group string
-	For   time.Duration
-	Calls int
-	// Unsure says that the way to the group is doubted or lost.
-	Unsure bool
+// StalledGroup is a group whose streams have stalled.
+type StalledGroup struct {
+	Head     string
+	Group    string
+	Duration time.Duration
+	Calls    int
+	// PathUnhealthy reports that the path to the group is suspected or lost.
+	PathUnhealthy bool
 }
 
-// Idle says that this node has no calls at any group.
-func (board *Board) Idle() bool {
-	for _, target := range board.layout.Load().all {
-		if target.Group != "" && target.mine.Load() > 0 {
+// NoGroupCalls reports whether this node has no calls at any group.
+func (board *Board) NoGroupCalls() bool {
+	for _, target := range board.snapshot.Load().targets {
+		if target.Group != "" && target.ownCalls.Load() > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Watch looks for groups that stand still. It keeps new calls off them, moves
-// their streams when they have stood still for longer, and returns them.
-func (board *Board) Watch() []Silent {
+// WatchGroups returns the groups that have stalled. It keeps new calls away from them, and moves their streams
+// once they have been silent for longer.
+func (board *Board) WatchGroups() []StalledGroup {
 	now := board.now()
-	silent := []Silent{}
-	for _, target := range board.layout.Load().all {
-		span, avoid, move := target.silence(now)
-		if span < avoid {
+	stalled := []StalledGroup{}
+	for _, target := range board.snapshot.Load().targets {
+		duration, avoid, move := target.silence(now)
+		if duration < avoid {
 			continue
 		}
-		target.Avoid(avoidSilent)
-		found := Silent{Head: target.ID, Group: target.Group, For: span, Calls: int(target.mine.Load()), Unsure: !target.Reached()}
-		if span >= move {
-			target.move()
+		target.Avoid(avoidStalledFor)
+		group := StalledGroup{Head: target.ID, Group: target.Group, Duration: duration, Calls: int(target.ownCalls.Load()), PathUnhealthy: !target.PathHealthy()}
+		if duration >= move {
+			target.moveCalls()
 		}
-		silent = append(silent, found)
+		stalled = append(stalled, group)
 	}
-	return silent
+	return stalled
 }
 
-// silence returns for how long nothing came of the calls at a group, how long
-// that may be before it is avoided, and before its calls move.
-func (target *Target) silence(now time.Duration) (span, avoid, move time.Duration) {
-	if target.Group == "" || target.mine.Load() == 0 {
+// silence returns how long the calls at a group have been silent, after which silence the group is avoided, and
+// after which its calls move.
+func (target *Target) silence(now time.Duration) (duration, avoid, move time.Duration) {
+	if target.Group == "" || target.ownCalls.Load() == 0 {
 		return 0, time.Hour, time.Hour
 	}
-	span, running := target.stillFor(now)
-	if running {
-		avoid = target.stillAfter(silentLeast)
-		return span, avoid, avoid + movePatience
+	duration, streaming := target.silentFor(now)
+	if streaming {
+		avoid = target.silenceThreshold(minGroupSilence)
+		return duration, avoid, avoid + moveDelay
 	}
-	return span, unansweredLeast, unansweredMost
+	return duration, avoidUnansweredAfter, moveUnansweredAfter
 }
 
-// stillFor returns for how long nothing came of this node's calls at the target, and whether any of them has had
-// an event.
-func (target *Target) stillFor(now time.Duration) (span time.Duration, running bool) {
-	progress := time.Duration(target.progress.Load())
-	if target.active() > 0 {
-		return now - progress, true
+// silentFor returns how long nothing has arrived for this node's calls at the target, and whether any started
+// stream is being read.
+func (target *Target) silentFor(now time.Duration) (duration time.Duration, streaming bool) {
+	lastEvent := time.Duration(target.lastEventAt.Load())
+	if target.readableStreams() > 0 {
+		return now - lastEvent, true
 	}
-	return now - max(target.oldest(now), progress), false
+	return now - max(target.oldestUnanswered(now), lastEvent), false
 }
 
-// stillAfter is after how long without an event running streams stand still, the least that is given or longer.
-func (target *Target) stillAfter(least time.Duration) time.Duration {
-	return max(least, silentPasses*target.Pass, slowPasses*target.learntPass())
+// silenceThreshold returns how long running streams may be silent before they count as stalled; it is at least
+// the given minimum.
+func (target *Target) silenceThreshold(minimum time.Duration) time.Duration {
+	return max(minimum, silentPasses*target.PassTime, slowGroupSilentPasses*target.slowPassTime())
 }
 
-// oldest returns when the call was sent that has waited longest for its first event.
-func (load *load) oldest(now time.Duration) time.Duration {
-	load.mu.Lock()
-	defer load.mu.Unlock()
+// oldestUnanswered returns when the oldest call without a first event was sent.
+func (localState *localState) oldestUnanswered(now time.Duration) time.Duration {
+	localState.mu.Lock()
+	defer localState.mu.Unlock()
 	oldest := now
-	for use := range load.uses {
-		if !use.running.Load() {
-			oldest = min(oldest, use.sent)
+	for call := range localState.calls {
+		if !call.started.Load() {
+			oldest = min(oldest, call.sentAt)
 		}
 	}
 	return oldest
--- a/internal/policy/dispatch/serverload.go
+++ b/internal/policy/dispatch/serverload.go
@@ -1,68 +1,66 @@
 package dispatch
 
-// Share is what one node has at a server: calls, and the prompt tokens of
-// those that have had no event; and how its calls there ended lately, in
-// hundredths of a call.
-type Share struct {
-	Calls    int
-	Unread   int
-	Failed   int
-	Answered int
+// ServerLoad is the load of one node at a server: its calls, the prompt tokens of calls that have had no event,
+// and the recent outcomes of its calls in hundredths of a call.
+type ServerLoad struct {
+	Calls               int
+	PendingPromptTokens int
+	Failed              int
+	Answered            int
 }
 
-// Plus is what two nodes have together.
-func (share Share) Plus(other Share) Share {
-	return Share{
-		Calls: share.Calls + other.Calls, Unread: share.Unread + other.Unread,
-		Failed: share.Failed + other.Failed, Answered: share.Answered + other.Answered,
+// Plus returns the sum of two loads.
+func (serverLoad ServerLoad) Plus(other ServerLoad) ServerLoad {
+	return ServerLoad{
+		Calls: serverLoad.Calls + other.Calls, PendingPromptTokens: serverLoad.PendingPromptTokens + other.PendingPromptTokens,
+		Failed: serverLoad.Failed + other.Failed, Answered: serverLoad.Answered + other.Answered,
 	}
 }
 
-// Minus is a sum without a part of it. No count goes below zero.
-func (share Share) Minus(part Share) Share {
-	return Share{
-		Calls: max(0, share.Calls-part.Calls), Unread: max(0, share.Unread-part.Unread),
-		Failed: max(0, share.Failed-part.Failed), Answered: max(0, share.Answered-part.Answered),
+// Minus returns the load without a part of it. No count goes below zero.
+func (serverLoad ServerLoad) Minus(part ServerLoad) ServerLoad {
+	return ServerLoad{
+		Calls: max(0, serverLoad.Calls-part.Calls), PendingPromptTokens: max(0, serverLoad.PendingPromptTokens-part.PendingPromptTokens),
+		Failed: max(0, serverLoad.Failed-part.Failed), Answered: max(0, serverLoad.Answered-part.Answered),
 	}
 }
 
-// WorthTelling is how many failures, in hundredths, make a server worth telling
-// of on which the node has no calls.
-const WorthTelling = 25
+// MinReportedFailures is the number of failures, in hundredths, from which a server is reported to peers even if
+// the node has no calls there.
+const MinReportedFailures = 25
 
-// PeerLoads takes what all peers together have at each server.
-func (board *Board) PeerLoads(shares map[string]Share) {
-	board.PeerLoadsBy(func(target *Target) Share { return shares[target.ID] })
+// SetPeerLoads sets the total load of all peers at each server.
+func (board *Board) SetPeerLoads(loads map[string]ServerLoad) {
+	board.SetPeerLoadsFunc(func(target *Target) ServerLoad { return loads[target.ID] })
 }
 
-// PeerLoadsBy takes what all peers together have at each target, as the function
-// tells.
-func (board *Board) PeerLoadsBy(share func(target *Target) Share) {
-	for _, target := range board.layout.Load().all {
-		told := share(target)
-		target.peers.Store(int32(told.Calls))
-		target.peersUnread.Store(int64(told.Unread))
-		target.peersFailed.Store(int64(told.Failed))
-		target.peersAnswered.Store(int64(told.Answered))
+// SetPeerLoadsFunc sets the total load of all peers at each target to what the function returns.
+func (board *Board) SetPeerLoadsFunc(load func(target *Target) ServerLoad) {
+	for _, target := range board.snapshot.Load().targets {
+		peers := load(target)
+		target.peerCalls.Store(int32(peers.Calls))
+		target.peerPendingPromptTokens.Store(int64(peers.PendingPromptTokens))
+		target.peerFailed.Store(int64(peers.Failed))
+		target.peerAnswered.Store(int64(peers.Answered))
 	}
 }
 
-// Shares returns what this node has at each server, for its peers.
-func (board *Board) Shares() map[string]Share {
-	shares := map[string]Share{}
+// OwnLoads returns this node's load at each server, to be sent to peers.
+func (board *Board) OwnLoads() map[string]ServerLoad {
+	loads := map[string]ServerLoad{}
 	now := board.now()
-	for _, target := range board.layout.Load().all {
-		if target.Group == "" && target.former.Load() {
+	for _, target := range board.snapshot.Load().targets {
+		if target.Group == "" && target.delisted.Load() {
 			continue
 		}
-		failed, answered := target.ends.read(now)
-		share := Share{
-			Calls: int(target.mine.Load()), Unread: int(target.unread.Load()),
+		failed, answered := target.outcomes.decayedCounts(now)
+		load := ServerLoad{
+			Calls: int(target.ownCalls.Load()), PendingPromptTokens: int(target.pendingPromptTokens.Load()),
 			Failed: int(failed * hundredths), Answered: int(answered * hundredths),
 		}
-		if share.Calls > 0 || share.Failed >= WorthTelling {
-			shares[target.ID] = shares[target.ID].Plus(share)
+		if load.Calls > 0 || load.Failed >= MinReportedFailures {
+			loads[target.ID] = loads[target.ID].Plus(load)
 		}
 	}
-	return shares
+	return loads
 }
