--- a/internal/policy/dispatch/shedding.go
+++ b/internal/policy/dispatch/shedding.go
@@ -7,32 +7,32 @@
 	"hazelslip/internal/policy/demand"
 )
 
-// When callers ask for more than a pool can run, each call beyond that makes others late: it waits at
-// a group, and those behind it wait longer. Counts of other nodes' calls are late as well, so all nodes
-// would send to the one group that still seems to have a place.
+// If callers request more than a pool can run, each excess call delays others: it waits at a group, and the
+// calls behind it wait longer. The counts of other nodes' calls are outdated as well, so all nodes would send to
+// the one group that still seems to have a free slot.
 //
-// So a pool takes as many calls a second as it finishes, corrected by how many places are free or
-// overdrawn, and the most urgent first. Each node admits the same part by lot, from how many calls of each rank
-// all nodes are asked for; while a node doesn't know that, it takes the others to be asked for as much as
-// itself. The others are refused at once, in place of being late.
+// A pool therefore accepts as many calls per second as it completes, corrected by the number of free or
+// overcommitted slots, the most urgent calls first. Each node admits the same fraction of each rank at random,
+// computed from the demand at all nodes. While a node doesn't know the demand at other nodes, it assumes that each
+// of them has the same demand as itself. The remaining calls are refused immediately instead of being late.
 
 const (
-	// correctedOver is the time over which free and overdrawn places are evened out. It is
-	// some times the age of the counts, so that all nodes together don't overshoot.
-	correctedOver = 200 * time.Millisecond
-	// filledTo is the part of a pool's places that admission aims at. Calls are never spread quite
-	// evenly: at an average of all places, calls of the fuller groups wait for one and miss their target.
-	filledTo = 0.94
-	// shedFrom is the part of a pool's places that is taken before any call is refused.
-	shedFrom = 0.8
+	// correctionTime is the time over which free and overcommitted slots are evened out. It is longer than the age of
+	// the peer counts, so that all nodes together don't overshoot.
+	correctionTime = 200 * time.Millisecond
+	// targetFill is the fraction of a pool's slots that admission aims at. Calls are never spread evenly: if all
+	// slots were used on average, calls of the fuller groups would wait for a slot and miss their latency targets.
+	targetFill = 0.94
+	// sheddingThreshold is the fraction of a pool's slots that must be in use before any call is refused.
+	sheddingThreshold = 0.8
 )
 
-// admitted returns the part of the calls of a rank that may be sent where a pool takes so many
-// a second of all.
-func admitted(rates [demand.Ranks]float64, rank int, capacity float64) float64 {
+// admittedFraction returns the fraction of the calls of a rank that may be sent if the pool accepts capacity
+// calls per second in all.
+func admittedFraction(rates [demand.Ranks]float64, rank int, capacity float64) float64 {
 	rank = min(max(0, rank), demand.Ranks-1)
-	for number := range rank {
-		capacity -= rates[number]
+	for higher := range rank {
+		capacity -= rates[higher]
 	}
 	if capacity >= rates[rank] {
 		return 1
@@ -40,70 +40,70 @@
 	return max(0, capacity/max(1e-9, rates[rank]))
 }
 
-// capacity is how many calls a second the targets that a call may use can begin, for all nodes together: as many
-// as end there, and those for which places are free up to the part that is aimed at, less those that are beyond it. It is without
-// bound while too few places are taken for any call to be refused, and where no target is open: then the choice
-// of a target says why.
-func (board *Board) capacity(targets []*Target, now time.Duration, wish *Wish) float64 {
-	perSecond, taken, slots, trusted := 0.0, 0, 0.0, trustBreakers(targets, now)
+// capacity returns how many calls per second, from all nodes together, the targets that a call may use can
+// start: the calls that end there, plus the slots that are free below targetFill, minus the calls above it. It
+// is infinite while too few slots are in use for any call to be refused, and while no target is available; in
+// that case Pick returns the reason.
+func (board *Board) capacity(targets []*Target, now time.Duration, criteria *Criteria) float64 {
+	perSecond, activeCalls, slots, checkBreakers := 0.0, 0, 0.0, breakersApply(targets, now)
 	for _, target := range targets {
-		if target.closed(now) || (trusted && target.breaker.open(now)) || target.centre.away() || !wish.allows(target) {
+		if target.unavailable(now) || (checkBreakers && target.breaker.open(now)) || target.dataCentrePath.unhealthy() || !criteria.allows(target) {
 			continue
 		}
-		calls := target.Taken()
-		free, unused := max(filledTo*float64(target.Slots)-float64(calls), -float64(target.Slots)), 0.0
+		calls := target.ActiveCalls()
+		free, unused := max(targetFill*float64(target.Slots)-float64(calls), -float64(target.Slots)), 0.0
 		if free > 0 {
-			// Calls pass a slow group by, and its free places make no room for them.
-			unused = free - free/target.slower()
+			// Slow groups get few calls, so their free slots add little capacity.
+			unused = free - free/target.slowdown()
 			free -= unused
 		}
-		taken, slots = taken+calls, slots+float64(target.Slots)-unused
-		perSecond += target.endsPerSecond() + free/correctedOver.Seconds()
+		activeCalls, slots = activeCalls+calls, slots+float64(target.Slots)-unused
+		perSecond += target.completionRate() + free/correctionTime.Seconds()
 	}
-	if slots == 0 || float64(taken) < shedFrom*slots {
+	if slots == 0 || float64(activeCalls) < sheddingThreshold*slots {
 		return math.Inf(1)
 	}
 	return perSecond
 }
 
-// Overload is why a call is refused in place of being sent.
+// Overload is the reason why a call is refused instead of sent.
 type Overload struct {
-	// Capacity is how many calls a second the pool can begin, Asked how many are asked of it by all nodes, and
-	// Before how many of these go first.
-	Capacity, Asked, Before float64
+	// Capacity is the number of calls per second that the pool can start, Requested the number that all nodes
+	// request of it, and HigherPriority the part of Requested with a higher priority than the call.
+	Capacity, Requested, HigherPriority float64
 }
 
-// Sheds says whether a call of a rank should be refused, since its pool can't run all that is asked of it. It
-// is to be asked before the call itself is counted: one call is no burst.
-func (board *Board) Sheds(name string, rank int, wish Wish) (Overload, bool) {
-	filled, ok := board.pool(name)
-	if !ok || len(filled.targets) == 0 || filled.targets[0].PerPrompt == 0 {
+// ShouldShed reports whether a call of a rank should be refused because the pool can't run all requested calls.
+// It must be called before RecordDemand counts the call, so that a single call doesn't look like a burst.
+func (board *Board) ShouldShed(name string, rank int, criteria Criteria) (Overload, bool) {
+	pool, ok := board.pool(name)
+	if !ok || len(pool.targets) == 0 || pool.targets[0].PromptPrefillTime == 0 {
 		return Overload{}, false
 	}
 	rates, known := board.demand.Rates(name)
 	if !known {
-		rates = rates.Times(float64(max(1, board.counted())))
+		rates = rates.Times(float64(max(1, board.countedNodes())))
 	}
-	overload := Overload{Capacity: board.capacity(filled.targets, board.now(), &wish)}
-	for number, rate := range rates.Asked {
-		overload.Asked += rate
-		if number < rank {
-			overload.Before += rate
+	overload := Overload{Capacity: board.capacity(pool.targets, board.now(), &criteria)}
+	for other, rate := range rates.Asked {
+		overload.Requested += rate
+		if other < rank {
+			overload.HigherPriority += rate
 		}
 	}
-	part := admitted(rates.Asked, rank, overload.Capacity)
-	return overload, part < 1 && float64(board.random(draws))/draws >= part
+	fraction := admittedFraction(rates.Asked, rank, overload.Capacity)
+	return overload, fraction < 1 && float64(board.random(drawResolution))/drawResolution >= fraction
 }
 
-// draws is how finely shares are drawn.
-const draws = 1 << 20
+// drawResolution is the number of steps in a random fraction.
+const drawResolution = 1 << 20
 
-// Asked counts a call of a rank that a pool is asked for.
-func (board *Board) Asked(name string, rank int) {
+// RecordDemand counts a call of a rank that is requested of a pool.
+func (board *Board) RecordDemand(name string, rank int) {
 	board.demand.Asked(name, rank)
 }
 
-// Refused counts a call that was refused since its pool had no slot for it.
-func (board *Board) Refused(name string) {
+// RecordRefusal counts a call that was refused because its pool had no slot for it.
+func (board *Board) RecordRefusal(name string) {
 	board.demand.Refused(name)
 }
--- a/internal/policy/dispatch/slottime.go
+++ b/internal/policy/dispatch/slottime.go
@@ -6,61 +6,62 @@
 	"time"
 )
 
-// holdingCalls is over how many calls the time that a call holds its place is averaged. The first
-// ones count beside what the configuration says of it.
-const holdingCalls = 32
+// slotTimeCalls is the number of calls over which the slot time is averaged. Until that many calls were
+// measured, the configured value stands in for the missing ones.
+const slotTimeCalls = 32
 
-// holding is how long calls of a pool hold their places. The configuration names the usual
-// size of an answer for all models and kinds of requests together; those of one pool may be much shorter or longer, and
-// so may passes in which many prompts are read.
-type holding struct {
-	// mu is held by writers; the choice of a target reads without it.
-	mu   sync.Mutex
-	seen atomic.Pointer[held]
+// slotTime measures how long calls of a pool occupy their slots. The configuration has one usual answer length
+// for all models and kinds of requests. The answers of one pool may be much shorter or longer, and passes that
+// prefill many prompts take longer.
+type slotTime struct {
+	// mu serializes writers. Pick reads stats without it.
+	mu    sync.Mutex
+	stats atomic.Pointer[slotTimeStats]
 }
 
-// held is what was seen so far.
-type held struct {
+// slotTimeStats is the average over the calls measured so far.
+type slotTimeStats struct {
 	mean  time.Duration
 	calls int
 }
 
-func (holding *holding) note(span time.Duration) {
-	holding.mu.Lock()
-	defer holding.mu.Unlock()
-	seen := held{}
-	if before := holding.seen.Load(); before != nil {
-		seen = *before
+func (slotTime *slotTime) record(duration time.Duration) {
+	slotTime.mu.Lock()
+	defer slotTime.mu.Unlock()
+	stats := slotTimeStats{}
+	if previous := slotTime.stats.Load(); previous != nil {
+		stats = *previous
 	}
-	seen.calls = min(seen.calls+1, holdingCalls)
-	seen.mean += (span - seen.mean) / time.Duration(seen.calls)
-	holding.seen.Store(&seen)
+	stats.calls = min(stats.calls+1, slotTimeCalls)
+	stats.mean += (duration - stats.mean) / time.Duration(stats.calls)
+	slotTime.stats.Store(&stats)
 }
 
-// read returns the time, with what is expected where little was seen.
-func (holding *holding) read(expected time.Duration) time.Duration {
-	seen := holding.seen.Load()
-	if seen == nil {
+// estimate returns the slot time: the expected value blended with the measured mean, by the number of calls
+// measured.
+func (slotTime *slotTime) estimate(expected time.Duration) time.Duration {
+	stats := slotTime.stats.Load()
+	if stats == nil {
 		return expected
 	}
-	unseen := time.Duration(holdingCalls - seen.calls)
-	return (unseen*expected + time.Duration(seen.calls)*seen.mean) / holdingCalls
+	missing := time.Duration(slotTimeCalls - stats.calls)
+	return (missing*expected + time.Duration(stats.calls)*stats.mean) / slotTimeCalls
 }
 
-// learntTurnover is Turnover by how long calls of the pool held their places lately.
-func (target *Target) learntTurnover() time.Duration {
-	if target.holding == nil || target.Turnover <= 0 {
-		return target.Turnover
+// measuredReleaseInterval is SlotReleaseInterval corrected by the measured slot times of the pool.
+func (target *Target) measuredReleaseInterval() time.Duration {
+	if target.slotTime == nil || target.SlotReleaseInterval <= 0 {
+		return target.SlotReleaseInterval
 	}
 	slots := time.Duration(max(1, target.Slots))
-	return target.holding.read(target.Turnover*slots) / slots
+	return target.slotTime.estimate(target.SlotReleaseInterval*slots) / slots
 }
 
-// endsPerSecond is how many calls a second end at a target.
-func (target *Target) endsPerSecond() float64 {
-	turnover := target.slowed(target.learntTurnover())
-	if turnover <= 0 {
+// completionRate is the number of calls per second that end at the target.
+func (target *Target) completionRate() float64 {
+	interval := target.scaleBySlowdown(target.measuredReleaseInterval())
+	if interval <= 0 {
 		return 0
 	}
-	return min(1, float64(target.Taken())/float64(max(1, target.Slots))) / turnover.Seconds()
+	return min(1, float64(target.ActiveCalls())/float64(max(1, target.Slots))) / interval.Seconds()
 }
--- a/internal/policy/dispatch/state.go
+++ b/internal/policy/dispatch/state.go
@@ -3,15 +3,15 @@
 // TargetState is a target in the state dump.
 type TargetState struct {
 	Server, Address, Group, DataCentre string
-	// Slots are its places, Mine and Others the calls under way there from this node
-	// and from all others, Unread the prompt tokens of those without an event.
+	// Slots is the number of calls that run there concurrently, Mine and Others are the calls in progress from this
+	// node and from all other nodes, and Unread is the number of prompt tokens of calls without an event.
 	Slots, Mine, Others, Unread int
-	// Avoided says that new calls are kept off it after failures, Broken that its circuit breaker is
-	// open, BacksOff and Draining that they are since its server wants none.
+	// Avoided means that new calls are kept away after failures, Broken that the circuit breaker is open, BacksOff
+	// that the server asked for a backoff, and Draining that the server takes no new calls.
 	Avoided, Broken, BacksOff, Draining bool
-	// Drained says that its data centre is drained, Cold that it bears few calls as yet.
+	// Drained means that the target's data centre is drained, Cold that the server must get few calls for now.
 	Drained, Cold bool
-	// Pace is by how much its times are longer than configured, as predictions use it.
+	// Pace is the slowdown factor that predictions use.
 	Pace float64
 }
 
@@ -19,15 +19,15 @@
 func (board *Board) State() map[string][]TargetState {
 	now := board.now()
 	states := map[string][]TargetState{}
-	for name, filled := range board.layout.Load().pools {
-		for _, target := range filled.targets {
+	for name, pool := range board.snapshot.Load().pools {
+		for _, target := range pool.targets {
 			states[name] = append(states[name], TargetState{
 				Server: target.ID, Address: target.Address, Group: target.Group, DataCentre: target.DataCentre, Slots: target.Slots,
-				Mine: int(target.mine.Load()), Others: int(target.peers.Load()),
-				Unread: int(target.unread.Load() + target.peersUnread.Load()), Avoided: target.Avoided(now), Broken: target.breaker.open(now),
+				Mine: int(target.ownCalls.Load()), Others: int(target.peerCalls.Load()),
+				Unread: int(target.pendingPromptTokens.Load() + target.peerPendingPromptTokens.Load()), Avoided: target.Avoided(now), Broken: target.breaker.open(now),
 				BacksOff: !target.record.Draining() && !target.record.Takes(now), Draining: target.record.Draining(),
-				Drained: target.drain.Drained(), Cold: target.cold(now),
-				Pace: target.slower(),
+				Drained: target.drainMark.Drained(), Cold: target.cold(now),
+				Pace: target.slowdown(),
 			})
 		}
 	}
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -51,7 +51,7 @@
 	if peers.sums != nil && now-peers.sums.at < sumsKept {
 		return peers.sums
 	}
-	own := peers.node.board.Shares()
+	own := peers.node.board.OwnLoads()
 	inside, others := tally.Shares{}, tally.Shares{}
 	insideNodes, outsideNodes := 1, 0
 	for link, channel := range peers.channels {
@@ -114,7 +114,7 @@
 // reportFrame is what a leaf tells the node above, nil if it is optional and says nothing
 // new.
 func (peers *peers) reportFrame(channel *channel, optional bool) *frame.Frame {
-	own := peers.node.board.Shares()
+	own := peers.node.board.OwnLoads()
 	version := peers.node.configuration.Load().Configuration.Version
 	same := version == channel.reportedVersion && maps.Equal(own, channel.reported)
 	told := &frame.Frame{}
@@ -176,8 +176,8 @@
 	for number, server := range peers.catalogue.Servers() {
 		share := added.own[server].Plus(added.others[server])
 		told.Calls = append(told.Calls, uint32(share.Calls))
-		told.Unread = append(told.Unread, uint32(share.Unread))
-		if share.Failed >= dispatch.WorthTelling {
+		told.Unread = append(told.Unread, uint32(share.PendingPromptTokens))
+		if share.Failed >= dispatch.MinReportedFailures {
 			told.Failures = append(told.Failures, &frame.Failure{Number: uint32(number), Failed: uint32(share.Failed), Answered: uint32(share.Answered)})
 		}
 	}
@@ -270,7 +270,7 @@
 	loads := make([]*frame.Load, 0, len(shares))
 	for server, share := range shares {
 		loads = append(loads, &frame.Load{
-			Server: server, Calls: uint32(max(0, share.Calls)), Unread: uint32(max(0, share.Unread)),
+			Server: server, Calls: uint32(max(0, share.Calls)), Unread: uint32(max(0, share.PendingPromptTokens)),
 			Failed: uint32(max(0, share.Failed)), Answered: uint32(max(0, share.Answered)),
 		})
 	}
@@ -280,7 +280,7 @@
 func sharesOf(loads []*frame.Load) tally.Shares {
 	shares := make(tally.Shares, len(loads))
 	for _, load := range loads {
-		shares[load.Server] = dispatch.Share{Calls: int(load.Calls), Unread: int(load.Unread), Failed: int(load.Failed), Answered: int(load.Answered)}
+		shares[load.Server] = dispatch.ServerLoad{Calls: int(load.Calls), PendingPromptTokens: int(load.Unread), Failed: int(load.Failed), Answered: int(load.Answered)}
 	}
 	return shares
 }
--- a/internal/run/gateway/control_test.go
+++ b/internal/run/gateway/control_test.go
@@ -46,7 +46,7 @@
 	relay.peers.catalogue.Publish(rows)
 	channel := relay.peers.channel(&overlay.Link{Purpose: frame.Purpose_Root, Done: make(chan struct{})})
 	for _, row := range rows {
-		channel.shares[row.Server] = dispatch.Share{Calls: 4, Unread: 900}
+		channel.shares[row.Server] = dispatch.ServerLoad{Calls: 4, PendingPromptTokens: 900}
 	}
 }
 
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -176,7 +176,7 @@
 	}
 	told := []*frame.Detour{{
 		Address: settings.Listen.Detour, Peer: settings.Listen.advertised(), DataCentre: settings.DataCentre,
-		Lost: waysToWire(detours.ways.Lost(true)), Calls: uint32(max(0, detours.node.board.Calls())),
+		Lost: waysToWire(detours.ways.Lost(true)), Calls: uint32(max(0, detours.node.board.OwnCalls())),
 	}}
 	return append(told, detours.node.peers.leavesTaking(detoursTold)...)
 }
@@ -204,12 +204,12 @@
 
 // look looks for ways that are lost, and for nodes that stand still.
 func (detours *detours) look() {
-	detours.node.board.WatchWays()
+	detours.node.board.WatchPaths()
 	for _, address := range detours.table.Stalled(detourStill, detourUnanswered) {
 		detours.node.logger.Warn("gateway: a node that requests go through stands still.", "Peer", address)
 		detours.pool.Drop(address)
 	}
-	probes := detours.node.board.WayProbes()
+	probes := detours.node.board.DuePathProbes()
 	for number := range probes {
 		probe := &probes[number]
 		if probe.Way.Standing() == reach.Doubted {
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -192,10 +192,10 @@
 	node.notices = notice.New(node.limits, notice.Clock(node.now))
 	node.demand = demand.New(demand.Clock(node.now))
 	node.detours = newDetours(node)
-	node.board = dispatch.New(dispatch.Clock(node.now), dispatch.DataCentre(settings.DataCentre), dispatch.Notices(node.notices), dispatch.Demands(node.demand), dispatch.Ways(node.detours.ways),
-		dispatch.Idle(func(address string) bool { return node.pool.Idle(address) }),
-		dispatch.Drains(node.drained.Mark), dispatch.Lots(node.Incarnation, func() int { return node.peers.nodes() }),
-		dispatch.Counted(func() int { return int(node.peers.counted.Load()) }))
+	node.board = dispatch.New(dispatch.Clock(node.now), dispatch.DataCentre(settings.DataCentre), dispatch.Notices(node.notices), dispatch.Demand(node.demand), dispatch.Paths(node.detours.ways),
+		dispatch.IdleConnections(func(address string) bool { return node.pool.Idle(address) }),
+		dispatch.Drains(node.drained.Mark), dispatch.ColdShare(node.Incarnation, func() int { return node.peers.nodes() }),
+		dispatch.CountedNodes(func() int { return int(node.peers.counted.Load()) }))
 	node.pool = backendserver.New(platform.Codec, node.poolOptions()...)
 	node.keeper = tenure.New(node.Incarnation, node.claim, node.now)
 	node.former = formation.New(node.formerParts())
--- a/internal/run/gateway/paces.go
+++ b/internal/run/gateway/paces.go
@@ -15,21 +15,21 @@
 // lookPaces puts the paces of groups in force, and tells the other nodes what changed by what this one
 // measured.
 func (node *Node) lookPaces() {
-	for _, news := range node.board.Paces() {
-		if news.Tell {
-			node.peers.tellPace(news.Target.Run(), nil)
+	for _, news := range node.board.UpdatePaces() {
+		if news.Broadcast {
+			node.peers.tellPace(news.Target.Key(), nil)
 		}
 		line := ""
 		switch {
-		case news.Found:
+		case news.BecameSlow:
 			line = "gateway: a group is slow."
-		case news.Ended:
+		case news.Recovered:
 			line = "gateway: a group is not slow any more, or is tried again."
 		default:
 			continue
 		}
 		node.logger.Info(line, "Group", news.Target.Group, "Head", news.Target.ID, "Born", news.Target.Born,
-			"Pace", news.Factor, "Calls", news.Target.Taken())
+			"Pace", news.Factor, "Calls", news.Target.ActiveCalls())
 	}
 }
 
@@ -48,7 +48,7 @@
 func (peers *peers) addPaces(told *frame.Frame, channel *channel) bool {
 	count := min(len(channel.paces), pacesAtOnce)
 	for _, run := range channel.paces[:count] {
-		if known, ok := peers.node.board.TellPace(run); ok {
+		if known, ok := peers.node.board.PaceForPeers(run); ok {
 			told.Paces = append(told.Paces, paceToWire(&known))
 		}
 	}
@@ -60,20 +60,20 @@
 func (peers *peers) takePaces(link *overlay.Link, received []*frame.ServerPace) {
 	for _, one := range received {
 		told := paceFromWire(one)
-		if peers.node.board.TakePace(&told) {
-			peers.tellPace(told.Run(), link)
+		if peers.node.board.ApplyPeerPace(&told) {
+			peers.tellPace(told.TargetKey(), link)
 		}
 	}
 }
 
-func paceToWire(told *dispatch.ToldPace) *frame.ServerPace {
+func paceToWire(told *dispatch.PeerPace) *frame.ServerPace {
 	return &frame.ServerPace{
 		Server: told.Server, Born: told.Born, Group: told.Group, Hundredths: uint32(told.Factor*100 + 0.5), AgeMs: milliseconds(told.Age),
 	}
 }
 
-func paceFromWire(told *frame.ServerPace) dispatch.ToldPace {
-	return dispatch.ToldPace{
+func paceFromWire(told *frame.ServerPace) dispatch.PeerPace {
+	return dispatch.PeerPace{
 		Server: told.Server, Born: told.Born, Group: told.Group, Factor: float64(told.Hundredths) / 100,
 		Age: time.Duration(told.AgeMs) * time.Millisecond,
 	}
--- a/internal/run/gateway/paces_test.go
+++ b/internal/run/gateway/paces_test.go
@@ -19,8 +19,8 @@
 	specs := []dispatch.Spec{}
 	for number := range groups {
 		specs = append(specs, dispatch.Spec{
-			ID: fmt.Sprintf("i-%d", number), Group: fmt.Sprintf("g-%d", number), Slots: 8, Number: number,
-			Pass: 40 * time.Millisecond, Turnover: 100 * time.Millisecond,
+			ID: fmt.Sprintf("i-%d", number), Group: fmt.Sprintf("g-%d", number), Slots: 8, CatalogueIndex: number,
+			PassTime: 40 * time.Millisecond, SlotReleaseInterval: 100 * time.Millisecond,
 		})
 	}
 	node.board.Update(map[string][]dispatch.Spec{"drafts/m": specs})
@@ -46,7 +46,7 @@
 }
 
 func paceOf(node *Node, group int) float64 {
-	node.board.Paces()
+	node.board.UpdatePaces()
 	return node.board.State()["drafts/m"][group].Pace
 }
 
@@ -63,7 +63,7 @@
 	pass(t, relay, relayUp, root, relayDown)
 	expect.Expect(pass(t, finder, finderUp, relay, finderDown)).To(gomega.BeEmpty())
 
-	expect.Expect(finder.board.TakePace(&dispatch.ToldPace{Server: "i-2", Group: "g-2", Factor: 4, Age: 300 * time.Millisecond})).To(gomega.BeTrue())
+	expect.Expect(finder.board.ApplyPeerPace(&dispatch.PeerPace{Server: "i-2", Group: "g-2", Factor: 4, Age: 300 * time.Millisecond})).To(gomega.BeTrue())
 	finder.peers.tellPace("i-2/g-2/0", nil)
 	told := pass(t, finder, finderUp, relay, finderDown)
 	expect.Expect(told).To(gomega.HaveLen(1))
@@ -93,10 +93,10 @@
 	up, down := linkTo(frame.Purpose_Leaf, true), linkTo(frame.Purpose_Leaf, false)
 	pass(t, relay, down, leaf, up)
 	for number := range pacesAtOnce + 3 {
-		told := dispatch.ToldPace{Server: fmt.Sprintf("i-%d", number), Group: fmt.Sprintf("g-%d", number), Factor: 4}
-		expect.Expect(relay.board.TakePace(&told)).To(gomega.BeTrue())
-		relay.peers.tellPace(told.Run(), nil)
-		relay.peers.tellPace(told.Run(), nil)
+		told := dispatch.PeerPace{Server: fmt.Sprintf("i-%d", number), Group: fmt.Sprintf("g-%d", number), Factor: 4}
+		expect.Expect(relay.board.ApplyPeerPace(&told)).To(gomega.BeTrue())
+		relay.peers.tellPace(told.TargetKey(), nil)
+		relay.peers.tellPace(told.TargetKey(), nil)
 	}
 	expect.Expect(pass(t, relay, down, leaf, up)).To(gomega.HaveLen(pacesAtOnce))
 	expect.Expect(pass(t, relay, down, leaf, up)).To(gomega.HaveLen(3))
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -269,7 +269,7 @@
 	held = &channel{
 		link: link, shares: tally.Shares{}, copied: catalogue.NewCopy(), suspects: map[quarantine.Fingerprint]struct{}{},
 		permits: newPermits(peers.lastNeighbour, peers.node.limits.All()), notices: map[ratelimit.Run]struct{}{},
-		paces: peers.node.board.SlowRuns(),
+		paces: peers.node.board.SlowTargets(),
 	}
 	for _, run := range peers.node.notices.All() {
 		held.notices[run] = struct{}{}
--- a/internal/run/gateway/suspects.go
+++ b/internal/run/gateway/suspects.go
@@ -79,7 +79,7 @@
 	}
 	node.logger.Warn("gateway: a request is sent to no server any more.", "Fingerprint", fingerprint.String(),
 		"Ends", len(verdict.Ends), "LastRun", verdict.Ends[len(verdict.Ends)-1].Run, "ForMilliseconds", verdict.Left.Milliseconds(),
-		"CallsEnded", node.board.Withdraw(uint64(fingerprint)))
+		"CallsEnded", node.board.CancelUnanswered(uint64(fingerprint)))
 }
 
 // tellSuspect passes on what is known of a request: upwards and between relays and
--- a/internal/run/gateway/take.go
+++ b/internal/run/gateway/take.go
@@ -144,7 +144,7 @@
 	for _, group := range lost {
 		peers.node.loseGroup(group)
 	}
-	peers.node.board.PeerLoadsBy(counts.others)
+	peers.node.board.SetPeerLoadsFunc(counts.others)
 }
 
 // counts is what all nodes have at the rows of the catalogue, by their numbers.
@@ -183,12 +183,12 @@
 
 // others is what other nodes have at a target. One whose row is another's by now has
 // nothing: its calls are about to end.
-func (counts *counts) others(target *dispatch.Target) dispatch.Share {
-	number := target.Number
+func (counts *counts) others(target *dispatch.Target) dispatch.ServerLoad {
+	number := target.CatalogueIndex
 	if number >= len(counts.calls) || number >= len(counts.unread) || number >= len(counts.servers) || counts.servers[number] != target.ID {
-		return dispatch.Share{}
+		return dispatch.ServerLoad{}
 	}
-	share := dispatch.Share{Calls: int(counts.calls[number]), Unread: int(counts.unread[number])}
+	share := dispatch.ServerLoad{Calls: int(counts.calls[number]), PendingPromptTokens: int(counts.unread[number])}
 	if failure := counts.failures[number]; failure != nil {
 		share.Failed, share.Answered = int(failure.Failed), int(failure.Answered)
 	}
@@ -228,7 +228,7 @@
 	peers.mu.Lock()
 	others := peers.sumsLocked().others
 	peers.mu.Unlock()
-	peers.node.board.PeerLoads(others)
+	peers.node.board.SetPeerLoads(others)
 	peers.spreadDemands()
 }
 
--- a/internal/run/gateway/ways.go
+++ b/internal/run/gateway/ways.go
@@ -21,7 +21,7 @@
 }
 
 // probe connects to servers of a way.
-func (detours *detours) probe(probe *dispatch.WayProbe) {
+func (detours *detours) probe(probe *dispatch.PathProbe) {
 	opens := func(server string) bool { return detours.node.pool.Opens(probe.Addresses[server], probeTime) }
 	reached := detours.node.tryAll(probe.Servers, opens, probe.Whole)
 	if result := probe.Done(reached); result.Changed() {
@@ -42,7 +42,7 @@
 		node.waysLost.Add(1)
 		node.logger.Warn("gateway: servers of a service are not reached from here.", "Service", place.Service, "DataCentre", place.DataCentre,
 			"Tried", result.Tried, "Reached", result.Reached, "DoubtedMilliseconds", result.For.Milliseconds(),
-			"CallsMoved", node.board.Leave(way), "EndsNotBelieved", len(ends), "ReportsWithheld", withheld)
+			"CallsMoved", node.board.MoveCallsOff(way), "EndsNotBelieved", len(ends), "ReportsWithheld", withheld)
 	case reach.Open:
 		for _, end := range ends {
 			if _, news := node.quarantine.Ended(end.fingerprint, end.run); news {
@@ -58,17 +58,17 @@
 
 // unsureOf keeps a request under which a server may have ended until it is known whether the way there is whole.
 func (detours *detours) unsureOf(target *dispatch.Target, fingerprint quarantine.Fingerprint) {
-	way := target.Way()
+	way := target.Path()
 	detours.mu.Lock()
 	defer detours.mu.Unlock()
 	if way.Standing() == reach.Doubted && len(detours.unsure[way]) < unsureMost {
-		detours.unsure[way] = append(detours.unsure[way], unsureEnd{fingerprint: fingerprint, run: target.Run()})
+		detours.unsure[way] = append(detours.unsure[way], unsureEnd{fingerprint: fingerprint, run: target.Key()})
 	}
 }
 
 // doubts says whether what this node sees of a server says nothing of it, and counts what isn't told for that.
 func (detours *detours) doubts(target *dispatch.Target) bool {
-	if target.Reached() {
+	if target.PathHealthy() {
 		return false
 	}
 	detours.mu.Lock()
--- a/internal/run/gateway/work.go
+++ b/internal/run/gateway/work.go
@@ -43,7 +43,7 @@
 }
 
 func (node *Node) watchPause() time.Duration {
-	if node.board.Idle() && !node.limits.Any() && !node.detours.ways.Unsettled() {
+	if node.board.NoGroupCalls() && !node.limits.Any() && !node.detours.ways.Unsettled() {
 		return watchIdle
 	}
 	return watchTick
@@ -75,7 +75,7 @@
 	for number := range rows {
 		row := &rows[number].Row
 		if spec, ok := node.spec(row); ok {
-			spec.Number = rows[number].Number
+			spec.CatalogueIndex = rows[number].Number
 			name := forward.PoolName(row.Service, row.Model)
 			pools[name] = append(pools[name], spec)
 		}
@@ -150,11 +150,11 @@
 	}
 	if service, known := node.configuration.Load().Service(row.Service); known {
 		bounds := node.settings.Bounds
-		spec.ColdTime = service.ColdTime
-		spec.ColdBound = warmup.Bound{PerSecond: service.ColdPerSecond, Overshoot: bounds.ColdOvershoot, Tolerance: bounds.ColdTolerance}
+		spec.ColdDuration = service.ColdTime
+		spec.ColdLimit = warmup.Bound{PerSecond: service.ColdPerSecond, Overshoot: bounds.ColdOvershoot, Tolerance: bounds.ColdTolerance}
 	}
 	if row.Group == "" {
-		spec.PerCall, spec.Turnover = plainPerCall, plainPerCall
+		spec.PassTimePerCall, spec.SlotReleaseInterval = plainPerCall, plainPerCall
 		return spec, true
 	}
 	for _, service := range node.engineServices() {
@@ -162,10 +162,10 @@
 		if service.Name != row.Service || !known {
 			continue
 		}
-		spec.Slots, spec.Pass = service.Engine.Slots, passTime(service.Engine, model)
-		spec.PerToken, spec.PerCall = perToken(service.Engine, model), perCall(service.Engine, model)
-		spec.Turnover = turnover(service.Engine, model)
-		spec.PerPrompt = time.Duration(service.Engine.UsualPrompt) * spec.PerToken
+		spec.Slots, spec.PassTime = service.Engine.Slots, passTime(service.Engine, model)
+		spec.TokenPrefillTime, spec.PassTimePerCall = perToken(service.Engine, model), perCall(service.Engine, model)
+		spec.SlotReleaseInterval = turnover(service.Engine, model)
+		spec.PromptPrefillTime = time.Duration(service.Engine.UsualPrompt) * spec.TokenPrefillTime
 		return spec, true
 	}
 	return spec, false
@@ -225,7 +225,7 @@
 	pool := forward.PoolName(service, model)
 	occupancy := node.board.Occupancy(pool)
 	rates, _ := node.demand.Rates(pool)
-	usage := formation.Usage{Taken: occupancy.Taken, Places: occupancy.Places, Refused: rates.Refused}
+	usage := formation.Usage{Taken: occupancy.ActiveCalls, Places: occupancy.Slots, Refused: rates.Refused}
 	if known, ok := node.configuration.Load().Service(service); ok && known.Engine != nil {
 		if of, named := known.Engine.Model(model); named {
 			usage.Duration = turnover(known.Engine, of) * time.Duration(max(1, known.Engine.Slots))
@@ -240,15 +240,15 @@
 	node.refreshPermits()
 	node.lookPaces()
 	node.detours.look()
-	for _, probe := range node.board.Probes() {
+	for _, probe := range node.board.DueDataCentreProbes() {
 		node.GoAs("probe", func() { node.probe(&probe) })
 	}
-	for _, found := range node.board.Watch() {
-		if found.Unsure || !node.peers.freshSilence(found.Group) {
+	for _, found := range node.board.WatchGroups() {
+		if found.PathUnhealthy || !node.peers.freshSilence(found.Group) {
 			continue
 		}
 		node.logger.Warn("gateway: a group stands still.", "Group", found.Group, "Head", found.Head,
-			"SilentMilliseconds", found.For.Milliseconds(), "Calls", found.Calls)
+			"SilentMilliseconds", found.Duration.Milliseconds(), "Calls", found.Calls)
 		node.suspectHead(found.Head, found.Group)
 	}
 }
@@ -282,7 +282,7 @@
 }
 
 // probe connects to servers of a data centre.
-func (node *Node) probe(probe *dispatch.Probe) {
+func (node *Node) probe(probe *dispatch.DataCentreProbe) {
 	reaches := func(address string) bool { return node.pool.Reaches(address, probeTime) }
 	reached := node.tryAll(probe.Addresses, reaches, func(int) bool { return false })
 	if moved, news := probe.Done(len(reached) > 0); news {
@@ -339,7 +339,7 @@
 	for _, fingerprint := range node.quarantine.Lost(group) {
 		node.suspected(fingerprint)
 	}
-	if moved := node.board.Lose(group); moved > 0 {
+	if moved := node.board.MarkGroupLost(group); moved > 0 {
 		node.logger.Info("gateway: the calls of a lost group go on elsewhere.", "Group", group, "Calls", moved)
 	}
 }
--- a/internal/serve/forward/call.go
+++ b/internal/serve/forward/call.go
@@ -49,13 +49,13 @@
 func (exchange *exchange) call() {
 	for exchange.left() > leastLeft && !exchange.gone() && !exchange.quarantined() && exchange.mayRepeat() {
 		target, verdict := exchange.pickPlain()
-		if verdict == dispatch.Unreached && exchange.mayDetour() {
+		if verdict == dispatch.Unreachable && exchange.mayDetour() {
 			if ended, sent := exchange.detour(exchange.callOne); ended {
 				return
 			} else if sent {
 				continue
 			}
-			if !exchange.forwarder.Board.WayLost(exchange.pool()) {
+			if !exchange.forwarder.Board.AllPathsLost(exchange.pool()) {
 				target, verdict = exchange.pickPlain()
 			}
 		}
@@ -73,7 +73,7 @@
 // pickPlain chooses a server, and waits a little where one may take the call soon.
 func (exchange *exchange) pickPlain() (*dispatch.Target, dispatch.Verdict) {
 	return exchange.pickWithin(exchange.placeWait(), plainBeyond, func(verdict dispatch.Verdict) bool {
-		return verdict == dispatch.Limited || verdict == dispatch.BackedOff
+		return verdict == dispatch.RateLimited || verdict == dispatch.BackedOff
 	})
 }
 
@@ -81,25 +81,25 @@
 // that is free first, where that is known.
 func (exchange *exchange) noTarget(target *dispatch.Target, verdict dispatch.Verdict) {
 	occupancy := exchange.forwarder.Board.Occupancy(exchange.pool())
-	reason := fmt.Sprintf("pool %s has %d of %d places taken at %d targets", exchange.pool(), occupancy.Taken, occupancy.Places, occupancy.Targets)
-	if exchange.straight && (verdict == dispatch.None || verdict == dispatch.Full) && exchange.forwarder.Board.WayLost(exchange.pool()) {
-		verdict = dispatch.Unreached
+	reason := fmt.Sprintf("pool %s has %d of %d places taken at %d targets", exchange.pool(), occupancy.ActiveCalls, occupancy.Slots, occupancy.Targets)
+	if exchange.straight && (verdict == dispatch.NoTarget || verdict == dispatch.Full) && exchange.forwarder.Board.AllPathsLost(exchange.pool()) {
+		verdict = dispatch.Unreachable
 	}
 	switch verdict {
 	case dispatch.Full:
 		exchange.outcome = Full
-	case dispatch.Limited:
+	case dispatch.RateLimited:
 		exchange.outcome = Limited
 		exchange.forwarder.Counts.Limited.Add(1)
-		exchange.again = exchange.forwarder.Returns.After(exchange.pool(), occupancy.Limit/float64(exchange.forwarder.Nodes()))
-		reason += fmt.Sprintf(", whose servers take %.2f requests a second by the limits that they name", occupancy.Limit)
+		exchange.again = exchange.forwarder.Returns.After(exchange.pool(), occupancy.RateLimit/float64(exchange.forwarder.Nodes()))
+		reason += fmt.Sprintf(", whose servers take %.2f requests a second by the limits that they name", occupancy.RateLimit)
 	case dispatch.BackedOff:
 		exchange.outcome = BackedOff
 		exchange.forwarder.Counts.BackedOff.Add(1)
-		opens := target.OpensAt() - exchange.forwarder.Now()
+		opens := target.BackoffEndsAt() - exchange.forwarder.Now()
 		exchange.notBefore = exchange.returnAfter(opens)
 		reason += fmt.Sprintf(", and all that could take it asked for a backoff, %s for %v more", target.ID, opens.Round(time.Millisecond))
-	case dispatch.Unreached:
+	case dispatch.Unreachable:
 		exchange.outcome = Unreached
 		if len(exchange.excludePeers) > 0 {
 			exchange.again = retryUnreached
--- a/internal/serve/forward/demand_test.go
+++ b/internal/serve/forward/demand_test.go
@@ -20,7 +20,7 @@
 		{Name: "drafts", Engine: &configuration.Engine{Models: []configuration.Model{{Name: "large"}}}},
 	}})
 	return &exchange{
-		forwarder: &Forwarder{Parts: Parts{Board: dispatch.New(dispatch.Clock(now), dispatch.Demands(held)), Now: now}},
+		forwarder: &Forwarder{Parts: Parts{Board: dispatch.New(dispatch.Clock(now), dispatch.Demand(held)), Now: now}},
 		request:   &Request{Model: model}, snapshot: table.Load(), service: "drafts",
 	}, held
 }
@@ -31,7 +31,7 @@
 	exchange, held := counted("large")
 	_, shed := exchange.sheds()
 	expect.Expect(shed).To(gomega.BeFalse())
-	exchange.noSlot(nil, dispatch.None)
+	exchange.noSlot(nil, dispatch.NoTarget)
 	expect.Expect(held.Counts.Asked.Load()).To(gomega.BeNumerically("==", 1))
 	expect.Expect(held.Counts.Refused.Load()).To(gomega.BeNumerically("==", 1))
 	rates, _ := held.Rates("drafts/large")
@@ -45,6 +45,6 @@
 	exchange, held := counted("made up")
 	_, shed := exchange.sheds()
 	expect.Expect(shed).To(gomega.BeFalse())
-	exchange.noSlot(nil, dispatch.None)
+	exchange.noSlot(nil, dispatch.NoTarget)
 	expect.Expect(held.Own()).To(gomega.BeEmpty())
 }
--- a/internal/serve/forward/detour.go
+++ b/internal/serve/forward/detour.go
@@ -115,7 +115,7 @@
 func (exchange *exchange) choosePeer() (*detour.Peer, bool) {
 	until := exchange.forwarder.Now() + min(detourWait, exchange.left()/detourPart)
 	for {
-		lost := exchange.forwarder.Board.Ways().Lost(true)
+		lost := exchange.forwarder.Board.Paths().Lost(true)
 		peer, found := exchange.forwarder.Detours.Choose(exchange.service, lost, exchange.excludePeers)
 		if found || len(exchange.excludePeers) > 0 || len(lost) == 0 || exchange.forwarder.Detours.Knows() || exchange.forwarder.Now() >= until || exchange.gone() {
 			return peer, found
@@ -130,7 +130,7 @@
 	forwarder := exchange.forwarder
 	exchange.via = peer.Address
 	exchange.excludePeers = append(exchange.excludePeers, peer.Address)
-	exchange.last = dispatched{taken: peer.Taken()}
+	exchange.last = dispatched{taken: peer.ActiveCalls()}
 	leg := exchange.newLeg(peer.Target, exchange.peerPatience())
 	leg.peer = peer
 	call := exchange.newCall(peer.Target)
@@ -192,7 +192,7 @@
 		again := leg.Header.Get("Retry-After")
 		exchange.discard(leg)
 		if outcome == Unreached || outcome == NoServer {
-			exchange.forwarder.Detours.Lacks(leg.peer.Address, exchange.service, exchange.forwarder.Board.Ways().Lost(true))
+			exchange.forwarder.Detours.Lacks(leg.peer.Address, exchange.service, exchange.forwarder.Board.Paths().Lost(true))
 		}
 		if exchange.begun || exchange.mayHaveRun || elsewhere(outcome) {
 			return false, exchange.arrivals > before
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -56,10 +56,10 @@
 	made.table.Offer(rigConfiguration())
 	second := made.handler.(*forward.Forwarder)
 	made.serve(t, inwardAddress, second.Inward())
-	made.own = dispatch.New(dispatch.Clock(now), dispatch.Ways(made.ways))
+	made.own = dispatch.New(dispatch.Clock(now), dispatch.Paths(made.ways))
 	made.own.Update(map[string][]dispatch.Spec{
 		forward.PoolName("ledger", ""):   {{ID: "s", Service: "ledger", Address: "nowhere:1", Slots: 1000}},
-		forward.PoolName("writers", "m"): {{ID: "s", Service: "writers", Group: "g", Address: "nowhere:1", Slots: 1000, Pass: 40 * time.Millisecond}},
+		forward.PoolName("writers", "m"): {{ID: "s", Service: "writers", Group: "g", Address: "nowhere:1", Slots: 1000, PassTime: 40 * time.Millisecond}},
 	})
 	made.lose("ledger")
 	made.lose("writers")
@@ -159,7 +159,7 @@
 func TestRefusalOfAnotherNodeIsPassedOn(t *testing.T) {
 	inPair(t, func(http.ResponseWriter, *http.Request) { panic("not asked") }, func(expect *gomega.WithT, pair *pair) {
 		pair.board.Update(map[string][]dispatch.Spec{forward.PoolName("ledger", ""): {{ID: "s", Address: serverAddress}}})
-		pair.board.PeerLoads(map[string]dispatch.Share{"s": {Calls: 100}})
+		pair.board.SetPeerLoads(map[string]dispatch.ServerLoad{"s": {Calls: 100}})
 		found := pair.through("/book/1", nil)
 		expect.Expect(found.status).To(gomega.Equal(http.StatusServiceUnavailable))
 		expect.Expect(found.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
@@ -229,7 +229,7 @@
 		pair.own.Update(map[string][]dispatch.Spec{forward.PoolName("ledger", ""): {
 			{ID: "s", Service: "ledger", Address: "nowhere:1", Slots: 9}, {ID: "near", Service: "ledger", DataCentre: "near", Address: serverAddress},
 		}})
-		pair.own.PeerLoads(map[string]dispatch.Share{"near": {Calls: 100}})
+		pair.own.SetPeerLoads(map[string]dispatch.ServerLoad{"near": {Calls: 100}})
 		pair.peers.Heard(detour.Node{Address: inwardAddress, Lost: []reach.Place{{Service: "ledger"}}})
 		pair.peers.Asked()
 		request := pair.request(0, "/book/1", strings.NewReader("body"))
@@ -247,7 +247,7 @@
 
 // loseSecond makes the second node's way to a service count as lost.
 func (pair *pair) loseSecond(service string) {
-	ways := pair.board.Ways()
+	ways := pair.board.Paths()
 	ways.Of(reach.Place{Service: service}).Unopened("s", time.Hour)
 	for _, probe := range ways.Due() {
 		probe.Done(nil)
--- a/internal/serve/forward/leg.go
+++ b/internal/serve/forward/leg.go
@@ -29,7 +29,7 @@
 	target *dispatch.Target
 	// peer is the node that the call goes through, nil where it goes to a server.
 	peer  *detour.Peer
-	use   *dispatch.Use
+	use   *dispatch.Call
 	ender *ender
 	// forget takes the ender off the caller's connection, patience ends the call
 	// when it has taken too long.
@@ -62,7 +62,7 @@
 // may take much longer, nothing notices that; its place at the server is given back at once.
 func (leg *leg) expire() {
 	leg.ender.end()
-	if leg.use.Held() {
+	if leg.use.ReadingPaused() {
 		leg.overdue.Store(true)
 		leg.Abort()
 		leg.use.End()
@@ -116,15 +116,15 @@
 // run.
 func (exchange *exchange) attempt(target *dispatch.Target, within time.Duration) *leg {
 	call := exchange.newCall(target)
-	exchange.last = dispatched{server: target.ID, group: target.Group, taken: target.Taken()}
+	exchange.last = dispatched{server: target.ID, group: target.Group, taken: target.ActiveCalls()}
 	leg := exchange.newLeg(target, within)
 	call.Cancel, call.Heard = leg.ender.set, exchange.hear(leg)
-	call.Admit, call.Opened = exchange.admitLeg(leg), target.Opened
-	call.Kept = !exchange.straight && exchange.forwarder.Board.LivesOn(target)
+	call.Admit, call.Opened = exchange.admitLeg(leg), target.RecordConnected
+	call.Kept = !exchange.straight && exchange.forwarder.Board.ReachableByIdleConnection(target)
 	reply, err := exchange.forwarder.Pool.Send(call)
 	if err == nil {
 		exchange.arrivals++
-		target.Heard()
+		target.RecordResponse()
 		leg.Reply = reply
 		return leg
 	}
@@ -152,14 +152,14 @@
 	}
 	givenUp := errors.Is(err, errGivenUp)
 	if (givenUp || errors.Is(err, os.ErrDeadlineExceeded)) && !exchange.gone() && !leg.use.Moved() {
-		target.Missed(leg.sent)
+		target.RecordTimeout(leg.sent)
 	}
 	if givenUp {
 		return
 	}
 	if errors.Is(err, backendserver.ErrNotSent) {
 		if errors.Is(err, backendserver.ErrNotOpened) && !exchange.gone() {
-			target.Unopened(leg.sent)
+			target.RecordConnectFailure(leg.sent)
 		}
 		target.Avoid(avoidUnreachable)
 		exchange.forwarder.Failed(target, "")
@@ -169,7 +169,7 @@
 	exchange.ran()
 	if closedUnanswered(err) && !exchange.gone() && !leg.use.Moved() {
 		exchange.forwarder.Counts.Unanswered.Add(1)
-		if target.Unanswered(leg.sent) >= dispatch.BreaksTold {
+		if target.RecordUnanswered(leg.sent) >= dispatch.ReportedUnanswered {
 			exchange.forwarder.Failed(target, "")
 		}
 	}
@@ -184,13 +184,13 @@
 
 // note tells how a call ended, unless that says nothing of its server.
 func (exchange *exchange) note(leg *leg, failed bool) {
-	if leg.peer != nil || (failed && !leg.target.Reached()) {
+	if leg.peer != nil || (failed && !leg.target.PathHealthy()) {
 		return
 	}
-	if failed && (exchange.gone() || leg.overdue.Load() || leg.use.Moved() || leg.use.Withdrawn()) {
+	if failed && (exchange.gone() || leg.overdue.Load() || leg.use.Moved() || leg.use.Quarantined()) {
 		return
 	}
-	leg.target.Note(failed)
+	leg.target.RecordOutcome(failed)
 }
 
 // ran notes that a server may have run the request.
--- a/internal/serve/forward/memory_test.go
+++ b/internal/serve/forward/memory_test.go
@@ -262,7 +262,7 @@
 		silent := atomic.Int32{}
 		watch.Go(func() {
 			for watching.Err() == nil {
-				silent.Add(int32(len(rig.board.Watch())))
+				silent.Add(int32(len(rig.board.WatchGroups())))
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
--- a/internal/serve/forward/pick_test.go
+++ b/internal/serve/forward/pick_test.go
@@ -21,8 +21,8 @@
 func full() (*exchange, *dispatch.Board) {
 	now := clock.Virtual()
 	board := dispatch.New(dispatch.Clock(now))
-	board.Update(map[string][]dispatch.Spec{PoolName("drafts", "large"): {{ID: "a", Group: "g", Slots: 8, Pass: 40 * time.Millisecond}}})
-	board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 8 + streamBeyond}})
+	board.Update(map[string][]dispatch.Spec{PoolName("drafts", "large"): {{ID: "a", Group: "g", Slots: 8, PassTime: 40 * time.Millisecond}}})
+	board.SetPeerLoads(map[string]dispatch.ServerLoad{"a": {Calls: 8 + streamBeyond}})
 	table := configuration.NewTable()
 	table.Offer(&configuration.Configuration{Version: 1, Services: []configuration.Service{{Name: "drafts", Engine: &configuration.Engine{}}}})
 	return &exchange{
@@ -45,7 +45,7 @@
 		expect.Expect(time.Since(began)).To(gomega.BeNumerically("<=", 300*time.Millisecond/8))
 		go func() {
 			time.Sleep(20 * time.Millisecond)
-			board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 3}})
+			board.SetPeerLoads(map[string]dispatch.ServerLoad{"a": {Calls: 3}})
 		}()
 		_, verdict = exchange.pick(streamBeyond)
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
@@ -60,7 +60,7 @@
 		board.Update(map[string][]dispatch.Spec{})
 		began := time.Now()
 		_, verdict := exchange.pick(streamBeyond)
-		expect.Expect(verdict).To(gomega.Equal(dispatch.None))
+		expect.Expect(verdict).To(gomega.Equal(dispatch.NoTarget))
 		expect.Expect(time.Since(began)).To(gomega.BeZero())
 	})
 }
@@ -76,7 +76,7 @@
 		board.Update(map[string][]dispatch.Spec{})
 		began := time.Now()
 		_, verdict := exchange.pick(resumeBeyond)
-		expect.Expect(verdict).To(gomega.Equal(dispatch.None))
+		expect.Expect(verdict).To(gomega.Equal(dispatch.NoTarget))
 		expect.Expect(time.Since(began)).To(gomega.And(gomega.BeNumerically(">", 800*time.Millisecond), gomega.BeNumerically("<", 2*time.Second)))
 	})
 }
@@ -95,7 +95,7 @@
 		exchange.forwarder.Board, exchange.forwarder.AskPermits = board, func() { asked++ }
 		began := time.Now()
 		_, verdict := exchange.pick(streamBeyond)
-		expect.Expect(verdict).To(gomega.Equal(dispatch.Limited))
+		expect.Expect(verdict).To(gomega.Equal(dispatch.RateLimited))
 		expect.Expect(time.Since(began)).To(gomega.BeNumerically("<=", 300*time.Millisecond/8))
 		expect.Expect(asked).To(gomega.Equal(1))
 		home := func(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Home: true, Part: 1} }
--- a/internal/serve/forward/rig_test.go
+++ b/internal/serve/forward/rig_test.go
@@ -61,7 +61,7 @@
 	rig.board = dispatch.New(dispatch.Clock(now), dispatch.Notices(notices))
 	rig.board.Update(map[string][]dispatch.Spec{
 		forward.PoolName("ledger", ""):   {{ID: "s", Address: serverAddress, Slots: 1000}},
-		forward.PoolName("writers", "m"): {{ID: "s", Group: "g", Address: serverAddress, Slots: 1000, Pass: 40 * time.Millisecond}},
+		forward.PoolName("writers", "m"): {{ID: "s", Group: "g", Address: serverAddress, Slots: 1000, PassTime: 40 * time.Millisecond}},
 	})
 	table := configuration.NewTable()
 	table.Offer(rigConfiguration())
--- a/internal/serve/forward/stream.go
+++ b/internal/serve/forward/stream.go
@@ -33,7 +33,7 @@
 	if overload, shed := exchange.sheds(); shed {
 		exchange.forwarder.Counts.Shed.Add(1)
 		exchange.cause = fmt.Sprintf("streams of rank %d are shed: the pool can begin %.0f calls a second, %.0f are asked for, of which %.0f go first",
-			exchange.urgency(), overload.Capacity, overload.Asked, overload.Before)
+			exchange.urgency(), overload.Capacity, overload.Requested, overload.HigherPriority)
 		exchange.again = min(retryNone, exchange.left()/retryPart)
 		exchange.noSlot(nil, dispatch.Full)
 		exchange.end()
@@ -48,13 +48,13 @@
 		if exchange.quarantined() {
 			break
 		}
-		if verdict == dispatch.Unreached && exchange.mayDetour() {
+		if verdict == dispatch.Unreachable && exchange.mayDetour() {
 			if ended, sent := exchange.detour(exchange.streamOne); ended {
 				return
 			} else if sent {
 				continue
 			}
-			if !exchange.forwarder.Board.WayLost(exchange.pool()) {
+			if !exchange.forwarder.Board.AllPathsLost(exchange.pool()) {
 				target, verdict = exchange.pick(beyond)
 			}
 		}
@@ -79,7 +79,7 @@
 // there.
 func (exchange *exchange) countRefused() {
 	if exchange.inward == nil && exchange.configured() && (exchange.outcome == Full || exchange.outcome == NoServer) {
-		exchange.forwarder.Board.Refused(exchange.pool())
+		exchange.forwarder.Board.RecordRefusal(exchange.pool())
 	}
 }
 
@@ -93,12 +93,12 @@
 	board, pool, rank := exchange.forwarder.Board, exchange.pool(), exchange.urgency()
 	if !exchange.asked {
 		exchange.asked = true
-		defer board.Asked(pool, rank)
+		defer board.RecordDemand(pool, rank)
 	}
 	if !exchange.snapshot.Ranked(exchange.service) || exchange.request.Continues {
 		return dispatch.Overload{}, false
 	}
-	return board.Sheds(pool, rank, dispatch.Wish{Regions: exchange.regions})
+	return board.ShouldShed(pool, rank, dispatch.Criteria{Regions: exchange.regions})
 }
 
 // configured says whether the configuration knows the stream's pool. Callers name models freely, and demand is kept and
@@ -131,7 +131,7 @@
 		wait = waitResumed
 	}
 	return exchange.pickWithin(wait, beyond, func(verdict dispatch.Verdict) bool {
-		return verdict != dispatch.Chosen && verdict != dispatch.Unreached && (verdict != dispatch.None || exchange.goesOn())
+		return verdict != dispatch.Chosen && verdict != dispatch.Unreachable && (verdict != dispatch.NoTarget || exchange.goesOn())
 	})
 }
 
@@ -146,15 +146,15 @@
 	until := exchange.forwarder.Now() + wait
 	var done func()
 	for {
-		target, verdict := exchange.forwarder.Board.Pick(exchange.pool(), dispatch.Wish{
-			DataCentre: exchange.forwarder.DataCentre, Exclude: exchange.exclude, Beyond: beyond, Proven: exchange.mayHaveRun,
-			Urgency: exchange.urgency(), Regions: exchange.regions, ReachedOnly: exchange.reachedOnly(),
+		target, verdict := exchange.forwarder.Board.Pick(exchange.pool(), dispatch.Criteria{
+			DataCentre: exchange.forwarder.DataCentre, Exclude: exchange.exclude, MaxQueued: beyond, PreferActive: exchange.mayHaveRun,
+			Urgency: exchange.urgency(), Regions: exchange.regions, ReachableOnly: exchange.reachedOnly(),
 		})
 		if !worth(verdict) || exchange.opensLater(target, verdict, until) || exchange.forwarder.Now()+waitStep > until || exchange.left() < 2*leastLeft || exchange.gone() || exchange.quarantined() {
 			return target, verdict
 		}
-		if verdict == dispatch.Limited && done == nil {
-			done = target.Await(exchange.urgency())
+		if verdict == dispatch.RateLimited && done == nil {
+			done = target.AwaitPermit(exchange.urgency())
 			defer done()
 			exchange.forwarder.AskPermits()
 		}
@@ -165,7 +165,7 @@
 // opensLater says whether the wait for a place ends before any server's backoff does. The
 // caller is told at once then, unless it has a part of its answer: a group may be formed.
 func (exchange *exchange) opensLater(target *dispatch.Target, verdict dispatch.Verdict, until time.Duration) bool {
-	return verdict == dispatch.BackedOff && !exchange.goesOn() && target.OpensAt() > until
+	return verdict == dispatch.BackedOff && !exchange.goesOn() && target.BackoffEndsAt() > until
 }
 
 // streamOne passes on the stream, or the rest of it, that one call brings and says whether
@@ -287,7 +287,7 @@
 	if err != nil {
 		return err
 	}
-	leg.use.Events(bytes.Count(events, eventEnd))
+	leg.use.RecordEvents(bytes.Count(events, eventEnd))
 	came := exchange.forwarder.Now()
 	exchange.pace.event(came - exchange.arrived)
 	if !exchange.begun {
@@ -297,13 +297,13 @@
 		exchange.begun = true
 		exchange.writer.WriteHeader(http.StatusOK)
 	}
-	leg.use.Hold()
+	leg.use.PauseReading()
 	err = exchange.writeEvents(events)
-	leg.use.Resume()
+	leg.use.ResumeReading()
 	if err != nil {
 		return errors.Wrap(err, "write to the caller")
 	}
-	leg.use.PassedOn(exchange.forwarder.Now() - came)
+	leg.use.RecordForwardTime(exchange.forwarder.Now() - came)
 	if last >= 0 {
 		exchange.request.After = last
 		exchange.request.Continues = true
--- a/internal/serve/forward/suspect.go
+++ b/internal/serve/forward/suspect.go
@@ -16,11 +16,11 @@
 
 // noteEnd notes that a server ended while it had the call, if it seems so.
 func (exchange *exchange) noteEnd(leg *leg, err error) {
-	if leg.peer != nil || exchange.gone() || leg.use.Withdrawn() || !serverEnded(leg, err) {
+	if leg.peer != nil || exchange.gone() || leg.use.Quarantined() || !serverEnded(leg, err) {
 		return
 	}
 	if !leg.use.Moved() {
-		leg.target.Broke()
+		leg.target.RecordBrokenConnection()
 	}
 	forwarder := exchange.forwarder
 	forwarder.Counts.ServerEnds.Add(1)
@@ -36,16 +36,16 @@
 // Of a group that only stood still that is to be confirmed.
 func (exchange *exchange) suspect(target *dispatch.Target, stoodStill bool) int {
 	list := exchange.forwarder.Quarantine
-	if !target.Reached() {
+	if !target.PathHealthy() {
 		// This node may have lost its way there, which ends the calls at all servers at once.
 		exchange.forwarder.Unsure(target, exchange.fingerprint)
 		return 0
 	}
-	if stoodStill && !target.Lost() {
-		list.Doubt(exchange.fingerprint, target.Group, target.Run())
+	if stoodStill && !target.MemberLost() {
+		list.Doubt(exchange.fingerprint, target.Group, target.Key())
 		return 0
 	}
-	ends, news := list.Ended(exchange.fingerprint, target.Run())
+	ends, news := list.Ended(exchange.fingerprint, target.Key())
 	if news {
 		exchange.forwarder.Suspected(exchange.fingerprint)
 	}
