--- /dev/null
+++ b/internal/policy/dispatch/call.go
@@ -0,0 +1,172 @@
+package dispatch
+
+import (
+	"sync/atomic"
+	"time"
+)
+
+// Call is one call at a target. End must be called once.
+type Call struct {
+	target       *Target
+	sentAt       time.Duration
+	promptTokens int64
+	// fingerprint identifies the content of the request.
+	fingerprint uint64
+	started     atomic.Bool
+	// paused reports that the stream isn't read because the caller is being written to.
+	paused atomic.Bool
+	// ended reports that the call is no longer counted.
+	ended atomic.Bool
+	moved atomic.Bool
+	// quarantined reports that the call was cancelled because its request is quarantined.
+	quarantined atomic.Bool
+	// eventAt is when the last event arrived, prefillAtEvent the expected prefill time of the target's pending
+	// prompts at that time. slowCaller reports that the caller was slow to take the event.
+	eventAt        atomic.Int64
+	prefillAtEvent atomic.Int64
+	slowCaller     atomic.Bool
+	// cancel ends the call from another goroutine.
+	cancel func()
+}
+
+// Begin counts a call with the given number of prompt tokens and the fingerprint of its request. Other
+// goroutines end the call through cancel.
+func (target *Target) Begin(promptTokens int, fingerprint uint64, cancel func()) *Call {
+	call := &Call{target: target, sentAt: target.now(), promptTokens: int64(promptTokens), fingerprint: fingerprint, cancel: cancel}
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.ownCalls.Add(1)
+	target.pendingPromptTokens.Add(call.promptTokens)
+	target.calls[call] = struct{}{}
+	return call
+}
+
+// RecordEvent records that something arrived for the call. The first event makes the call a started stream.
+func (call *Call) RecordEvent() {
+	call.RecordEvents(1)
+}
+
+// RecordEvents is RecordEvent for several events of a stream that arrived together.
+func (call *Call) RecordEvents(count int) {
+	now := call.target.now()
+	call.target.lastEventAt.Store(int64(now))
+	call.target.dataCentrePath.recordResponse(now)
+	call.target.path.Heard(call.target.ID)
+	if !call.started.Swap(true) {
+		call.target.startedStreams.Add(1)
+		call.target.pendingPromptTokens.Add(-call.promptTokens)
+	}
+	call.recordGap(now, count)
+}
+
+// PauseReading records that the caller is being written to. Until ResumeReading no event can be read, which says
+// nothing about the target: the caller may read slowly.
+func (call *Call) PauseReading() {
+	if call.ended.Load() || call.paused.Swap(true) {
+		return
+	}
+	call.target.pausedStreams.Add(1)
+}
+
+// ReadingPaused reports whether the caller is being written to.
+func (call *Call) ReadingPaused() bool {
+	return call.paused.Load()
+}
+
+// ResumeReading records that the caller has taken what was written to it.
+func (call *Call) ResumeReading() {
+	state := call.target.localState
+	if !call.paused.Swap(false) {
+		return
+	}
+	if paused := state.pausedStreams.Add(-1); state.startedStreams.Load()-paused == 1 {
+		// Nothing was read from the target while all its streams were paused.
+		state.lastEventAt.Store(int64(state.now()))
+	}
+}
+
+// readableStreams returns the number of started streams that are being read.
+func (localState *localState) readableStreams() int32 {
+	return localState.startedStreams.Load() - localState.pausedStreams.Load()
+}
+
+// End stops counting the call.
+func (call *Call) End() {
+	state := call.target.localState
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	if _, ok := state.calls[call]; !ok {
+		return
+	}
+	delete(state.calls, call)
+	call.ended.Store(true)
+	state.ownCalls.Add(-1)
+	if call.paused.Swap(false) {
+		state.pausedStreams.Add(-1)
+	}
+	if call.started.Load() {
+		state.startedStreams.Add(-1)
+		if call.target.slotTime != nil && !call.moved.Load() {
+			call.target.slotTime.record(state.now() - call.sentAt)
+		}
+		return
+	}
+	state.pendingPromptTokens.Add(-call.promptTokens)
+}
+
+// Moved reports whether the call was cancelled because its target was given up.
+func (call *Call) Moved() bool {
+	return call.moved.Load()
+}
+
+// Quarantined reports whether the call was cancelled because its request is quarantined.
+func (call *Call) Quarantined() bool {
+	return call.quarantined.Load()
+}
+
+// CancelUnanswered cancels the calls with the given fingerprint that have had no event, and returns their
+// number. They may still be queued at their servers, which then never run them.
+func (board *Board) CancelUnanswered(fingerprint uint64) int {
+	ended := 0
+	for _, target := range board.snapshot.Load().targets {
+		ended += target.cancelUnanswered(fingerprint)
+	}
+	return ended
+}
+
+func (localState *localState) cancelUnanswered(fingerprint uint64) int {
+	localState.mu.Lock()
+	defer localState.mu.Unlock()
+	ended := 0
+	for call := range localState.calls {
+		if call.fingerprint == fingerprint && !call.started.Load() {
+			call.quarantined.Store(true)
+			call.cancel()
+			ended++
+		}
+	}
+	return ended
+}
+
+// moveCalls cancels the calls of a target so that they resume elsewhere, and returns their number.
+func (localState *localState) moveCalls() int {
+	localState.mu.Lock()
+	defer localState.mu.Unlock()
+	for call := range localState.calls {
+		call.moved.Store(true)
+		call.cancel()
+	}
+	return len(localState.calls)
+}
+
+// MarkGroupLost gives up a group that has lost a member: the group gets no new calls, and its calls move
+// elsewhere. It returns the number of calls moved.
+func (board *Board) MarkGroupLost(group string) int {
+	moved := 0
+	for _, target := range board.snapshot.Load().targets {
+		if target.Group == group && !target.memberLost.Swap(true) {
+			moved += target.moveCalls()
+		}
+	}
+	return moved
+}
--- /dev/null
+++ b/internal/policy/dispatch/path.go
@@ -0,0 +1,161 @@
+package dispatch
+
+import (
+	"time"
+
+	"hazelslip/internal/policy/reach"
+)
+
+const (
+	// minPathSilence is the minimum time without any event on a path's calls before the path is suspected.
+	// silentPasses applies as it does to a single group.
+	minPathSilence = 300 * time.Millisecond
+	// recentEvent is the maximum age of a group's last event for its calls to stay when the path is lost: open
+	// connections may keep working while new ones are refused.
+	recentEvent = 250 * time.Millisecond
+)
+
+func destinationOf(spec *Spec) reach.Place {
+	return reach.Place{Service: spec.Service, DataCentre: spec.DataCentre}
+}
+
+// updatePathServers tells each path which servers it leads to.
+func (board *Board) updatePathServers(current *snapshot) {
+	servers := map[reach.Place][]string{}
+	for _, pool := range current.pools {
+		for _, target := range pool.targets {
+			servers[destinationOf(&target.Spec)] = append(servers[destinationOf(&target.Spec)], target.ID)
+		}
+	}
+	for _, path := range board.paths.All() {
+		path.List(servers[path.Place])
+	}
+}
+
+// RecordConnected records that a connection to the target was opened for a call.
+func (target *Target) RecordConnected() {
+	target.path.Opened(target.ID)
+}
+
+// RecordConnectFailure records that connecting to the target failed, by an attempt that began at the given time.
+func (target *Target) RecordConnectFailure(began time.Duration) {
+	target.path.Unopened(target.ID, began)
+}
+
+// RecordBrokenConnection records that the connection of a call at the target broke.
+func (target *Target) RecordBrokenConnection() {
+	target.path.Broke(target.ID, target.now())
+}
+
+// PathHealthy reports whether the path to the target is healthy. If it isn't, a failed call there says nothing
+// about the server.
+func (target *Target) PathHealthy() bool {
+	return target.path.Standing() == reach.Open
+}
+
+// Path returns this node's network path to the target.
+func (target *Target) Path() *reach.Way {
+	return target.path
+}
+
+// ReachableByIdleConnection reports whether the target can still be called although its path is lost: something
+// has just arrived from it, and an idle connection to it is open.
+func (board *Board) ReachableByIdleConnection(target *Target) bool {
+	return target.path.Alive(target.ID) && board.hasIdleConnection(target.Address)
+}
+
+// AllPathsLost reports whether a pool has targets and the paths to all of them are lost.
+func (board *Board) AllPathsLost(name string) bool {
+	pool, ok := board.pool(name)
+	if !ok || len(pool.targets) == 0 {
+		return false
+	}
+	for _, target := range pool.targets {
+		if target.path.Standing() != reach.Lost {
+			return false
+		}
+	}
+	return true
+}
+
+// Paths returns this node's network paths to servers.
+func (board *Board) Paths() *reach.Ways {
+	return board.paths
+}
+
+// WatchPaths checks the paths of all targets with calls in progress. A path is suspected if its calls have waited for
+// too long and nothing has arrived from any of its servers meanwhile.
+func (board *Board) WatchPaths() {
+	now := board.now()
+	for _, target := range board.snapshot.Load().targets {
+		if target.ownCalls.Load() == 0 {
+			continue
+		}
+		if silence := target.silenceThreshold(minPathSilence); target.readableStreams() > 0 || now-target.oldestUnanswered(now) >= silence {
+			target.path.Silent(silence)
+		}
+	}
+}
+
+// PathProbe lists servers to connect to, with their addresses.
+type PathProbe struct {
+	reach.Probe
+	Addresses map[string]string
+}
+
+// DuePathProbes returns the probes that are due on suspected and lost paths.
+func (board *Board) DuePathProbes() []PathProbe {
+	due := board.paths.Due()
+	if len(due) == 0 {
+		return nil
+	}
+	addresses := map[string]string{}
+	for _, target := range board.snapshot.Load().targets {
+		addresses[target.ID] = target.Address
+	}
+	probes := make([]PathProbe, 0, len(due))
+	for _, probe := range due {
+		probes = append(probes, PathProbe{Probe: probe, Addresses: addresses})
+	}
+	return probes
+}
+
+// MoveCallsOff moves the calls of a lost path elsewhere, except at groups that have just had an event. It
+// returns the number of calls moved.
+func (board *Board) MoveCallsOff(path *reach.Way) int {
+	moved, now := 0, board.now()
+	for _, target := range board.snapshot.Load().targets {
+		if target.path == path && target.Group != "" && now-time.Duration(target.lastEventAt.Load()) > recentEvent {
+			moved += target.moveCalls()
+		}
+	}
+	return moved
+}
+
+// OwnCalls returns the number of this node's calls at all targets.
+func (board *Board) OwnCalls() int {
+	calls := 0
+	for _, target := range board.snapshot.Load().targets {
+		calls += int(target.ownCalls.Load())
+	}
+	return calls
+}
+
+// CancelStalled cancels the calls of a standalone target if nothing has arrived for too long: streaming limits
+// the silence of started streams, unanswered the wait for a first event. It reports whether it cancelled the
+// calls.
+func (target *Target) CancelStalled(streaming, unanswered time.Duration) bool {
+	if target.ownCalls.Load() == 0 {
+		return false
+	}
+	maxSilence := unanswered
+	silence, running := target.silentFor(target.now())
+	if running {
+		maxSilence = streaming
+	}
+	if silence < maxSilence {
+		return false
+	}
+	target.moveCalls()
+	return true
+}
