--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -155,11 +155,11 @@
 }
 
 // limits are how long this node waits for the store.
-func (follower *Follower) limits() patience.Limits {
+func (follower *Follower) limits() patience.Timing {
 	if follower.Standing().Role == overlay.Root {
-		return patience.Of(patience.Speaker)
+		return patience.TimingFor(patience.Representative)
 	}
-	return patience.Of(patience.Hearer)
+	return patience.TimingFor(patience.Listener)
 }
 
 const (
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -31,7 +31,7 @@
 	follower.GoAs("list", func() {
 		defer follower.reading.Store(false)
 		limits := follower.limits()
-		limits.Away = listAway
+		limits.OutageInterval = listAway
 		rest := follower.Calls.Rest(limits)
 		if err := follower.readList(limits); err != nil && !errors.Is(err, store.ErrExpired) {
 			rest.Wait(follower.Part)
@@ -65,7 +65,7 @@
 	return follower.Now()-time.Duration(follower.readAt.Load()) < ListPatience
 }
 
-func (follower *Follower) readList(limits patience.Limits) error {
+func (follower *Follower) readList(limits patience.Timing) error {
 	settling := follower.settles(follower.Now())
 	from := follower.listFrom(settling)
 	listing, err := store.Ask(follower.Calls, follower.Part, store.Question[store.Listing]{
--- a/internal/peer/caller/services.go
+++ b/internal/peer/caller/services.go
@@ -149,13 +149,13 @@
 	call.Length = int64(len(body))
 	err = errors.Mark(errors.Newf("no server of %s is known", name), service.ErrNotSent)
 	for try, address := range services.Addresses(name) {
-		if try >= repeatableTries || (try > 0 && !services.Budget.Take()) {
+		if try >= repeatableTries || (try > 0 && !services.Budget.TryWithdraw()) {
 			break
 		}
 		var response *http.Response
 		call.Body = bytes.NewReader(body)
 		if response, err = services.Call(request.Context(), address, call); err == nil {
-			services.Budget.Succeeded()
+			services.Budget.RecordSuccess()
 			passOn(writer, response)
 			return
 		}
--- a/internal/peer/store/ask.go
+++ b/internal/peer/store/ask.go
@@ -15,7 +15,7 @@
 	Name string
 	// Wait is for how long the store is asked to wait for news.
 	Wait   time.Duration
-	Limits patience.Limits
+	Limits patience.Timing
 	// Wanted says whether another call may still be made beside one that hangs.
 	Wanted func() bool
 	Call   func(ctx context.Context, wait time.Duration) (T, error)
@@ -67,7 +67,7 @@
 			continue
 		case <-timer.C:
 			asking.oldest.late()
-			timer.Reset(asking.Limits.Next(asking.calls.Away()))
+			timer.Reset(asking.Limits.NextHedge(asking.calls.Away()))
 			if !asking.Wanted() {
 				continue
 			}
@@ -87,9 +87,9 @@
 // often for that.
 func (asking *asking[T]) beside() time.Duration {
 	if asking.calls.Away() {
-		return asking.Wait + asking.Limits.Away
+		return asking.Wait + asking.Limits.OutageInterval
 	}
-	return patience.Beside(asking.Wait, asking.calls.Usual())
+	return patience.HedgeDelay(asking.Wait, asking.calls.Usual())
 }
 
 // settled is how old the last call must be for another to be made when the store returns.
@@ -104,7 +104,7 @@
 	asking.youngest = call.began
 	asking.underWay++
 	asking.part.Go(func() {
-		ctx, cancel := context.WithTimeout(asking.ctx, wait+asking.Limits.Most)
+		ctx, cancel := context.WithTimeout(asking.ctx, wait+asking.Limits.CallTimeout)
 		defer cancel()
 		value, err := asking.Call(ctx, wait)
 		switch {
@@ -127,20 +127,20 @@
 // Rest is the pause after a call that failed.
 type Rest struct {
 	calls   *Calls
-	limits  patience.Limits
+	limits  patience.Timing
 	began   time.Duration
 	returns <-chan struct{}
 }
 
 // Rest begins before a call, so that a return of the store meanwhile is not missed.
-func (calls *Calls) Rest(limits patience.Limits) Rest {
+func (calls *Calls) Rest(limits patience.Timing) Rest {
 	return Rest{calls: calls, limits: limits, began: calls.now(), returns: calls.Returns()}
 }
 
 // Wait waits before the next call, but no longer than until another is answered. It says
 // whether the part goes on.
 func (rest Rest) Wait(part *lifecycle.Part) bool {
-	timer := time.NewTimer(rest.limits.Pause(rest.calls.FailuresInRow(), rest.calls.now()-rest.began))
+	timer := time.NewTimer(rest.limits.RetryDelay(rest.calls.FailuresInRow(), rest.calls.now()-rest.began))
 	defer timer.Stop()
 	select {
 	case <-part.Stopping:
--- a/internal/peer/store/ask_test.go
+++ b/internal/peer/store/ask_test.go
@@ -21,11 +21,11 @@
 	part   *lifecycle.Part
 	made   atomic.Int32
 	wanted bool
-	limits patience.Limits
+	limits patience.Timing
 }
 
 func newScript() *script {
-	return &script{calls: NewCalls(Clock(clock.Virtual())), part: lifecycle.New("test"), wanted: true, limits: patience.Of(patience.Speaker)}
+	return &script{calls: NewCalls(Clock(clock.Virtual())), part: lifecycle.New("test"), wanted: true, limits: patience.TimingFor(patience.Representative)}
 }
 
 // ask asks a question whose calls behave as given, and returns the answer and how long it took.
@@ -150,7 +150,7 @@
 		expect := gomega.NewWithT(t)
 		script := newScript()
 		defer script.part.Stop()
-		script.limits = patience.Limits{Again: 400 * time.Millisecond, Away: 2 * time.Second, Most: 3 * time.Second}
+		script.limits = patience.Timing{HedgeInterval: 400 * time.Millisecond, OutageInterval: 2 * time.Second, CallTimeout: 3 * time.Second}
 		others := conc.WaitGroup{}
 		others.Go(func() {
 			for range 20 {
@@ -173,7 +173,7 @@
 		defer script.part.Stop()
 		script.calls.Begin("other", 0).End(errSilent)
 		script.calls.Begin("other", 0).End(errSilent)
-		rest := script.calls.Rest(patience.Of(patience.Hearer))
+		rest := script.calls.Rest(patience.TimingFor(patience.Listener))
 		script.calls.Begin("other", 0).End(nil)
 		script.calls.Begin("other", 0).End(errSilent)
 		script.calls.Begin("other", 0).End(errSilent)
--- a/internal/peer/store/calls.go
+++ b/internal/peer/store/calls.go
@@ -33,7 +33,7 @@
 	awayFrom time.Duration
 	// answeredFrom is when the youngest call began that was answered.
 	answeredFrom time.Duration
-	usual        patience.Usual
+	usual        patience.LatencyWindow
 	// returns is closed with the first answer after a failure, or a hint of one.
 	returns chan struct{}
 	// hungTold says that a call that hung was told of in this outage.
@@ -154,7 +154,7 @@
 	ended := calls.away
 	calls.away, calls.failures, calls.answeredAt = false, 0, now
 	calls.answeredFrom = max(calls.answeredFrom, call.began)
-	calls.usual.Took(now - call.began - call.wait)
+	calls.usual.Observe(now - call.began - call.wait)
 	if !ended {
 		return func() {}
 	}
@@ -255,7 +255,7 @@
 func (calls *Calls) Usual() time.Duration {
 	calls.mu.Lock()
 	defer calls.mu.Unlock()
-	return calls.usual.Longest()
+	return calls.usual.Max()
 }
 
 // Returns is closed with the first answer after a failure, or a hint of one.
--- a/internal/policy/dispatch/admit.go
+++ b/internal/policy/dispatch/admit.go
@@ -17,7 +17,7 @@
 // unwilling says whether the target gets no new calls from any node: its group is lost, its server wants none, or its
 // data centre is drained.
 func (target *Target) unwilling(now time.Duration) bool {
-	return target.lost.Load() || target.drain.Drained() || !target.record.Takes(now)
+	return target.lost.Load() || target.drain.Drained() || !target.record.Accepts(now)
 }
 
 // ErrDrained says that a call was withheld since the data centre of its target was drained
--- a/internal/policy/dispatch/backoff_test.go
+++ b/internal/policy/dispatch/backoff_test.go
@@ -22,7 +22,7 @@
 }
 
 func backoff(notices *notice.Notices, server string, span time.Duration) {
-	notices.Heard(notices.Record(ratelimit.Run{Server: server}), notice.Answer{Backoff: notice.Backoff{Span: span}})
+	notices.HandleResponse(notices.Record(ratelimit.Run{Server: server}), notice.Response{Backoff: notice.Backoff{Span: span}})
 }
 
 // Guards against a server in its backoff that looks empty and so is the first choice.
@@ -73,7 +73,7 @@
 	expect := gomega.NewWithT(t)
 	board, notices, _ := noticedBoard()
 	for _, server := range []string{"a", "b"} {
-		notices.Heard(notices.Record(ratelimit.Run{Server: server}), notice.Answer{Draining: true})
+		notices.HandleResponse(notices.Record(ratelimit.Run{Server: server}), notice.Response{Draining: true})
 	}
 	for _, group := range []string{"g1", "g2"} {
 		again := head("a")
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -387,7 +387,7 @@
 // Await counts a call that waits for a permit of the target's server until the function
 // is called.
 func (target *Target) Await(urgency int) (done func()) {
-	return target.record.Gate.Await(urgency)
+	return target.record.Gate.AddWaiter(urgency)
 }
 
 // Record is what the target's server said of itself.
@@ -397,7 +397,7 @@
 
 // OpensAt is when a target whose server asked for a backoff may get the next call.
 func (target *Target) OpensAt() time.Duration {
-	return target.record.OpensAt()
+	return target.record.NextCallAt()
 }
 
 // Avoid keeps new calls off the target for a while, after it failed one. It doesn't shorten
--- a/internal/policy/dispatch/hint_test.go
+++ b/internal/policy/dispatch/hint_test.go
@@ -105,7 +105,7 @@
 			use, sent := target.Begin(100, 0, func() {}), model.at
 			model.after(modelCall, func() {
 				use.End()
-				model.notices[node].Heard(target.Record(), notice.Answer{Taken: true, Began: sent})
+				model.notices[node].HandleResponse(target.Record(), notice.Response{Accepted: true, SentAt: sent})
 			})
 			return
 		}
@@ -123,15 +123,15 @@
 }
 
 func (model *backoffModel) hear(node int, target *dispatch.Target) {
-	changes := model.notices[node].Heard(target.Record(), notice.Answer{Backoff: notice.Backoff{Span: modelBackoff}})
-	told, known := model.notices[node].Told(target.ServerRun())
-	if !model.told || !changes.Tell || !known {
+	changes := model.notices[node].HandleResponse(target.Record(), notice.Response{Backoff: notice.Backoff{Span: modelBackoff}})
+	told, known := model.notices[node].Announcement(target.ServerRun())
+	if !model.told || !changes.Announce || !known {
 		return
 	}
 	model.after(modelWay, func() {
 		for other, notices := range model.notices {
 			if other != node {
-				notices.Take(told)
+				notices.Merge(told)
 			}
 		}
 	})
--- a/internal/policy/dispatch/limit_test.go
+++ b/internal/policy/dispatch/limit_test.go
@@ -20,11 +20,11 @@
 	draw := rand.New(rand.NewPCG(1, 1))
 	board := dispatch.New(dispatch.Clock(now), dispatch.Random(draw.IntN), dispatch.Notices(notice.New(limits)))
 	board.Update(map[string][]dispatch.Spec{pool: {head("a"), head("b")}})
-	limits.Answered(ratelimit.Run{Server: "a"}, ratelimit.Answer{Named: true, Rate: 2})
+	limits.HandleResponse(ratelimit.Run{Server: "a"}, ratelimit.Response{HasLimit: true, Rate: 2})
 	return board, limits, &at
 }
 
-func home(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Home: true, Part: 1} }
+func home(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Issuer: true, Share: 1} }
 
 // Guards against calls that wait for a server that names a limit while another has places.
 func TestCallsGoElsewhereBeforeALimitIsReached(t *testing.T) {
@@ -61,6 +61,6 @@
 	board, limits, _ := limitedBoard()
 	board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 3}})
 	expect.Expect(board.Occupancy(pool)).To(gomega.Equal(dispatch.Occupancy{Targets: 2, Places: 19, Taken: 3, Limit: 2}))
-	limits.Take(ratelimit.Limit{Run: ratelimit.Run{Server: "a"}, Version: 9, Ended: true})
+	limits.Merge(ratelimit.Limit{Run: ratelimit.Run{Server: "a"}, Version: 9, Ended: true})
 	expect.Expect(board.Occupancy(pool)).To(gomega.Equal(dispatch.Occupancy{Targets: 2, Places: 32, Taken: 3}))
 }
--- a/internal/policy/dispatch/pick.go
+++ b/internal/policy/dispatch/pick.go
@@ -122,7 +122,7 @@
 			continue
 		}
 		costs[number] = wish.cost(target) + target.risk(now)
-		if target.record.Hinted(now) {
+		if target.record.HasHint(now) {
 			costs[number] += hinted
 		}
 		if wish.Proven && !target.proven(now) {
@@ -141,7 +141,7 @@
 func (wish *Wish) opensFirst(targets []*Target, now time.Duration) (*Target, Verdict) {
 	var first *Target
 	for _, target := range targets {
-		if target.Lost() || target.drain.Drained() || !wish.allows(target) || target.record.Draining() || target.record.Takes(now) {
+		if target.Lost() || target.drain.Drained() || !wish.allows(target) || target.record.Draining() || target.record.Accepts(now) {
 			continue
 		}
 		if first == nil || target.OpensAt() < first.OpensAt() {
@@ -165,9 +165,9 @@
 		case number < 0:
 			return nil, Full
 		case !board.warms(targets[number]):
-		case targets[number].record.Gate.Take(wish.Urgency):
+		case targets[number].record.Gate.TryAcquire(wish.Urgency):
 			if limited != nil {
-				limited.record.Gate.Ask()
+				limited.record.Gate.RecordDemand()
 			}
 			return targets[number], Chosen
 		case limited == nil:
--- a/internal/policy/dispatch/state.go
+++ b/internal/policy/dispatch/state.go
@@ -25,7 +25,7 @@
 				Server: target.ID, Address: target.Address, Group: target.Group, DataCentre: target.DataCentre, Slots: target.Slots,
 				Mine: int(target.mine.Load()), Others: int(target.peers.Load()),
 				Unread: int(target.unread.Load() + target.peersUnread.Load()), Avoided: target.Avoided(now), Broken: target.breaker.open(now),
-				BacksOff: !target.record.Draining() && !target.record.Takes(now), Draining: target.record.Draining(),
+				BacksOff: !target.record.Draining() && !target.record.Accepts(now), Draining: target.record.Draining(),
 				Drained: target.drain.Drained(), Cold: target.cold(now),
 				Pace: target.slower(),
 			})
--- a/internal/policy/notice/notice.go
+++ b/internal/policy/notice/notice.go
@@ -49,18 +49,18 @@
 const (
 	// backoffMost bounds a backoff: a server that asks for more has either ended by then or
 	// changed its mind.
-	backoffMost = 7 * 24 * time.Hour
+	maxBackoff = 7 * 24 * time.Hour
 	// trialTime is how long the first call after a backoff is waited for before another
 	// may try. Its answer may be lost, or its caller may leave.
-	trialTime = 500 * time.Millisecond
+	probeTimeout = 500 * time.Millisecond
 	// prolongedLeast is by how much a backoff must grow to be news: calls that
 	// were refused together each grow it a little.
-	prolongedLeast = 100 * time.Millisecond
+	minExtension = 100 * time.Millisecond
 	// unaskedAfter is how long after its end a backoff is forgotten that no call has tried.
-	unaskedAfter = 10 * time.Second
+	untriedBackoffTTL = 10 * time.Second
 	// drainingKept is for how long a drain is remembered of a run that no target and no
 	// entry stands for. Entries vanish and come back, also after outages of the registry.
-	drainingKept = 30 * time.Minute
+	drainTTL = 30 * time.Minute
 )
 
 // Backoff is what one answer asks for.
@@ -72,13 +72,13 @@
 }
 
 // Answer is what one answer of a server says of the server.
-type Answer struct {
+type Response struct {
 	Backoff Backoff
 	// Draining says that the server takes no new calls.
 	Draining bool
 	// Taken says that the server took a call, Began when that was sent.
-	Taken bool
-	Began time.Duration
+	Accepted bool
+	SentAt   time.Duration
 }
 
 // Change is what an answer changed.
@@ -87,11 +87,11 @@
 // The changes.
 const (
 	Unchanged Change = iota
-	Learnt
-	Prolonged
+	Learned
+	Extended
 	Ended
 	// Spoilt: the answer has the first value of this server that can't be read.
-	Spoilt
+	Unreadable
 )
 
 // Changes are those of one answer.
@@ -99,7 +99,7 @@
 	Backoff  Change
 	Draining Change
 	// Tell says that other nodes are to be told.
-	Tell bool
+	Announce bool
 }
 
 // Counts are counters; they only grow.
@@ -122,31 +122,31 @@
 	limits *ratelimit.Limits
 
 	mu      sync.Mutex
-	servers map[string]*server
+	servers map[string]*serverState
 }
 
 // server is what is known of all runs under one ID.
-type server struct {
+type serverState struct {
 	// until is the end of the backoff, 0 for none; trial is when the call was sent that
 	// tries the server after it, 0 for none.
-	until atomic.Int64
-	trial atomic.Int64
+	backoffUntil atomic.Int64
+	probeSentAt  atomic.Int64
 	// elsewhere is the end of a backoff that the server asked of other nodes, 0 for none.
-	elsewhere atomic.Int64
+	hintUntil atomic.Int64
 
 	// The lock of Notices guards the rest. asked is the span that was asked for last, and
 	// askedAt when.
-	asked   time.Duration
-	askedAt time.Duration
-	spoilt  bool
-	runs    map[int64]*run
+	requestedSpan      time.Duration
+	requestedAt        time.Duration
+	unreadableReported bool
+	runs               map[int64]*run
 }
 
 // run is what is known of one run.
 type run struct {
 	draining atomic.Bool
 	// since is when it said so, usedAt when anything last stood for the run.
-	since, usedAt time.Duration
+	drainingSince, lastUsedAt time.Duration
 }
 
 // Record is what one run of a server has said of itself.
@@ -156,7 +156,7 @@
 	Gate *ratelimit.Gate
 
 	notices *Notices
-	server  *server
+	server  *serverState
 	run     *run
 }
 
@@ -170,7 +170,7 @@
 
 // New returns notices of no server, with the limits that servers name.
 func New(limits *ratelimit.Limits, options ...Option) *Notices {
-	notices := &Notices{now: clock.Boot, limits: limits, servers: map[string]*server{}}
+	notices := &Notices{now: clock.Boot, limits: limits, servers: map[string]*serverState{}}
 	for _, option := range options {
 		option(notices)
 	}
@@ -185,10 +185,10 @@
 	return &Record{Run: key, Gate: notices.limits.Gate(key), notices: notices, server: held, run: one}
 }
 
-func (notices *Notices) runLocked(key ratelimit.Run) (*server, *run) {
+func (notices *Notices) runLocked(key ratelimit.Run) (*serverState, *run) {
 	held := notices.servers[key.Server]
 	if held == nil {
-		held = &server{runs: map[int64]*run{}}
+		held = &serverState{runs: map[int64]*run{}}
 		notices.servers[key.Server] = held
 	}
 	one := held.runs[key.Born]
@@ -196,78 +196,78 @@
 		one = &run{}
 		held.runs[key.Born] = one
 	}
-	one.usedAt = notices.now()
+	one.lastUsedAt = notices.now()
 	return held, one
 }
 
 // Heard takes what an answer says of its server.
-func (notices *Notices) Heard(record *Record, answer Answer) Changes {
+func (notices *Notices) HandleResponse(record *Record, answer Response) Changes {
 	quiet := answer.Backoff == Backoff{} && !answer.Draining
-	if quiet && (!answer.Taken || record.server.until.Load() == 0) {
+	if quiet && (!answer.Accepted || record.server.backoffUntil.Load() == 0) {
 		return Changes{}
 	}
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
-	changes := Changes{Backoff: notices.backoffLocked(record.server, answer), Draining: notices.drainLocked(record.run, answer)}
+	changes := Changes{Backoff: notices.applyBackoffLocked(record.server, answer), Draining: notices.applyDrainLocked(record.run, answer)}
 	hinted := notices.hintLocked(record.server, answer.Backoff.Span)
-	changes.Tell = hinted || changes.Draining == Learnt
+	changes.Announce = hinted || changes.Draining == Learned
 	return changes
 }
 
-func (notices *Notices) backoffLocked(held *server, answer Answer) Change {
+func (notices *Notices) applyBackoffLocked(held *serverState, answer Response) Change {
 	now := notices.now()
-	until := time.Duration(held.until.Load())
+	until := time.Duration(held.backoffUntil.Load())
 	switch asked := answer.Backoff; {
 	case asked.Span > 0:
-		return notices.prolongLocked(held, min(asked.Span, backoffMost))
+		return notices.extendBackoffLocked(held, min(asked.Span, maxBackoff))
 	case asked.Unreadable != "":
-		return notices.spoilLocked(held)
-	case !answer.Taken || until == 0 || now < until || answer.Began < until:
+		return notices.countUnreadableLocked(held)
+	case !answer.Accepted || until == 0 || now < until || answer.SentAt < until:
 		return Unchanged
 	}
-	held.until.Store(0)
-	held.trial.Store(0)
+	held.backoffUntil.Store(0)
+	held.probeSentAt.Store(0)
 	return Ended
 }
 
-func (notices *Notices) spoilLocked(held *server) Change {
+func (notices *Notices) countUnreadableLocked(held *serverState) Change {
 	notices.Counts.Unreadable.Add(1)
-	if held.spoilt {
+	if held.unreadableReported {
 		return Unchanged
 	}
-	held.spoilt = true
-	return Spoilt
+	held.unreadableReported = true
+	return Unreadable
 }
 
 // prolongLocked puts a backoff in force. A shorter one doesn't cut a longer one short: the
 // server may have asked for the longer one because of another call.
-func (notices *Notices) prolongLocked(held *server, span time.Duration) Change {
+func (notices *Notices) extendBackoffLocked(held *serverState, span time.Duration) Change {
 	now := notices.now()
-	before, until := time.Duration(held.until.Load()), now+span
+	before, until := time.Duration(held.backoffUntil.Load()), now+span
 	if until <= before {
 		return Unchanged
 	}
-	held.until.Store(int64(until))
-	held.trial.Store(0)
-	held.asked, held.askedAt = span, now
+	held.backoffUntil.Store(int64(until))
+	held.probeSentAt.Store(0)
+	held.requestedSpan, held.requestedAt = span, now
 	switch {
 	case before <= now:
 		notices.Counts.Backoffs.Add(1)
-		return Learnt
-	case until-before < prolongedLeast:
+		return Learned
+	case until-before < minExtension:
 		return Unchanged
 	}
 	notices.Counts.Backoffs.Add(1)
-	return Prolonged
+	return Extended
 }
 
-func (notices *Notices) drainLocked(held *run, answer Answer) Change {
+func (notices *Notices) applyDrainLocked(held *run, answer Response) Change {
 	if !answer.Draining || held.draining.Swap(true) {
 		return Unchanged
 	}
-	held.since = notices.now()
+	held.drainingSince = notices.now()
 	notices.Counts.Drains.Add(1)
-	return Learnt
+	return Learned
 }
 
 // Draining says whether a run has said that it is draining.
@@ -285,12 +285,12 @@
 }
 
 // BacksOff says whether a server asked this node for a backoff that lasts.
-func (notices *Notices) BacksOff(id string) bool {
+func (notices *Notices) InBackoff(id string) bool {
 	if notices.Counts.Backoffs.Load() == 0 {
 		return false
 	}
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
 	held := notices.servers[id]
-	return held != nil && time.Duration(held.until.Load()) > notices.now()
+	return held != nil && time.Duration(held.backoffUntil.Load()) > notices.now()
 }
--- a/internal/policy/notice/notice_test.go
+++ b/internal/policy/notice/notice_test.go
@@ -21,40 +21,40 @@
 	record *notice.Record
 }
 
-var run = ratelimit.Run{Server: "a", Born: 7}
+var runState = ratelimit.Run{Server: "a", Born: 7}
 
 func newFixture(t *testing.T) *fixture {
 	fixture := &fixture{Gomega: gomega.NewWithT(t), at: time.Hour}
 	now := func() time.Duration { return fixture.at }
 	fixture.Notices = notice.New(ratelimit.New(ratelimit.Clock(now)), notice.Clock(now))
-	fixture.record = fixture.Record(run)
+	fixture.record = fixture.Record(runState)
 	return fixture
 }
 
 // ask makes the server ask for a backoff.
 func (fixture *fixture) ask(span time.Duration) notice.Change {
-	return fixture.Heard(fixture.record, notice.Answer{Backoff: notice.Backoff{Span: span}}).Backoff
+	return fixture.HandleResponse(fixture.record, notice.Response{Backoff: notice.Backoff{Span: span}}).Backoff
 }
 
 // take makes the server take a call that was sent at a time.
 func (fixture *fixture) take(began time.Duration) notice.Change {
-	return fixture.Heard(fixture.record, notice.Answer{Taken: true, Began: began}).Backoff
+	return fixture.HandleResponse(fixture.record, notice.Response{Accepted: true, SentAt: began}).Backoff
 }
 
 // Guards against a backoff that a later, shorter one cuts short.
 func TestShorterBackoffDoesNotShortenALongerOne(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.Expect(fixture.ask(3 * time.Second)).To(gomega.Equal(notice.Learnt))
+	fixture.Expect(fixture.ask(3 * time.Second)).To(gomega.Equal(notice.Learned))
 	fixture.at += time.Second
 	fixture.Expect(fixture.ask(300 * time.Millisecond)).To(gomega.Equal(notice.Unchanged))
 	fixture.Expect(fixture.take(fixture.at)).To(gomega.Equal(notice.Unchanged), "a call that was sent before")
 	fixture.at += 1999 * time.Millisecond
 	fixture.Expect(fixture.record.Admit()).To(gomega.MatchError(notice.ErrBackoff))
-	fixture.Expect(fixture.ask(time.Second)).To(gomega.Equal(notice.Prolonged))
+	fixture.Expect(fixture.ask(time.Second)).To(gomega.Equal(notice.Extended))
 	fixture.at += 999 * time.Millisecond
-	fixture.Expect(fixture.record.Takes(fixture.at)).To(gomega.BeFalse())
+	fixture.Expect(fixture.record.Accepts(fixture.at)).To(gomega.BeFalse())
 	fixture.at += time.Millisecond
-	fixture.Expect(fixture.record.Takes(fixture.at)).To(gomega.BeTrue())
+	fixture.Expect(fixture.record.Accepts(fixture.at)).To(gomega.BeTrue())
 }
 
 // Guards against all calls that waited reaching a server together that is still in need.
@@ -64,7 +64,7 @@
 	fixture.at += time.Second
 	sent := fixture.at
 	fixture.Expect(fixture.record.Admit()).To(gomega.Succeed())
-	fixture.Expect(fixture.record.Takes(fixture.at)).To(gomega.BeFalse())
+	fixture.Expect(fixture.record.Accepts(fixture.at)).To(gomega.BeFalse())
 	fixture.Expect(fixture.record.Admit()).To(gomega.MatchError(notice.ErrBackoff))
 	fixture.at += 20 * time.Millisecond
 	fixture.Expect(fixture.take(sent)).To(gomega.Equal(notice.Ended))
@@ -93,16 +93,16 @@
 // against a new run that gets no calls.
 func TestOnlyAnotherRunEndsADrain(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.Expect(fixture.Heard(fixture.record, notice.Answer{Draining: true}).Draining).To(gomega.Equal(notice.Learnt))
-	fixture.Expect(fixture.Heard(fixture.record, notice.Answer{Draining: true}).Draining).To(gomega.Equal(notice.Unchanged))
+	fixture.Expect(fixture.HandleResponse(fixture.record, notice.Response{Draining: true}).Draining).To(gomega.Equal(notice.Learned))
+	fixture.Expect(fixture.HandleResponse(fixture.record, notice.Response{Draining: true}).Draining).To(gomega.Equal(notice.Unchanged))
 	fixture.take(fixture.at)
 	for range 20 {
 		fixture.at += time.Minute
 		fixture.Sweep(func(ratelimit.Run) bool { return false })
 	}
-	fixture.Expect(fixture.Record(run).Admit()).To(gomega.MatchError(notice.ErrDraining))
-	fixture.Expect(errors.Is(fixture.Record(run).Admit(), notice.ErrWithheld)).To(gomega.BeTrue())
-	fixture.Expect(fixture.Draining(run)).To(gomega.BeTrue())
+	fixture.Expect(fixture.Record(runState).Admit()).To(gomega.MatchError(notice.ErrDraining))
+	fixture.Expect(errors.Is(fixture.Record(runState).Admit(), notice.ErrWithheld)).To(gomega.BeTrue())
+	fixture.Expect(fixture.Draining(runState)).To(gomega.BeTrue())
 	next := ratelimit.Run{Server: "a", Born: 8}
 	fixture.Expect(fixture.Record(next).Admit()).To(gomega.Succeed())
 	fixture.Expect(fixture.Draining(next)).To(gomega.BeFalse())
@@ -123,12 +123,12 @@
 // Guards against spans that overflow, and lines without end of values that can't be read.
 func TestExtremeBackoffs(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.Expect(fixture.ask(math.MaxInt64 / 2)).To(gomega.Equal(notice.Learnt))
+	fixture.Expect(fixture.ask(math.MaxInt64 / 2)).To(gomega.Equal(notice.Learned))
 	fixture.Expect(fixture.State()[0].BackoffMilliseconds).To(gomega.Equal((7 * 24 * time.Hour).Milliseconds()))
 	other := fixture.Record(ratelimit.Run{Server: "b"})
-	bad := notice.Answer{Backoff: notice.Backoff{Unreadable: `"soon"`}}
-	fixture.Expect(fixture.Heard(other, bad).Backoff).To(gomega.Equal(notice.Spoilt))
-	fixture.Expect(fixture.Heard(other, bad).Backoff).To(gomega.Equal(notice.Unchanged))
+	bad := notice.Response{Backoff: notice.Backoff{Unreadable: `"soon"`}}
+	fixture.Expect(fixture.HandleResponse(other, bad).Backoff).To(gomega.Equal(notice.Unreadable))
+	fixture.Expect(fixture.HandleResponse(other, bad).Backoff).To(gomega.Equal(notice.Unchanged))
 	fixture.Expect(fixture.Counts.Unreadable.Load()).To(gomega.BeEquivalentTo(2))
 	fixture.Expect(other.Admit()).To(gomega.Succeed())
 }
@@ -153,9 +153,9 @@
 }
 
 func BenchmarkTakesWhereNothingWasSaid(b *testing.B) {
-	record := notice.New(ratelimit.New()).Record(run)
+	record := notice.New(ratelimit.New()).Record(runState)
 	for b.Loop() {
-		if !record.Takes(time.Hour) || record.Admit() != nil {
+		if !record.Accepts(time.Hour) || record.Admit() != nil {
 			b.Fatal("a call was not let through")
 		}
 	}
--- a/internal/policy/notice/state.go
+++ b/internal/policy/notice/state.go
@@ -31,15 +31,15 @@
 	now := notices.now()
 	states := []State{}
 	for id, held := range notices.servers {
-		hint := time.Duration(held.elsewhere.Load()) - now
+		hint := time.Duration(held.hintUntil.Load()) - now
 		state := State{Server: id, DrainingMilliseconds: -1, HintMilliseconds: max(0, hint).Milliseconds()}
-		if until := time.Duration(held.until.Load()); until != 0 {
+		if until := time.Duration(held.backoffUntil.Load()); until != 0 {
 			state.BackoffMilliseconds, state.Untried = max(0, until-now).Milliseconds(), until <= now
-			state.AskedMilliseconds, state.AskedMillisecondsAgo = held.asked.Milliseconds(), (now - held.askedAt).Milliseconds()
+			state.AskedMilliseconds, state.AskedMillisecondsAgo = held.requestedSpan.Milliseconds(), (now - held.requestedAt).Milliseconds()
 		}
 		for _, one := range held.runs {
 			if one.draining.Load() {
-				state.DrainingMilliseconds = max(state.DrainingMilliseconds, (now - one.since).Milliseconds())
+				state.DrainingMilliseconds = max(state.DrainingMilliseconds, (now - one.drainingSince).Milliseconds())
 			}
 		}
 		if state.AskedMilliseconds > 0 || state.HintMilliseconds > 0 || state.DrainingMilliseconds >= 0 {
@@ -58,20 +58,20 @@
 	now := notices.now()
 	untried := []string{}
 	for id, held := range notices.servers {
-		if until := time.Duration(held.until.Load()); until != 0 && now >= until+unaskedAfter {
-			held.until.Store(0)
-			held.trial.Store(0)
+		if until := time.Duration(held.backoffUntil.Load()); until != 0 && now >= until+untriedBackoffTTL {
+			held.backoffUntil.Store(0)
+			held.probeSentAt.Store(0)
 			untried = append(untried, id)
 		}
 		for born, one := range held.runs {
 			if used(ratelimit.Run{Server: id, Born: born}) {
-				one.usedAt = now
+				one.lastUsedAt = now
 			}
-			if one.forgotten(now) {
+			if one.expired(now) {
 				delete(held.runs, born)
 			}
 		}
-		if len(held.runs) == 0 && held.until.Load() == 0 {
+		if len(held.runs) == 0 && held.backoffUntil.Load() == 0 {
 			delete(notices.servers, id)
 		}
 	}
@@ -81,12 +81,12 @@
 
 // unusedKept is how long a run is remembered for which nothing stands: a target may just
 // have been made for it.
-const unusedKept = 2 * time.Second
+const unusedRunTTL = 2 * time.Second
 
-func (run *run) forgotten(now time.Duration) bool {
-	kept := unusedKept
+func (run *run) expired(now time.Duration) bool {
+	kept := unusedRunTTL
 	if run.draining.Load() {
-		kept = drainingKept
+		kept = drainTTL
 	}
-	return now-run.usedAt > kept
+	return now-run.lastUsedAt > kept
 }
--- a/internal/policy/patience/patience.go
+++ b/internal/policy/patience/patience.go
@@ -16,87 +16,87 @@
 import "time"
 
 // Part is a node's part in reading the store.
-type Part int
+type Role int
 
 // The parts of nodes.
 const (
 	// Speaker: it speaks for its data centre, and others hear from it that the store is back.
-	Speaker Part = iota
+	Representative Role = iota
 	// Hearer: it asks for itself, where nobody tells it.
-	Hearer
+	Listener
 )
 
 // Limits are how long one node waits for the store.
-type Limits struct {
+type Timing struct {
 	// Again is the time between the starts of two calls while none is answered, Away the same
 	// once the store answers no call of this node.
-	Again, Away time.Duration
+	HedgeInterval, OutageInterval time.Duration
 	// Most is how long one call may take beside the time that it waits for news.
-	Most time.Duration
+	CallTimeout time.Duration
 }
 
 const (
-	againSpeaker = 400 * time.Millisecond
-	againHearer  = 800 * time.Millisecond
+	representativeInterval = 400 * time.Millisecond
+	listenerInterval       = 800 * time.Millisecond
 	// most is as long as a store may take that is slow and not away.
-	most = 3 * time.Second
+	callTimeout = 3 * time.Second
 	// besideLeast and besideMost bound when a second call is made beside one.
-	besideLeast = 250 * time.Millisecond
-	besideMost  = time.Second
+	minHedgeDelay = 250 * time.Millisecond
+	maxHedgeDelay = time.Second
 )
 
 // Of returns the limits of a node with a part.
-func Of(part Part) Limits {
-	if part == Speaker {
-		return Limits{Again: againSpeaker, Away: againSpeaker, Most: most}
+func TimingFor(part Role) Timing {
+	if part == Representative {
+		return Timing{HedgeInterval: representativeInterval, OutageInterval: representativeInterval, CallTimeout: callTimeout}
 	}
-	return Limits{Again: againHearer, Away: againHearer, Most: most}
+	return Timing{HedgeInterval: listenerInterval, OutageInterval: listenerInterval, CallTimeout: callTimeout}
 }
 
 // Beside returns after which time of a call that waits for news another is made beside it:
 // twice what answers usually take, within bounds.
-func Beside(wait, usual time.Duration) time.Duration {
-	return wait + min(besideMost, max(besideLeast, 2*usual))
+func HedgeDelay(wait, usual time.Duration) time.Duration {
+	return wait + min(maxHedgeDelay, max(minHedgeDelay, 2*usual))
 }
 
 // firstPause follows the first failure after an answer: a connection that was reset is
 // no outage.
-const firstPause = 150 * time.Millisecond
+const firstRetryDelay = 150 * time.Millisecond
 
 // Pause returns how long the next call waits after one that failed some time after its
 // start, as the last of some in a row.
-func (limits Limits) Pause(failures int, elapsed time.Duration) time.Duration {
+func (limits Timing) RetryDelay(failures int, elapsed time.Duration) time.Duration {
 	if failures <= 1 {
-		return firstPause
+		return firstRetryDelay
 	}
-	return max(0, limits.Away-elapsed)
+	return max(0, limits.OutageInterval-elapsed)
 }
 
 // Next returns how long after a call that hangs another is made beside it.
-func (limits Limits) Next(away bool) time.Duration {
+func (limits Timing) NextHedge(away bool) time.Duration {
 	if away {
-		return limits.Away
+		return limits.OutageInterval
 	}
-	return limits.Again
+	return limits.HedgeInterval
 }
 
 // usualOf is over how many answers the usual time is taken.
-const usualOf = 8
+const latencySamples = 8
 
 // Usual is how long answers take.
-type Usual struct {
-	latest [usualOf]time.Duration
+type LatencyWindow struct {
+	latest [latencySamples]time.Duration
 	next   int
 }
 
 // Took notes how long an answer took beside the time that it waited for news.
-func (usual *Usual) Took(span time.Duration) {
+func (usual *LatencyWindow) Observe(span time.Duration) {
 	usual.latest[usual.next] = max(0, span)
-	usual.next = (usual.next + 1) % usualOf
+	usual.next = (usual.next + 1) % latencySamples
 }
 
 // Longest is the longest of the latest answers.
-func (usual *Usual) Longest() time.Duration {
+func (usual *LatencyWindow) Max() time.Duration {
 	longest := time.Duration(0)
 	for _, span := range usual.latest {
 		longest = max(longest, span)
--- a/internal/policy/quarantine/doubt.go
+++ b/internal/policy/quarantine/doubt.go
@@ -6,7 +6,7 @@
 )
 
 // doubt is a request whose group stood still. It may only be slow.
-type doubt struct {
+type stall struct {
 	fingerprint Fingerprint
 	group, run  string
 	at          time.Duration
@@ -15,37 +15,37 @@
 const (
 	// doubtKept is for how long a group that stands still may turn out to have lost a
 	// member: longer than the registry takes to drop one that says nothing more.
-	doubtKept = 6 * time.Second
+	stallTTL = 6 * time.Second
 	// doubtsMost bounds the doubts: the calls of some twenty groups.
-	doubtsMost = 512
+	maxStalls = 512
 )
 
 // Doubt notes that a request's group stood still, which counts as an end once the group is
 // known to have lost a member: of the groups that stand still, three in ten are whole.
-func (list *List) Doubt(fingerprint Fingerprint, group, run string) {
-	list.doubtsMu.Lock()
-	defer list.doubtsMu.Unlock()
+func (list *List) RecordStall(fingerprint Fingerprint, group, run string) {
+	list.stallsMu.Lock()
+	defer list.stallsMu.Unlock()
 	now := list.now()
-	list.doubts = slices.DeleteFunc(list.doubts, func(doubt doubt) bool { return now-doubt.at > doubtKept })
-	if len(list.doubts) < doubtsMost {
-		list.doubts = append(list.doubts, doubt{fingerprint: fingerprint, group: group, run: run, at: now})
+	list.stalls = slices.DeleteFunc(list.stalls, func(doubt stall) bool { return now-doubt.at > stallTTL })
+	if len(list.stalls) < maxStalls {
+		list.stalls = append(list.stalls, stall{fingerprint: fingerprint, group: group, run: run, at: now})
 	}
 }
 
 // Lost notes that a group lost a member, and returns the requests under which that is news.
-func (list *List) Lost(group string) []Fingerprint {
-	list.doubtsMu.Lock()
-	confirmed := []doubt{}
-	for _, doubt := range list.doubts {
-		if doubt.group == group && list.now()-doubt.at <= doubtKept {
+func (list *List) ConfirmGroupLoss(group string) []Fingerprint {
+	list.stallsMu.Lock()
+	confirmed := []stall{}
+	for _, doubt := range list.stalls {
+		if doubt.group == group && list.now()-doubt.at <= stallTTL {
 			confirmed = append(confirmed, doubt)
 		}
 	}
-	list.doubts = slices.DeleteFunc(list.doubts, func(doubt doubt) bool { return doubt.group == group })
-	list.doubtsMu.Unlock()
+	list.stalls = slices.DeleteFunc(list.stalls, func(doubt stall) bool { return doubt.group == group })
+	list.stallsMu.Unlock()
 	news := []Fingerprint{}
 	for _, doubt := range confirmed {
-		if _, told := list.Ended(doubt.fingerprint, doubt.run); told {
+		if _, told := list.RecordFailure(doubt.fingerprint, doubt.run); told {
 			news = append(news, doubt.fingerprint)
 		}
 	}
--- a/internal/policy/quarantine/fingerprint.go
+++ b/internal/policy/quarantine/fingerprint.go
@@ -14,7 +14,7 @@
 type Fingerprint uint64
 
 // Asked is what a fingerprint is of.
-type Asked struct {
+type Request struct {
 	// Workspace is the caller's, empty on routes that ask for no key. It is used in
 	// place of the key, since one workspace may hold several.
 	Workspace string
@@ -27,7 +27,7 @@
 
 // Of returns the fingerprint of a request. Each part is hashed with its length, so that
 // no two requests differ only in where one part ends.
-func Of(asked Asked) Fingerprint {
+func NewFingerprint(asked Request) Fingerprint {
 	digest := xxhash.New()
 	length := [8]byte{}
 	for _, part := range []string{asked.Workspace, asked.Method, asked.Host, asked.Target} {
@@ -45,13 +45,13 @@
 }
 
 // ErrFingerprint means that a text is no fingerprint. Use errors.Is.
-var ErrFingerprint = errors.New("a fingerprint is sixteen hexadecimal digits")
+var ErrInvalidFingerprint = errors.New("a fingerprint is sixteen hexadecimal digits")
 
 // Parse reads a fingerprint as String writes it.
-func Parse(text string) (Fingerprint, error) {
+func ParseFingerprint(text string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 {
-		return 0, errors.Wrapf(ErrFingerprint, "read %q", text)
+		return 0, errors.Wrapf(ErrInvalidFingerprint, "read %q", text)
 	}
 	return Fingerprint(value), nil
 }
--- a/internal/policy/quarantine/quarantine.go
+++ b/internal/policy/quarantine/quarantine.go
@@ -42,31 +42,31 @@
 	// and so is a second in a wave of losses, in which a stream that goes on elsewhere
 	// soon breaks off again; a third is rare even there, and each costs a group. Without
 	// the bound one caller goes on to end servers for as long as it returns.
-	endsMost = 3
+	defaultFailureThreshold = 3
 	// remembered is for how long an end counts. Who sends such a request comes back after
 	// seconds or minutes; after this a fault that was mended meanwhile holds nobody up.
-	remembered = 10 * time.Minute
+	defaultFailureTTL = 10 * time.Minute
 	// liftRemembered is for how long it is remembered that suspicion was lifted: ends
 	// that are told late don't raise it again.
-	liftRemembered = 30 * time.Second
+	liftTTL = 30 * time.Second
 	// sameLift is how far apart nodes may note one and the same lift.
-	sameLift = time.Second
+	sameLiftTolerance = time.Second
 	// entriesMost bounds the list: at some 200 bytes each, under half a megabyte. A wave
 	// of losses brings some hundred innocent requests, most of which are served
 	// within seconds.
-	entriesMost = 2048
+	maxEntries = 2048
 	// endsKept bounds the ends of one request.
-	endsKept = 8
+	maxFailuresKept = 8
 	// servedFor is for how long an answered request is known as harmless, and servedMost
 	// how many are kept, by their fingerprints' last bits, sixteen bytes each. Where all
 	// callers of a fleet send the same body and some groups lose their heads at once, innocent
 	// requests would be refused without it.
-	servedFor  = 30 * time.Second
-	servedMost = 1024
+	successTTL   = 30 * time.Second
+	successSlots = 1024
 )
 
 // End is a server that ended while it had a request.
-type End struct {
+type Failure struct {
 	// Run names one run of the server, in one group.
 	Run string
 	At  time.Duration
@@ -76,7 +76,7 @@
 type Suspect struct {
 	Fingerprint Fingerprint
 	// Ends are those that count, the oldest first.
-	Ends []End
+	Failures []Failure
 	// LiftedAt is when suspicion was last lifted, 0 for never. Ends up to then don't count.
 	LiftedAt time.Duration
 	// Peak is the most ends that counted at a time, as far as this node knew: who was
@@ -86,48 +86,48 @@
 
 // Verdict is why a request is refused.
 type Verdict struct {
-	Ends []End
+	Failures []Failure
 	// Left is for how long it will be, if nothing more happens.
-	Left time.Duration
+	Remaining time.Duration
 }
 
 // entry is a Suspect and how often it has changed here.
-type entry struct {
+type suspectEntry struct {
 	Suspect
 	version uint64
 }
 
-func (entry *entry) lastEnd() time.Duration {
-	if len(entry.Ends) == 0 {
+func (entry *suspectEntry) lastFailureAt() time.Duration {
+	if len(entry.Failures) == 0 {
 		return 0
 	}
-	return entry.Ends[len(entry.Ends)-1].At
+	return entry.Failures[len(entry.Failures)-1].At
 }
 
 // List is the requests under which servers ended, as far as this node knows.
 type List struct {
-	now        clock.Now
-	endsMost   int
-	remembered time.Duration
+	now              clock.Now
+	failureThreshold int
+	failureTTL       time.Duration
 
 	// known and refused count entries, so that a node on which no server ended
 	// spends nothing on a request.
-	known   atomic.Int32
-	refused atomic.Int32
+	entryCount       atomic.Int32
+	quarantinedCount atomic.Int32
 
-	servedMu sync.Mutex
-	served   [servedMost]served
+	successesMu sync.Mutex
+	successes   [successSlots]success
 
-	doubtsMu sync.Mutex
-	doubts   []doubt
+	stallsMu sync.Mutex
+	stalls   []stall
 
 	mu      sync.Mutex
-	entries map[Fingerprint]*entry
+	entries map[Fingerprint]*suspectEntry
 	version uint64
 }
 
 // served is a request that was answered whole.
-type served struct {
+type success struct {
 	fingerprint Fingerprint
 	at          time.Duration
 }
@@ -141,18 +141,18 @@
 }
 
 // Ends sets under how many ends of servers a request is refused.
-func Ends(most int) Option {
-	return func(list *List) { list.endsMost = most }
+func FailureThreshold(most int) Option {
+	return func(list *List) { list.failureThreshold = most }
 }
 
 // Remembered sets for how long an end counts.
-func Remembered(span time.Duration) Option {
-	return func(list *List) { list.remembered = span }
+func FailureTTL(span time.Duration) Option {
+	return func(list *List) { list.failureTTL = span }
 }
 
 // New returns an empty list.
 func New(options ...Option) *List {
-	list := &List{now: clock.Boot, endsMost: endsMost, remembered: remembered, entries: map[Fingerprint]*entry{}}
+	list := &List{now: clock.Boot, failureThreshold: defaultFailureThreshold, failureTTL: defaultFailureTTL, entries: map[Fingerprint]*suspectEntry{}}
 	for _, option := range options {
 		option(list)
 	}
@@ -162,164 +162,164 @@
 // Ended notes that a run of a server ended under a request, and returns how many did.
 // News says that it wasn't known. A request that was answered here a moment ago is not
 // to blame.
-func (list *List) Ended(fingerprint Fingerprint, run string) (ends int, news bool) {
+func (list *List) RecordFailure(fingerprint Fingerprint, run string) (ends int, news bool) {
 	now := list.now()
-	if list.servedLately(fingerprint, now) {
+	if list.succeededRecently(fingerprint, now) {
 		return 0, false
 	}
-	news = list.Take(Suspect{Fingerprint: fingerprint, Ends: []End{{Run: run, At: now}}})
+	news = list.Merge(Suspect{Fingerprint: fingerprint, Failures: []Failure{{Run: run, At: now}}})
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	if held, known := list.entries[fingerprint]; known {
-		ends = len(held.Ends)
+		ends = len(held.Failures)
 	}
 	return ends, news
 }
 
 // Served notes that a request was answered whole, which lifts suspicion. It says whether
 // there was any.
-func (list *List) Served(fingerprint Fingerprint) bool {
-	list.servedMu.Lock()
-	list.served[fingerprint%servedMost] = served{fingerprint: fingerprint, at: list.now()}
-	list.servedMu.Unlock()
-	if list.known.Load() == 0 {
+func (list *List) RecordSuccess(fingerprint Fingerprint) bool {
+	list.successesMu.Lock()
+	list.successes[fingerprint%successSlots] = success{fingerprint: fingerprint, at: list.now()}
+	list.successesMu.Unlock()
+	if list.entryCount.Load() == 0 {
 		return false
 	}
 	list.mu.Lock()
 	held, known := list.entries[fingerprint]
-	suspected := known && len(held.Ends) > 0 && !slices.ContainsFunc(held.Ends, byOperator)
+	suspected := known && len(held.Failures) > 0 && !slices.ContainsFunc(held.Failures, byOperator)
 	list.mu.Unlock()
 	return suspected && list.Lift(fingerprint)
 }
 
-func (list *List) servedLately(fingerprint Fingerprint, now time.Duration) bool {
-	list.servedMu.Lock()
-	defer list.servedMu.Unlock()
-	held := list.served[fingerprint%servedMost]
-	return held.fingerprint == fingerprint && held.at > 0 && now-held.at < servedFor
+func (list *List) succeededRecently(fingerprint Fingerprint, now time.Duration) bool {
+	list.successesMu.Lock()
+	defer list.successesMu.Unlock()
+	held := list.successes[fingerprint%successSlots]
+	return held.fingerprint == fingerprint && held.at > 0 && now-held.at < successTTL
 }
 
 // Lift ends all suspicion of a request, and says whether that is news.
 func (list *List) Lift(fingerprint Fingerprint) bool {
-	return list.Take(Suspect{Fingerprint: fingerprint, LiftedAt: list.now()})
+	return list.Merge(Suspect{Fingerprint: fingerprint, LiftedAt: list.now()})
 }
 
 // operatorRun begins the names of ends that an operator stated, of which no server
 // ended. An answer that was under way when the operator decided doesn't lift them.
-const operatorRun = "operator/"
+const operatorRunPrefix = "operator/"
 
-func byOperator(end End) bool {
-	return strings.HasPrefix(end.Run, operatorRun)
+func byOperator(end Failure) bool {
+	return strings.HasPrefix(end.Run, operatorRunPrefix)
 }
 
 // Refuse makes a request be refused, as an operator decides, and says whether that is
 // news.
-func (list *List) Refuse(fingerprint Fingerprint) bool {
+func (list *List) Quarantine(fingerprint Fingerprint) bool {
 	told := Suspect{Fingerprint: fingerprint}
-	for number := range list.endsMost {
-		told.Ends = append(told.Ends, End{Run: operatorRun + strconv.Itoa(number+1), At: list.now()})
+	for number := range list.failureThreshold {
+		told.Failures = append(told.Failures, Failure{Run: operatorRunPrefix + strconv.Itoa(number+1), At: list.now()})
 	}
-	return list.Take(told)
+	return list.Merge(told)
 }
 
 // Refuses says whether a request is refused, and why.
-func (list *List) Refuses(fingerprint Fingerprint) (Verdict, bool) {
-	if list.refused.Load() == 0 {
+func (list *List) Quarantined(fingerprint Fingerprint) (Verdict, bool) {
+	if list.quarantinedCount.Load() == 0 {
 		return Verdict{}, false
 	}
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	held, known := list.entries[fingerprint]
-	if !known || len(held.Ends) < list.endsMost {
+	if !known || len(held.Failures) < list.failureThreshold {
 		return Verdict{}, false
 	}
-	left := held.lastEnd() + list.remembered - list.now()
-	return Verdict{Ends: slices.Clone(held.Ends), Left: left}, left > 0
+	left := held.lastFailureAt() + list.failureTTL - list.now()
+	return Verdict{Failures: slices.Clone(held.Failures), Remaining: left}, left > 0
 }
 
 // Take adds what another node knows of a request, and says whether any of it is news.
-func (list *List) Take(told Suspect) bool {
+func (list *List) Merge(told Suspect) bool {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	defer list.countLocked()
+	defer list.updateCountsLocked()
 	held, known := list.entries[told.Fingerprint]
 	if !known {
-		held = &entry{Suspect: Suspect{Fingerprint: told.Fingerprint}}
+		held = &suspectEntry{Suspect: Suspect{Fingerprint: told.Fingerprint}}
 	}
-	news := told.LiftedAt > held.LiftedAt+sameLift || (told.LiftedAt > 0 && held.LiftedAt == 0)
+	news := told.LiftedAt > held.LiftedAt+sameLiftTolerance || (told.LiftedAt > 0 && held.LiftedAt == 0)
 	held.LiftedAt = max(held.LiftedAt, told.LiftedAt)
-	for _, end := range told.Ends {
-		news = list.add(held, end) || news
+	for _, end := range told.Failures {
+		news = list.addFailure(held, end) || news
 	}
-	held.Peak = max(held.Peak, len(held.Ends))
-	before := len(held.Ends)
-	held.Ends = slices.DeleteFunc(held.Ends, func(end End) bool { return end.At <= held.LiftedAt })
-	if !news && len(held.Ends) == before {
+	held.Peak = max(held.Peak, len(held.Failures))
+	before := len(held.Failures)
+	held.Failures = slices.DeleteFunc(held.Failures, func(end Failure) bool { return end.At <= held.LiftedAt })
+	if !news && len(held.Failures) == before {
 		return false
 	}
 	list.version++
 	held.version = list.version
 	list.entries[told.Fingerprint] = held
-	list.boundLocked()
+	list.evictLocked()
 	return true
 }
 
 // add adds an end to an entry unless it is known or counts no more.
-func (list *List) add(held *entry, end End) bool {
-	if end.At <= held.LiftedAt || list.now()-end.At > list.remembered {
+func (list *List) addFailure(held *suspectEntry, end Failure) bool {
+	if end.At <= held.LiftedAt || list.now()-end.At > list.failureTTL {
 		return false
 	}
-	if slices.ContainsFunc(held.Ends, func(other End) bool { return other.Run == end.Run }) {
+	if slices.ContainsFunc(held.Failures, func(other Failure) bool { return other.Run == end.Run }) {
 		return false
 	}
-	held.Ends = append(held.Ends, end)
-	slices.SortFunc(held.Ends, func(one, other End) int {
+	held.Failures = append(held.Failures, end)
+	slices.SortFunc(held.Failures, func(one, other Failure) int {
 		return cmp.Or(cmp.Compare(one.At, other.At), cmp.Compare(one.Run, other.Run))
 	})
-	if len(held.Ends) > endsKept {
-		held.Ends = slices.Delete(held.Ends, 0, len(held.Ends)-endsKept)
+	if len(held.Failures) > maxFailuresKept {
+		held.Failures = slices.Delete(held.Failures, 0, len(held.Failures)-maxFailuresKept)
 	}
 	return true
 }
 
 // boundLocked forgets the entry with the fewest ends, the oldest of them, when there are
 // too many: one that is refused goes last.
-func (list *List) boundLocked() {
-	if len(list.entries) <= entriesMost {
+func (list *List) evictLocked() {
+	if len(list.entries) <= maxEntries {
 		return
 	}
-	var least *entry
+	var least *suspectEntry
 	for _, held := range list.entries {
-		if least == nil || len(held.Ends) < len(least.Ends) || (len(held.Ends) == len(least.Ends) && held.version < least.version) {
+		if least == nil || len(held.Failures) < len(least.Failures) || (len(held.Failures) == len(least.Failures) && held.version < least.version) {
 			least = held
 		}
 	}
 	delete(list.entries, least.Fingerprint)
 }
 
-func (list *List) countLocked() {
+func (list *List) updateCountsLocked() {
 	refused := int32(0)
 	for _, held := range list.entries {
-		if len(held.Ends) >= list.endsMost {
+		if len(held.Failures) >= list.failureThreshold {
 			refused++
 		}
 	}
-	list.known.Store(int32(len(list.entries)))
-	list.refused.Store(refused)
+	list.entryCount.Store(int32(len(list.entries)))
+	list.quarantinedCount.Store(refused)
 }
 
 // Sweep forgets what is too old to count.
 func (list *List) Sweep() {
-	if list.known.Load() == 0 {
+	if list.entryCount.Load() == 0 {
 		return
 	}
 	now := list.now()
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	defer list.countLocked()
+	defer list.updateCountsLocked()
 	for fingerprint, held := range list.entries {
-		held.Ends = slices.DeleteFunc(held.Ends, func(end End) bool { return now-end.At > list.remembered })
-		if len(held.Ends) == 0 && now-held.LiftedAt > liftRemembered {
+		held.Failures = slices.DeleteFunc(held.Failures, func(end Failure) bool { return now-end.At > list.failureTTL })
+		if len(held.Failures) == 0 && now-held.LiftedAt > liftTTL {
 			delete(list.entries, fingerprint)
 		}
 	}
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -26,16 +26,16 @@
 		expect := gomega.NewWithT(t)
 		list := newList()
 		for number := range 3 {
-			_, refused := list.Refuses(asked)
+			_, refused := list.Quarantined(asked)
 			expect.Expect(refused).To(gomega.BeFalse())
-			ends, news := list.Ended(asked, fmt.Sprint("i-", number))
+			ends, news := list.RecordFailure(asked, fmt.Sprint("i-", number))
 			expect.Expect(ends).To(gomega.Equal(number + 1))
 			expect.Expect(news).To(gomega.BeTrue())
 		}
-		verdict, refused := list.Refuses(asked)
+		verdict, refused := list.Quarantined(asked)
 		expect.Expect(refused).To(gomega.BeTrue())
-		expect.Expect(verdict.Ends).To(gomega.HaveLen(3))
-		_, refused = list.Refuses(asked + 1)
+		expect.Expect(verdict.Failures).To(gomega.HaveLen(3))
+		_, refused = list.Quarantined(asked + 1)
 		expect.Expect(refused).To(gomega.BeFalse())
 	})
 }
@@ -47,11 +47,11 @@
 		expect := gomega.NewWithT(t)
 		list := newList()
 		for range 20 {
-			list.Ended(asked, "i-1/g1/0")
+			list.RecordFailure(asked, "i-1/g1/0")
 			time.Sleep(time.Millisecond)
 		}
-		expect.Expect(list.Take(quarantine.Suspect{Fingerprint: asked, Ends: []quarantine.End{{Run: "i-1/g1/0", At: time.Hour}}})).To(gomega.BeFalse())
-		_, refused := list.Refuses(asked)
+		expect.Expect(list.Merge(quarantine.Suspect{Fingerprint: asked, Failures: []quarantine.Failure{{Run: "i-1/g1/0", At: time.Hour}}})).To(gomega.BeFalse())
+		_, refused := list.Quarantined(asked)
 		expect.Expect(refused).To(gomega.BeFalse())
 	})
 }
@@ -63,17 +63,17 @@
 		expect := gomega.NewWithT(t)
 		here, there := newList(), newList()
 		for number := range 3 {
-			here.Ended(asked, fmt.Sprint("i-", number))
+			here.RecordFailure(asked, fmt.Sprint("i-", number))
 		}
 		before, _ := here.Suspect(asked)
-		expect.Expect(there.Take(before)).To(gomega.BeTrue())
+		expect.Expect(there.Merge(before)).To(gomega.BeTrue())
 		time.Sleep(2 * time.Second)
-		expect.Expect(there.Served(asked)).To(gomega.BeTrue())
+		expect.Expect(there.RecordSuccess(asked)).To(gomega.BeTrue())
 		after, _ := there.Suspect(asked)
-		expect.Expect(here.Take(after)).To(gomega.BeTrue())
+		expect.Expect(here.Merge(after)).To(gomega.BeTrue())
 		for _, list := range []*quarantine.List{here, there} {
-			expect.Expect(list.Take(before)).To(gomega.BeFalse())
-			_, refused := list.Refuses(asked)
+			expect.Expect(list.Merge(before)).To(gomega.BeFalse())
+			_, refused := list.Quarantined(asked)
 			expect.Expect(refused).To(gomega.BeFalse())
 			expect.Expect(list.State()).To(gomega.BeEmpty())
 		}
@@ -88,16 +88,16 @@
 		expect := gomega.NewWithT(t)
 		list := newList()
 		for _, group := range []string{"g1", "g2", "g3"} {
-			list.Doubt(asked, group, "i/"+group)
+			list.RecordStall(asked, group, "i/"+group)
 		}
 		_, known := list.Suspect(asked)
 		expect.Expect(known).To(gomega.BeFalse())
-		expect.Expect(list.Lost("g3")).To(gomega.Equal([]quarantine.Fingerprint{asked}))
-		expect.Expect(list.Lost("g3")).To(gomega.BeEmpty())
+		expect.Expect(list.ConfirmGroupLoss("g3")).To(gomega.Equal([]quarantine.Fingerprint{asked}))
+		expect.Expect(list.ConfirmGroupLoss("g3")).To(gomega.BeEmpty())
 		suspect, _ := list.Suspect(asked)
-		expect.Expect(suspect.Ends).To(gomega.HaveLen(1))
+		expect.Expect(suspect.Failures).To(gomega.HaveLen(1))
 		time.Sleep(7 * time.Second)
-		expect.Expect(list.Lost("g1")).To(gomega.BeEmpty())
+		expect.Expect(list.ConfirmGroupLoss("g1")).To(gomega.BeEmpty())
 	})
 }
 
@@ -106,13 +106,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		list := newList()
-		expect.Expect(list.Refuse(asked)).To(gomega.BeTrue())
-		expect.Expect(list.Served(asked)).To(gomega.BeFalse())
-		_, refused := list.Refuses(asked)
+		expect.Expect(list.Quarantine(asked)).To(gomega.BeTrue())
+		expect.Expect(list.RecordSuccess(asked)).To(gomega.BeFalse())
+		_, refused := list.Quarantined(asked)
 		expect.Expect(refused).To(gomega.BeTrue())
 		time.Sleep(2 * time.Second)
 		expect.Expect(list.Lift(asked)).To(gomega.BeTrue())
-		_, refused = list.Refuses(asked)
+		_, refused = list.Quarantined(asked)
 		expect.Expect(refused).To(gomega.BeFalse())
 	})
 }
@@ -120,14 +120,14 @@
 func TestSuspicionEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		list := newList(quarantine.Remembered(time.Minute), quarantine.Ends(1))
-		list.Ended(asked, "i-1")
+		list := newList(quarantine.FailureTTL(time.Minute), quarantine.FailureThreshold(1))
+		list.RecordFailure(asked, "i-1")
 		time.Sleep(40 * time.Second)
-		verdict, refused := list.Refuses(asked)
+		verdict, refused := list.Quarantined(asked)
 		expect.Expect(refused).To(gomega.BeTrue())
-		expect.Expect(verdict.Left).To(gomega.Equal(20 * time.Second))
+		expect.Expect(verdict.Remaining).To(gomega.Equal(20 * time.Second))
 		time.Sleep(21 * time.Second)
-		_, refused = list.Refuses(asked)
+		_, refused = list.Quarantined(asked)
 		expect.Expect(refused).To(gomega.BeFalse())
 		list.Sweep()
 		_, known := list.Suspect(asked)
@@ -142,13 +142,13 @@
 		expect := gomega.NewWithT(t)
 		list := newList()
 		for number := range 3 {
-			list.Ended(asked, fmt.Sprint("i-", number))
+			list.RecordFailure(asked, fmt.Sprint("i-", number))
 		}
 		for number := range 5000 {
-			list.Ended(quarantine.Fingerprint(1000+number), "i-9")
+			list.RecordFailure(quarantine.Fingerprint(1000+number), "i-9")
 		}
 		expect.Expect(len(list.State())).To(gomega.BeNumerically("<=", 2048))
-		_, refused := list.Refuses(asked)
+		_, refused := list.Quarantined(asked)
 		expect.Expect(refused).To(gomega.BeTrue())
 	})
 }
@@ -163,7 +163,7 @@
 		lists := []*quarantine.List{quarantine.New(clock), quarantine.New(clock), quarantine.New(clock)}
 		tell := func(from, to int) {
 			if suspect, known := lists[from].Suspect(asked); known {
-				lists[to].Take(suspect)
+				lists[to].Merge(suspect)
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -171,7 +171,7 @@
 			node := rapid.IntRange(0, 2).Draw(t, "node")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				lists[node].Ended(asked, fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "run")))
+				lists[node].RecordFailure(asked, fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "run")))
 			case 2:
 				if rapid.IntRange(0, 3).Draw(t, "lift") == 0 {
 					lists[node].Lift(asked)
@@ -194,9 +194,9 @@
 			}
 			return slices.Sorted(slices.Values(found))
 		}
-		_, first := lists[0].Refuses(asked)
+		_, first := lists[0].Quarantined(asked)
 		for _, list := range lists {
-			if _, refused := list.Refuses(asked); refused != first {
+			if _, refused := list.Quarantined(asked); refused != first {
 				t.Fatal("the nodes don't agree whether the request is refused")
 			}
 			if !slices.Equal(runs(list), runs(lists[0])) {
@@ -209,13 +209,13 @@
 // Two requests that differ only in where one part ends and the next begins are two.
 func TestFingerprintTellsPartsApart(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	one := quarantine.Of(quarantine.Asked{Workspace: "ab", Method: "c", Target: "/x", Body: []byte("y")})
-	other := quarantine.Of(quarantine.Asked{Workspace: "a", Method: "bc", Target: "/x", Body: []byte("y")})
+	one := quarantine.NewFingerprint(quarantine.Request{Workspace: "ab", Method: "c", Target: "/x", Body: []byte("y")})
+	other := quarantine.NewFingerprint(quarantine.Request{Workspace: "a", Method: "bc", Target: "/x", Body: []byte("y")})
 	expect.Expect(one).NotTo(gomega.Equal(other))
-	expect.Expect(quarantine.Of(quarantine.Asked{Workspace: "ab", Method: "c", Target: "/xy"})).NotTo(gomega.Equal(one))
-	parsed, err := quarantine.Parse(one.String())
+	expect.Expect(quarantine.NewFingerprint(quarantine.Request{Workspace: "ab", Method: "c", Target: "/xy"})).NotTo(gomega.Equal(one))
+	parsed, err := quarantine.ParseFingerprint(one.String())
 	expect.Expect(err).NotTo(gomega.HaveOccurred())
 	expect.Expect(parsed).To(gomega.Equal(one))
-	_, err = quarantine.Parse("xyz")
-	expect.Expect(err).To(gomega.MatchError(quarantine.ErrFingerprint))
+	_, err = quarantine.ParseFingerprint("xyz")
+	expect.Expect(err).To(gomega.MatchError(quarantine.ErrInvalidFingerprint))
 }
--- a/internal/policy/quarantine/state.go
+++ b/internal/policy/quarantine/state.go
@@ -14,11 +14,11 @@
 	if !known {
 		return Suspect{}, false
 	}
-	return held.copy(), true
+	return held.snapshot(), true
 }
 
-func (entry *entry) copy() Suspect {
-	return Suspect{Fingerprint: entry.Fingerprint, Ends: slices.Clone(entry.Ends), LiftedAt: entry.LiftedAt, Peak: entry.Peak}
+func (entry *suspectEntry) snapshot() Suspect {
+	return Suspect{Fingerprint: entry.Fingerprint, Failures: slices.Clone(entry.Failures), LiftedAt: entry.LiftedAt, Peak: entry.Peak}
 }
 
 // Suspects returns the requests under which at least so many servers ended at a time,
@@ -27,30 +27,30 @@
 func (list *List) Suspects(least int, after uint64) ([]Suspect, uint64) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	found := []*entry{}
+	found := []*suspectEntry{}
 	for _, held := range list.entries {
 		if held.version > after && held.Peak >= least {
 			found = append(found, held)
 		}
 	}
-	slices.SortFunc(found, func(one, other *entry) int { return cmp.Compare(one.version, other.version) })
+	slices.SortFunc(found, func(one, other *suspectEntry) int { return cmp.Compare(one.version, other.version) })
 	suspects := make([]Suspect, 0, len(found))
 	for _, held := range found {
-		suspects = append(suspects, held.copy())
+		suspects = append(suspects, held.snapshot())
 	}
 	return suspects, list.version
 }
 
 // Fresh says whether a server ended within a span under a request under which at least
 // so many did.
-func (list *List) Fresh(least int, span time.Duration) bool {
-	if list.known.Load() == 0 {
+func (list *List) HasRecentFailure(least int, span time.Duration) bool {
+	if list.entryCount.Load() == 0 {
 		return false
 	}
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	for _, held := range list.entries {
-		if len(held.Ends) >= least && list.now()-held.lastEnd() < span {
+		if len(held.Failures) >= least && list.now()-held.lastFailureAt() < span {
 			return true
 		}
 	}
@@ -74,14 +74,14 @@
 	defer list.mu.Unlock()
 	states := []State{}
 	for _, held := range list.entries {
-		if len(held.Ends) == 0 {
+		if len(held.Failures) == 0 {
 			continue
 		}
 		state := State{
-			Fingerprint: held.Fingerprint.String(), Refused: len(held.Ends) >= list.endsMost,
-			LastEndMilliseconds: (list.now() - held.lastEnd()).Milliseconds(),
+			Fingerprint: held.Fingerprint.String(), Refused: len(held.Failures) >= list.failureThreshold,
+			LastEndMilliseconds: (list.now() - held.lastFailureAt()).Milliseconds(),
 		}
-		for _, end := range held.Ends {
+		for _, end := range held.Failures {
 			state.Ends = append(state.Ends, end.Run)
 		}
 		states = append(states, state)
--- a/internal/policy/ratelimit/batch.go
+++ b/internal/policy/ratelimit/batch.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// batch is permits that came together.
+// batch is a number of permits or requests with a common expiry time.
 type batch struct {
-	count int
-	until time.Duration
+	count     int
+	expiresAt time.Duration
 }
 
-// take removes the batches that have run out.
-func take(batches *[]batch, now time.Duration) []batch {
+// removeExpired removes and returns the expired batches.
+func removeExpired(batches *[]batch, now time.Duration) []batch {
 	if len(*batches) == 0 {
 		return nil
 	}
 	expired := []batch{}
 	*batches = slices.DeleteFunc(*batches, func(batch batch) bool {
-		if batch.until > now {
+		if batch.expiresAt > now {
 			return false
 		}
 		expired = append(expired, batch)
@@ -27,23 +27,23 @@
 	return expired
 }
 
-// draw removes so many permits, the oldest first.
-func draw(batches *[]batch, count int) {
+// removeOldest removes count permits, oldest first.
+func removeOldest(batches *[]batch, count int) {
 	for count > 0 && len(*batches) > 0 {
 		first := &(*batches)[0]
-		drawn := min(count, first.count)
-		first.count -= drawn
-		count -= drawn
+		removed := min(count, first.count)
+		first.count -= removed
+		count -= removed
 		if first.count == 0 {
 			*batches = (*batches)[1:]
 		}
 	}
 }
 
-func inBatches(batches []batch) int {
-	count := 0
+func countPermits(batches []batch) int {
+	sum := 0
 	for _, batch := range batches {
-		count += batch.count
+		sum += batch.count
 	}
-	return count
+	return sum
 }
--- a/internal/policy/ratelimit/exchange.go
+++ b/internal/policy/ratelimit/exchange.go
@@ -5,138 +5,138 @@
 	"slices"
 )
 
-// Neighbour is a node at the other end of a link, by a number that is used for no other
-// link.
+// Neighbour identifies the node at the other end of a link. Each link has its own number.
 type Neighbour uint64
 
-// Self stands for this node's own requests among those that borrow permits.
+// Self identifies this node's own requests among the borrowers.
 const Self Neighbour = 0
 
-// Duty is where a node gets the permits of one server from.
-type Duty struct {
-	// Home says that this node issues them, for a part of the limit: the part of the
-	// fleet's nodes that it hears of.
-	Home bool
-	Part float64
-	// Lender is the neighbour that it borrows them from otherwise, Self for none.
+// PermitSource tells where a node gets the permits of one server from.
+type PermitSource struct {
+	// Issuer is set if this node issues the permits, for a share of the limit. The share is the part of
+	// the fleet's nodes that this node can reach.
+	Issuer bool
+	Share  float64
+	// Lender is the neighbour that a node other than the issuer borrows from. Self means that there is
+	// no lender.
 	Lender Neighbour
 }
 
-// Claim is what a borrower tells its lender. Counts are of the lender's session and of the
-// borrower's: either begins a new one when it starts anew.
+// Claim is what a borrower reports to its lender. The permit counts start at zero when either side
+// begins a new session.
 type Claim struct {
 	Run
-	// Rate and Version are of the limit as the borrower knows it: a lender that doesn't
-	// would leave it without permits.
+	// Rate and Version describe the limit as the borrower knows it. A lender that does not know the
+	// limit yet needs them: it would otherwise lend no permits.
 	Rate              float64
 	Version           uint64
 	Session, Borrower uint64
 	// Used and Returned count permits since both sessions began.
 	Used, Returned uint64
-	// Wanted is how many permits the borrower and those behind it should have on hand,
-	// Waiting how many requests wait for one.
+	// Wanted is the number of permits that the borrower and the nodes behind it should have on hand.
+	// Waiting is the number of requests that wait for a permit.
 	Wanted, Waiting int
-	// SentFree is how many requests they sent without one within the last window: before
-	// they knew of the limit.
+	// SentFree is the number of requests that these nodes sent without a permit within the last rate
+	// window, before they knew of the limit.
 	SentFree int
 }
 
-// Loan is what a lender tells a borrower: how many permits it lent it since both sessions
-// began. A new session of the lender takes back what was lent before.
+// Loan is what a lender reports to a borrower. Lent is the number of permits lent since both
+// sessions began. A new session of the lender revokes all earlier permits.
 type Loan struct {
 	Run
 	Session, Borrower uint64
 	Lent              uint64
 }
 
-// Refresh brings all permits up to now, by this node's duties, and returns the neighbours
-// that should hear of it at once.
-func (limits *Limits) Refresh(duty func(run Run) Duty) []Neighbour {
+// Refresh updates the permits of all limited servers to the current time. It returns the neighbours
+// to which an update should be sent immediately.
+func (limits *Limits) Refresh(source func(run Run) PermitSource) []Neighbour {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
-	return limits.refreshLocked(slices.Collect(maps.Keys(limits.limited)), duty)
+	return limits.refreshLocked(slices.Collect(maps.Keys(limits.limited)), source)
 }
 
-func (limits *Limits) refreshLocked(runs []Run, duty func(run Run) Duty) []Neighbour {
+func (limits *Limits) refreshLocked(runs []Run, source func(run Run) PermitSource) []Neighbour {
 	now := limits.now()
-	hasten := []Neighbour{}
+	notify := []Neighbour{}
 	for _, run := range runs {
-		held := limits.limited[run]
-		if held == nil {
+		entry := limits.limited[run]
+		if entry == nil {
 			continue
 		}
-		held.account.assign(duty(run), now, limits.session)
-		hasten = append(hasten, held.account.refresh(now)...)
-		if lender, due := held.account.hastens(now); due {
-			hasten = append(hasten, lender)
+		entry.allocator.setSource(source(run), now, limits.nextSession)
+		notify = append(notify, entry.allocator.refresh(now)...)
+		if lender, due := entry.allocator.urgentLender(now); due {
+			notify = append(notify, lender)
 		}
 	}
-	slices.Sort(hasten)
-	return slices.Compact(hasten)
+	slices.Sort(notify)
+	return slices.Compact(notify)
 }
 
-func (limits *Limits) session() uint64 {
-	limits.sessions++
-	return limits.incarnation + limits.sessions
+func (limits *Limits) nextSession() uint64 {
+	limits.sessionCount++
+	return limits.incarnation + limits.sessionCount
 }
 
-// TakeClaims takes what a borrower tells, and returns the neighbours that should hear of it
-// at once. Limits that it claims permits for are to be taken before.
-func (limits *Limits) TakeClaims(from Neighbour, claims []Claim, duty func(run Run) Duty) []Neighbour {
+// ApplyClaims applies the claims of a borrower. It returns the neighbours to which an update should
+// be sent immediately. The caller merges the limits named in the claims first.
+func (limits *Limits) ApplyClaims(from Neighbour, claims []Claim, source func(run Run) PermitSource) []Neighbour {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
 	runs := make([]Run, 0, len(claims))
-	for number := range claims {
-		run := claims[number].Run
-		if held := limits.limited[run]; held != nil {
-			held.account.takeClaim(from, &claims[number], limits.now())
+	for index := range claims {
+		run := claims[index].Run
+		if entry := limits.limited[run]; entry != nil {
+			entry.allocator.applyClaim(from, &claims[index], limits.now())
 			runs = append(runs, run)
 		}
 	}
-	return limits.refreshLocked(runs, duty)
+	return limits.refreshLocked(runs, source)
 }
 
-// TakeLoans takes what a lender tells, and returns the neighbours that should hear of it at
-// once.
-func (limits *Limits) TakeLoans(from Neighbour, loans []Loan, duty func(run Run) Duty) []Neighbour {
+// ApplyLoans applies the loans of a lender. It returns the neighbours to which an update should be
+// sent immediately.
+func (limits *Limits) ApplyLoans(from Neighbour, loans []Loan, source func(run Run) PermitSource) []Neighbour {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
 	runs := make([]Run, 0, len(loans))
 	for _, loan := range loans {
-		if held := limits.limited[loan.Run]; held != nil {
-			held.account.takeLoan(from, &loan, limits.now(), limits.session)
+		if entry := limits.limited[loan.Run]; entry != nil {
+			entry.allocator.applyLoan(from, &loan, limits.now(), limits.nextSession)
 			runs = append(runs, loan.Run)
 		}
 	}
-	return limits.refreshLocked(runs, duty)
+	return limits.refreshLocked(runs, source)
 }
 
-// Claims returns what a neighbour is to be told as the lender.
+// Claims returns the claims to send to a neighbour that is the lender.
 func (limits *Limits) Claims(to Neighbour) []Claim {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
 	claims := []Claim{}
-	for run, held := range limits.limited {
-		if !held.account.duty.Home && held.account.duty.Lender == to {
-			claim := held.account.claim()
-			claim.Run, claim.Rate, claim.Version = run, held.limit.Rate, held.limit.Version
+	for run, entry := range limits.limited {
+		if !entry.allocator.source.Issuer && entry.allocator.source.Lender == to {
+			claim := entry.allocator.claim()
+			claim.Run, claim.Rate, claim.Version = run, entry.limit.Rate, entry.limit.Version
 			claims = append(claims, claim)
 		}
 	}
 	return claims
 }
 
-// Loans returns what a neighbour is to be told as a borrower.
+// Loans returns the loans to send to a neighbour that is a borrower.
 func (limits *Limits) Loans(to Neighbour) []Loan {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
 	loans := []Loan{}
-	for run, held := range limits.limited {
-		if held.account.session == 0 || (!held.account.duty.Home && held.account.duty.Lender == to) {
+	for run, entry := range limits.limited {
+		if entry.allocator.session == 0 || (!entry.allocator.source.Issuer && entry.allocator.source.Lender == to) {
 			continue
 		}
-		loan := Loan{Run: run, Session: held.account.session}
-		if borrower := held.account.borrowers[to]; borrower != nil {
+		loan := Loan{Run: run, Session: entry.allocator.session}
+		if borrower := entry.allocator.borrowers[to]; borrower != nil {
 			loan.Borrower, loan.Lent = borrower.session, borrower.lent
 		}
 		loans = append(loans, loan)
@@ -144,15 +144,15 @@
 	return loans
 }
 
-// Lose takes the end of the link to a neighbour.
-func (limits *Limits) Lose(neighbour Neighbour) {
+// RemoveNeighbour handles the loss of the link to a neighbour.
+func (limits *Limits) RemoveNeighbour(neighbour Neighbour) {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
-	for _, held := range limits.limited {
-		held.account.lose(neighbour, limits.now())
+	for _, entry := range limits.limited {
+		entry.allocator.removeNeighbour(neighbour, limits.now())
 	}
 }
 
-func (entry *entry) inForce() bool {
+func (entry *runEntry) inForce() bool {
 	return entry.limit.Version > 0 && !entry.limit.Ended
 }
--- a/internal/policy/ratelimit/gate.go
+++ b/internal/policy/ratelimit/gate.go
@@ -9,33 +9,35 @@
 	"hazelslip/internal/common/clock"
 )
 
-// unlimited stands for the permits of a gate whose server names no limit.
+// unlimited is the permit count of a gate whose server announces no limit.
 const unlimited = -1
 
-// urgencies is how many ranks of requests are told apart; all beyond are the least urgent.
-const urgencies = 12
+// urgencyLevels is the number of distinct urgency levels. Higher values count as the least urgent
+// level.
+const urgencyLevels = 12
 
-func rankOf(urgency int) int {
-	return min(max(urgency, 0), urgencies-1)
+func urgencyLevel(urgency int) int {
+	return min(max(urgency, 0), urgencyLevels-1)
 }
 
-// Gate lets this node's requests through to one run of a server: all of them while the
-// server names no limit, else one for each permit.
+// Gate admits this node's requests to one server run: all requests while the server announces no
+// limit, otherwise one request per permit.
 type Gate struct {
 	now clock.Now
-	// permits are those on hand, used counts those that were used since it was last read.
+	// permits is the number of permits on hand. used counts the permits used since used was last read.
 	permits atomic.Int64
 	used    atomic.Int64
-	// waiting counts the requests that wait for a permit, by their urgency.
-	waiting [urgencies]atomic.Int32
-	// rate has the bits of the limit, in requests a second.
+	// waiting counts the requests that wait for a permit, by urgency level.
+	waiting [urgencyLevels]atomic.Int32
+	// rate holds the bits of the limit as a float64, in requests per second.
 	rate atomic.Uint64
 
 	mu sync.Mutex
-	// free counts the requests that needed no permit, paid the others, demand those that
-	// would have been sent if there had been one, and were.
-	free, paid, demand counter
-	asked              time.Duration
+	// sentFreely counts requests sent without a permit. sentWithPermit counts requests sent with one.
+	// demand counts requests sent with a permit and requests that went elsewhere because there was
+	// none.
+	sentFreely, sentWithPermit, demand slidingCounter
+	unmetDemandAt                      time.Duration
 }
 
 func newGate(now clock.Now) *Gate {
@@ -44,113 +46,115 @@
 	return gate
 }
 
-// Limited says whether the server names a limit.
+// Limited reports whether the server announces a limit.
 func (gate *Gate) Limited() bool {
 	return gate.permits.Load() != unlimited
 }
 
-// Rate is the server's limit in requests a second, 0 if it names none.
+// Rate returns the server's limit in requests per second, or 0 if there is none.
 func (gate *Gate) Rate() float64 {
 	return math.Float64frombits(gate.rate.Load())
 }
 
-// Open says whether a request may be sent.
+// Open reports whether a request may be sent: the server has no limit, or a permit is on hand.
 func (gate *Gate) Open() bool {
 	return gate.permits.Load() != 0
 }
 
-// Take lets one request through, and returns false if it may not be sent: there is no
-// permit beside those for which more urgent requests wait. 0 is the most urgent.
-func (gate *Gate) Take(urgency int) bool {
+// TryAcquire admits one request and takes a permit if the server is limited. It returns false if no
+// permit is left after one is set aside for each more urgent request that waits. Urgency 0 is the
+// most urgent.
+func (gate *Gate) TryAcquire(urgency int) bool {
 	for {
 		permits := gate.permits.Load()
 		switch {
 		case permits == unlimited:
-			gate.count(&gate.free)
+			gate.countSent(&gate.sentFreely)
 			return true
-		case permits <= gate.waitingBefore(rankOf(urgency)):
+		case permits <= gate.moreUrgentWaiters(urgencyLevel(urgency)):
 			return false
 		case gate.permits.CompareAndSwap(permits, permits-1):
 			gate.used.Add(1)
-			gate.count(&gate.paid)
+			gate.countSent(&gate.sentWithPermit)
 			return true
 		}
 	}
 }
 
-// Ask notes that a request would have been sent, and goes elsewhere: the next may find a
-// permit.
-func (gate *Gate) Ask() {
+// RecordDemand records a request that would have been sent with a permit and goes elsewhere. The
+// recorded demand makes this node ask for permits, so that a later request may find one.
+func (gate *Gate) RecordDemand() {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	gate.asked = gate.now()
-	gate.demand.add(gate.asked, 1)
+	gate.unmetDemandAt = gate.now()
+	gate.demand.add(gate.unmetDemandAt, 1)
 }
 
-// waitingBefore counts the requests that wait and are more urgent.
-func (gate *Gate) waitingBefore(rank int) int64 {
+// moreUrgentWaiters counts the waiting requests that are more urgent than level.
+func (gate *Gate) moreUrgentWaiters(level int) int64 {
 	count := int64(0)
-	for more := range rank {
-		count += int64(gate.waiting[more].Load())
+	for moreUrgent := range level {
+		count += int64(gate.waiting[moreUrgent].Load())
 	}
 	return count
 }
 
-// Await counts a request that waits for a permit until the function is called.
-func (gate *Gate) Await(urgency int) (done func()) {
-	waiting := &gate.waiting[rankOf(urgency)]
+// AddWaiter counts a request that waits for a permit until done is called.
+func (gate *Gate) AddWaiter(urgency int) (done func()) {
+	waiting := &gate.waiting[urgencyLevel(urgency)]
 	waiting.Add(1)
 	return func() { waiting.Add(-1) }
 }
 
-func (gate *Gate) count(sent *counter) {
+func (gate *Gate) countSent(sent *slidingCounter) {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
 	now := gate.now()
 	sent.add(now, 1)
-	if sent == &gate.paid {
+	if sent == &gate.sentWithPermit {
 		gate.demand.add(now, 1)
 	}
 }
 
-// SentLately is how many requests were sent within a window, at most a slot more than it.
+// SentLately returns the number of requests sent within the rate window. The result may also
+// include requests that are up to one slot older.
 func (gate *Gate) SentLately() int {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
 	now := gate.now()
-	return gate.free.sum(now) + gate.paid.sum(now)
+	return gate.sentFreely.sum(now) + gate.sentWithPermit.sum(now)
 }
 
-// sentFree is the same of requests that needed no permit.
-func (gate *Gate) sentFree() int {
+// sentWithoutPermit is like SentLately, but counts only requests sent without a permit.
+func (gate *Gate) sentWithoutPermit() int {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	return gate.free.sum(gate.now())
+	return gate.sentFreely.sum(gate.now())
 }
 
 const (
-	// ahead is for how long permits are asked for before they are needed: about what they
-	// take from one end of the fleet to the other and back.
-	ahead = 500 * time.Millisecond
+	// permitLeadTime is how long before their use permits are requested. It is about the time of a
+	// round trip across the whole fleet.
+	permitLeadTime = 500 * time.Millisecond
 )
 
-// wanted is how many permits this node should have on hand.
-func (gate *Gate) wanted() int {
+// wantedPermits returns the number of permits that this node should have on hand.
+func (gate *Gate) wantedPermits() int {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
 	now := gate.now()
-	expected := int(float64(gate.demand.sum(now))*ahead.Seconds()/window.Seconds() + 0.5)
-	if expected == 0 && gate.asked > 0 && now-gate.asked < ahead {
+	expected := int(float64(gate.demand.sum(now))*permitLeadTime.Seconds()/rateWindow.Seconds() + 0.5)
+	if expected == 0 && gate.unmetDemandAt > 0 && now-gate.unmetDemandAt < permitLeadTime {
 		return 1
 	}
 	return expected
 }
 
-// trim forgets the requests without a permit that were sent longer ago.
-func (gate *Gate) trim(span time.Duration) {
+// discardOlder removes requests that were sent without a permit more than span ago from the count.
+func (gate *Gate) discardOlder(span time.Duration) {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	gate.free.trim(gate.now(), span)
+	gate.sentFreely.discardOlder(gate.now(), span)
 }
 
 // grant adds permits.
@@ -158,7 +162,7 @@
 	gate.permits.Add(int64(count))
 }
 
-// revoke takes up to so many permits back, and returns how many there were.
+// revoke removes up to count permits and returns the number removed.
 func (gate *Gate) revoke(count int) int {
 	for {
 		permits := gate.permits.Load()
@@ -172,39 +176,40 @@
 	}
 }
 
-// limit makes the gate ask for permits, of which it has none; lift lets all through.
-func (gate *Gate) limit() {
+// requirePermits makes each request need a permit. The gate starts without any.
+func (gate *Gate) requirePermits() {
 	gate.permits.Store(0)
 	gate.used.Store(0)
 }
 
-func (gate *Gate) lift() {
+// removeLimit makes the gate admit all requests.
+func (gate *Gate) removeLimit() {
 	gate.rate.Store(0)
 	gate.permits.Store(unlimited)
 }
 
 const (
-	// window is over how long requests are counted against a limit.
-	window = 4 * time.Second
-	// slotTime is how finely they are counted, slots how many of these a window
-	// touches.
-	slotTime = 250 * time.Millisecond
-	slots    = int64(window/slotTime) + 1
+	// rateWindow is the period over which requests are counted against a limit.
+	rateWindow = 4 * time.Second
+	// slotDuration is the resolution of the count. windowSlots is the number of slots that a rate
+	// window overlaps.
+	slotDuration = 250 * time.Millisecond
+	windowSlots  = int64(rateWindow/slotDuration) + 1
 )
 
-// counter counts events of the last window.
-type counter struct {
-	counts [slots]uint32
+// slidingCounter counts the events within the last rate window.
+type slidingCounter struct {
+	counts [windowSlots]uint32
 	slot   int64
 }
 
-func (counter *counter) add(now time.Duration, count int) {
-	counter.turn(now)
-	counter.counts[counter.slot%slots] += uint32(count)
+func (counter *slidingCounter) add(now time.Duration, count int) {
+	counter.advance(now)
+	counter.counts[counter.slot%windowSlots] += uint32(count)
 }
 
-func (counter *counter) sum(now time.Duration) int {
-	counter.turn(now)
+func (counter *slidingCounter) sum(now time.Duration) int {
+	counter.advance(now)
 	sum := 0
 	for _, count := range counter.counts {
 		sum += int(count)
@@ -212,19 +217,19 @@
 	return sum
 }
 
-// trim clears the slots that lie a span back.
-func (counter *counter) trim(now, span time.Duration) {
-	counter.turn(now)
-	for passed := max(0, int64(span/slotTime)+1); passed < slots; passed++ {
-		counter.counts[(counter.slot-passed+slots)%slots] = 0
+// discardOlder clears the slots that are older than span.
+func (counter *slidingCounter) discardOlder(now, span time.Duration) {
+	counter.advance(now)
+	for passed := max(0, int64(span/slotDuration)+1); passed < windowSlots; passed++ {
+		counter.counts[(counter.slot-passed+windowSlots)%windowSlots] = 0
 	}
 }
 
-// turn clears the slots that have passed since it was last used.
-func (counter *counter) turn(now time.Duration) {
-	slot := int64(now / slotTime)
-	for passed := min(slot-counter.slot, slots); passed > 0; passed-- {
-		counter.counts[(slot-passed+1)%slots] = 0
+// advance clears the slots that have passed since the last use.
+func (counter *slidingCounter) advance(now time.Duration) {
+	slot := int64(now / slotDuration)
+	for passed := min(slot-counter.slot, windowSlots); passed > 0; passed-- {
+		counter.counts[(slot-passed+1)%windowSlots] = 0
 	}
 	counter.slot = max(counter.slot, slot)
 }
--- a/internal/policy/ratelimit/lend.go
+++ b/internal/policy/ratelimit/lend.go
@@ -7,71 +7,71 @@
 	"time"
 )
 
-// lend gives up to so many permits to those that need them, and returns the neighbours at
-// which requests wait for them.
-func (account *account) lend(count int, now time.Duration) []Neighbour {
-	if count <= 0 || !account.needed() {
+// lend distributes up to count permits to the borrowers that need them. It returns the neighbours
+// that received permits for waiting requests.
+func (allocator *allocator) lend(count int, now time.Duration) []Neighbour {
+	if count <= 0 || !allocator.hasShortfall() {
 		return nil
 	}
 	given := map[Neighbour]int{}
-	order := slices.Sorted(maps.Keys(account.borrowers))
+	order := slices.Sorted(maps.Keys(allocator.borrowers))
 	for ; count > 0; count-- {
-		neediest, found := account.next(order)
+		neediest, found := allocator.nextBorrower(order)
 		if !found {
 			break
 		}
-		account.borrowers[neediest].lent++
+		allocator.borrowers[neediest].lent++
 		given[neediest]++
 	}
 	lent := []Neighbour{}
 	for neighbour, count := range given {
-		if account.duty.Home {
-			account.tokens -= float64(count)
-			account.issued.add(now, count)
+		if allocator.source.Issuer {
+			allocator.tokens -= float64(count)
+			allocator.recentlyIssued.add(now, count)
 		} else {
-			draw(&account.stock, count)
+			removeOldest(&allocator.stock, count)
 		}
 		if neighbour == Self {
-			account.own = append(account.own, batch{count: count, until: now + holdTime})
-			account.gate.grant(count)
+			allocator.local = append(allocator.local, batch{count: count, expiresAt: now + permitTTL})
+			allocator.gate.grant(count)
 			continue
 		}
-		if account.borrowers[neighbour].waiting > 0 {
+		if allocator.borrowers[neighbour].waiting > 0 {
 			lent = append(lent, neighbour)
 		}
 	}
 	return lent
 }
 
-// needed says whether anybody needs permits.
-func (account *account) needed() bool {
-	for _, borrower := range account.borrowers {
-		if borrower.needs() > 0 {
+// hasShortfall reports whether any borrower needs permits.
+func (allocator *allocator) hasShortfall() bool {
+	for _, borrower := range allocator.borrowers {
+		if borrower.shortfall() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// next chooses who gets the next permit: in turn, by how many each needs, those first at
-// which requests wait.
-func (account *account) next(order []Neighbour) (Neighbour, bool) {
-	urgent := slices.ContainsFunc(order, func(neighbour Neighbour) bool { return account.borrowers[neighbour].urgent() })
+// nextBorrower selects the borrower of the next permit by weighted round-robin. The weight is the
+// number of permits that a borrower needs. Borrowers with waiting requests come first.
+func (allocator *allocator) nextBorrower(order []Neighbour) (Neighbour, bool) {
+	urgent := slices.ContainsFunc(order, func(neighbour Neighbour) bool { return allocator.borrowers[neighbour].hasUnservedWaiters() })
 	sum, best := 0, -1
-	for place, neighbour := range order {
-		borrower := account.borrowers[neighbour]
-		if borrower.needs() == 0 || (urgent && !borrower.urgent()) {
+	for index, neighbour := range order {
+		borrower := allocator.borrowers[neighbour]
+		if borrower.shortfall() == 0 || (urgent && !borrower.hasUnservedWaiters()) {
 			continue
 		}
-		borrower.credit += borrower.needs()
-		sum += borrower.needs()
-		if best < 0 || cmp.Compare(borrower.credit, account.borrowers[order[best]].credit) > 0 {
-			best = place
+		borrower.credit += borrower.shortfall()
+		sum += borrower.shortfall()
+		if best < 0 || cmp.Compare(borrower.credit, allocator.borrowers[order[best]].credit) > 0 {
+			best = index
 		}
 	}
 	if best < 0 {
 		return Self, false
 	}
-	account.borrowers[order[best]].credit -= sum
+	allocator.borrowers[order[best]].credit -= sum
 	return order[best], true
 }
--- a/internal/policy/ratelimit/ratelimit.go
+++ b/internal/policy/ratelimit/ratelimit.go
@@ -1,24 +1,24 @@
-// Package ratelimit keeps to the limits that backend servers name: how many requests a
-// second a server takes from all nodes together.
+// Package ratelimit enforces the request rate limits that backend servers announce. A limit is the
+// number of requests a second that one server accepts from all nodes together.
 //
-// A limit is learnt from answers, and holds for one run of a server's process until an
-// answer names none. A server that starts again and one that takes over its address have
-// none until they name one.
+// A node learns a limit from the responses of the server. A limit applies to one run of the server
+// process and stays in force until a response announces none. A restarted server, and a server that
+// takes over the address of another one, has no limit until it announces one.
 //
-// While a server names a limit, each request to it needs a permit. One node, the server's
-// home, issues them at the rate of the limit; the others borrow them over the connections
-// that there are, each for the nodes behind it. A permit that isn't used goes back and is
-// lent anew. A node that hears from no lender sends nothing, and a home that hears only a
-// part of the nodes issues that part of the limit: so two homes that don't hear each other
-// keep the limit together.
+// While a server announces a limit, each request to the server needs a permit. One node, the
+// issuer, issues the permits at the rate of the limit. The other nodes borrow permits over the
+// existing links between nodes, each node for itself and for the nodes behind it. An unused permit
+// is returned and lent again. A node without a connection to a lender sends nothing. An issuer that
+// can reach only a share of the nodes issues only that share of the limit. Two issuers that cannot
+// reach each other therefore keep the limit together.
 //
 // # Usage
 //
 //	limits := ratelimit.New(ratelimit.Clock(clock.Boot), ratelimit.Incarnation(incarnation))
 //	gate := limits.Gate(ratelimit.Run{Server: "i-1", Born: 7})
-//	limits.Answered(run, ratelimit.Answer{Named: true, Rate: 2.5, Began: began})
-//	limits.Refresh(func(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Home: true, Part: 1} })
-//	if gate.Take(urgency) { ... }
+//	limits.HandleResponse(run, ratelimit.Response{HasLimit: true, Rate: 2.5, SentAt: sentAt})
+//	limits.Refresh(func(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Issuer: true, Share: 1} })
+//	if gate.TryAcquire(urgency) { ... }
 package ratelimit
 
 import (
@@ -32,38 +32,39 @@
 	"hazelslip/internal/common/clock"
 )
 
-// Run is one run of a server's process.
+// Run identifies one run of a server process: its lifetime from start to exit.
 type Run struct {
 	Server string
-	// Born tells one run from the next under the same ID.
+	// Born distinguishes the runs of servers that have the same ID.
 	Born int64
 }
 
-// Limit is what is known of the limit of one run.
+// Limit is the latest known rate limit of one server run.
 type Limit struct {
 	Run
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// Ended says that the server names none any more.
+	// Ended is set once the server announces no limit anymore.
 	Ended bool
-	// Version rises with each change, wherever it is learnt; 0 if nothing was.
+	// Version increases with each change, whichever node learns of the change. It is 0 if no limit was
+	// ever announced.
 	Version uint64
-	// At is when the answer came that told it.
+	// At is the time of the latest response that announced the limit.
 	At time.Duration
 }
 
-// differs is the part of a limit by which another must differ to be worth a line.
-const differs = 0.1
+// loggedRateChange is the relative change of a rate above which the change is logged.
+const loggedRateChange = 0.1
 
-// Differs says whether the limit is another one for whoever reads of it: a server may name
-// a slightly different one with each answer.
-func (limit *Limit) Differs(other *Limit) bool {
-	return limit.Ended != other.Ended || math.Abs(limit.Rate-other.Rate) > differs*other.Rate
+// WorthLogging reports whether limit differs from other enough to be logged. A server may announce
+// a slightly different rate with each response, so small changes are not logged.
+func (limit *Limit) WorthLogging(other *Limit) bool {
+	return limit.Ended != other.Ended || math.Abs(limit.Rate-other.Rate) > loggedRateChange*other.Rate
 }
 
-// newer says whether the limit replaces another. Of two changes that were learnt at the same
-// time at two nodes all nodes keep the stricter one.
-func (limit *Limit) newer(other *Limit) bool {
+// supersedes reports whether limit replaces other. If two nodes learn different changes at the same
+// version, all nodes keep the stricter limit.
+func (limit *Limit) supersedes(other *Limit) bool {
 	switch {
 	case limit.Version != other.Version:
 		return limit.Version > other.Version
@@ -73,132 +74,137 @@
 	return !limit.Ended && limit.Rate < other.Rate
 }
 
-// entry is what is known of one run.
-type entry struct {
-	gate   *Gate
-	limit  Limit
-	spoilt bool
-	// account has the permits, nil while there is no limit.
-	account *account
-	// unused says that no target stood for the run at the last sweep.
-	unused bool
+// runEntry holds the state of one server run.
+type runEntry struct {
+	gate               *Gate
+	limit              Limit
+	unreadableReported bool
+	// allocator distributes the permits. It is nil while no limit is in force.
+	allocator *allocator
+	// idle is set if no target used the run at the last sweep.
+	idle bool
 }
 
-// Counts are counters; they only grow.
+// Counts holds cumulative counters.
 type Counts struct {
-	// Learnt are the limits that were named first or anew, Unreadable the answers with a
-	// value that is no limit.
-	Learnt     atomic.Uint64
+	// Learned counts limits that were put in force or changed. Unreadable counts responses whose limit
+	// could not be parsed.
+	Learned    atomic.Uint64
 	Unreadable atomic.Uint64
 }
 
-// Limits are those that this node knows.
+// Limits holds the rate limits that this node knows of.
 type Limits struct {
 	Counts Counts
 	now    clock.Now
 
-	// known counts the limits in force, so that answers cost nothing while there are none.
-	known atomic.Int32
-	// incarnation begins the numbers of sessions of this node's loans.
-	incarnation uint64
-	settle      time.Duration
+	// limitCount is the number of limits in force. While it is 0, responses are handled without taking
+	// the lock.
+	limitCount atomic.Int32
+	// incarnation is the base of the session numbers of this node's loans.
+	incarnation     uint64
+	propagationTime time.Duration
 
-	mu       sync.Mutex
-	sessions uint64
-	entries  map[Run]*entry
-	// limited are the entries with a limit in force.
-	limited map[Run]*entry
+	mu           sync.Mutex
+	sessionCount uint64
+	entries      map[Run]*runEntry
+	// limited holds the entries that have a limit in force.
+	limited map[Run]*runEntry
 }
 
-// Option changes how Limits are built.
+// Option configures Limits.
 type Option func(*Limits)
 
-// Clock sets the clock.
+// Clock sets the time source.
 func Clock(now clock.Now) Option {
 	return func(limits *Limits) { limits.now = now }
 }
 
-// Incarnation sets a number that no other node has.
+// Incarnation sets a number that is unique to this node. Session numbers are derived from it.
 func Incarnation(number uint64) Option {
 	return func(limits *Limits) { limits.incarnation = number }
 }
 
-// Settle sets how long all nodes may take to keep to a limit. What was sent so long before
-// the end of a window doesn't count against it; without it the whole window does.
-func Settle(span time.Duration) Option {
-	return func(limits *Limits) { limits.settle = span }
+// PropagationTime sets how long a limit may take to reach all nodes. The limit has to hold only in
+// rate windows that end at least this long after the limit was learned. Requests sent before the
+// first such window are not counted. Without this option all requests of the last rate window are
+// counted.
+func PropagationTime(span time.Duration) Option {
+	return func(limits *Limits) { limits.propagationTime = span }
 }
 
-// New returns limits of which none is known.
+// New returns Limits without any known limit.
 func New(options ...Option) *Limits {
-	limits := &Limits{now: clock.Boot, entries: map[Run]*entry{}, limited: map[Run]*entry{}}
+	limits := &Limits{now: clock.Boot, entries: map[Run]*runEntry{}, limited: map[Run]*runEntry{}}
 	for _, option := range options {
 		option(limits)
 	}
 	return limits
 }
 
-// Gate returns the gate of a run, the same one each time until it is swept.
+// Gate returns the gate of a run. All calls return the same gate until the run is swept.
 func (limits *Limits) Gate(run Run) *Gate {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
-	held := limits.entryLocked(run)
-	held.unused = false
-	return held.gate
+	entry := limits.entryLocked(run)
+	entry.idle = false
+	return entry.gate
 }
 
-func (limits *Limits) entryLocked(run Run) *entry {
-	held, ok := limits.entries[run]
+func (limits *Limits) entryLocked(run Run) *runEntry {
+	entry, ok := limits.entries[run]
 	if !ok {
-		held = &entry{gate: newGate(limits.now)}
-		limits.entries[run] = held
+		entry = &runEntry{gate: newGate(limits.now)}
+		limits.entries[run] = entry
 	}
-	return held
+	return entry
 }
 
-// setLocked puts a limit in force, or ends it.
+// setLocked puts a limit in force or ends it.
 func (limits *Limits) setLocked(limit Limit) {
-	held := limits.entryLocked(limit.Run)
-	held.limit = limit
+	entry := limits.entryLocked(limit.Run)
+	entry.limit = limit
 	if limit.Ended {
-		held.account = nil
-		held.gate.lift()
-		limits.forgetLocked(limit.Run)
+		entry.allocator = nil
+		entry.gate.removeLimit()
+		limits.removeLimitLocked(limit.Run)
 		return
 	}
-	if held.account == nil {
-		held.gate.trim(window - limits.settle + learnTime)
-		held.account = newAccount(held.gate, limits.now())
-		limits.limited[limit.Run] = held
-		limits.known.Store(int32(len(limits.limited)))
+	if entry.allocator == nil {
+		// The issuer starts issuing only usageReportTime after it learned the limit, so the gate counts
+		// requests that much longer.
+		entry.gate.discardOlder(rateWindow - limits.propagationTime + usageReportTime)
+		entry.allocator = newAllocator(entry.gate, limits.now())
+		limits.limited[limit.Run] = entry
+		limits.limitCount.Store(int32(len(limits.limited)))
 	}
-	held.account.rate = min(max(limit.Rate, leastRate), mostRate)
-	held.gate.rate.Store(math.Float64bits(held.account.rate))
-	limits.Counts.Learnt.Add(1)
+	entry.allocator.rate = min(max(limit.Rate, minRate), maxRate)
+	entry.gate.rate.Store(math.Float64bits(entry.allocator.rate))
+	limits.Counts.Learned.Add(1)
 }
 
-func (limits *Limits) forgetLocked(run Run) {
+func (limits *Limits) removeLimitLocked(run Run) {
 	delete(limits.limited, run)
-	limits.known.Store(int32(len(limits.limited)))
+	limits.limitCount.Store(int32(len(limits.limited)))
 }
 
 const (
-	// leastRate is the least limit that is kept to, in requests a second: by less, and by
-	// none at all, nobody would learn when the limit ends.
-	leastRate = 0.2
-	// mostRate is more than a fleet sends one server.
-	mostRate = 1e5
+	// minRate is the lowest rate that is enforced, in requests per second. At a lower rate or at zero,
+	// no request would be sent whose response could show that the limit has ended.
+	minRate = 0.2
+	// maxRate is higher than the rate that a whole fleet sends to one server.
+	maxRate = 1e5
 )
 
-// Known returns what is known of a run's limit, also that it ended.
-func (limits *Limits) Known(run Run) (Limit, bool) {
+// Lookup returns the latest known limit of a run, including a limit that has ended.
+func (limits *Limits) Lookup(run Run) (Limit, bool) {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
-	held, ok := limits.entries[run]
-	if !ok || held.limit.Version == 0 {
+	entry, ok := limits.entries[run]
+	if !ok || entry.limit.Version == 0 {
 		return Limit{}, false
 	}
-	return held.limit, true
+	return entry.limit, true
 }
 
 // All returns the limits in force.
@@ -206,73 +212,75 @@
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
 	all := []Limit{}
-	for _, held := range limits.limited {
-		all = append(all, held.limit)
+	for _, entry := range limits.limited {
+		all = append(all, entry.limit)
 	}
 	return all
 }
 
-// Any says whether any limit is in force.
+// Any reports whether any limit is in force.
 func (limits *Limits) Any() bool {
-	return limits.known.Load() > 0
+	return limits.limitCount.Load() > 0
 }
 
-// Limit returns the limit in force of a run.
+// Limit returns the limit of a run if a limit is in force.
 func (limits *Limits) Limit(run Run) (Limit, bool) {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
-	held, ok := limits.entries[run]
-	if !ok || !held.inForce() {
+	entry, ok := limits.entries[run]
+	if !ok || !entry.inForce() {
 		return Limit{}, false
 	}
-	return held.limit, true
+	return entry.limit, true
 }
 
-// Sweep forgets the runs that were not used at two sweeps in a row: one may just have
-// been asked for.
+// Sweep removes the runs that were unused at two consecutive sweeps. A single sweep is not enough
+// because the gate of an unused run may just have been requested.
 func (limits *Limits) Sweep(used func(run Run) bool) {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
-	for run, held := range limits.entries {
-		wasUnused := held.unused
-		held.unused = !used(run)
-		if !held.unused || !wasUnused {
+	for run, entry := range limits.entries {
+		wasIdle := entry.idle
+		entry.idle = !used(run)
+		if !entry.idle || !wasIdle {
 			continue
 		}
-		limits.forgetLocked(run)
+		limits.removeLimitLocked(run)
 		delete(limits.entries, run)
 	}
 }
 
-// State is a limit in the state dump.
+// State describes one limit in the state dump.
 type State struct {
 	Server string
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// AgeMilliseconds is how long ago an answer named it, SentLately how many requests this
-	// node sent the server within the last four seconds.
+	// AgeMilliseconds is the time since a response last announced the limit. SentLately is the number
+	// of requests that this node sent to the server within the last four seconds.
 	AgeMilliseconds int64
 	SentLately      int
-	// Home says that this node issues the permits, for a Part of the limit. Permits are on
-	// hand, Outstanding lent to others, Waiting and Wanted what is asked for.
+	// Home is set if this node issues the permits, for the share Part of the limit. Permits is the
+	// number of permits on hand for this node's own requests. Outstanding counts permits that were lent
+	// and may still be used. Waiting counts requests that wait for a permit. Wanted counts the permits
+	// that this node and its borrowers should have on hand.
 	Home                                  bool
 	Part                                  float64
 	Permits, Outstanding, Waiting, Wanted int
 }
 
-// State returns the limits in force, by server.
+// State returns the limits in force, sorted by server.
 func (limits *Limits) State() []State {
 	limits.mu.Lock()
 	defer limits.mu.Unlock()
 	states := []State{}
-	for run, held := range limits.limited {
-		claim := held.account.claim()
+	for run, entry := range limits.limited {
+		claim := entry.allocator.claim()
 		states = append(states, State{
-			Server: run.Server, Rate: held.limit.Rate, AgeMilliseconds: (limits.now() - held.limit.At).Milliseconds(),
-			SentLately: held.gate.SentLately(), Home: held.account.duty.Home, Part: held.account.duty.Part,
-			Permits: int(held.gate.permits.Load()), Outstanding: held.account.outstanding(), Waiting: claim.Waiting, Wanted: claim.Wanted,
+			Server: run.Server, Rate: entry.limit.Rate, AgeMilliseconds: (limits.now() - entry.limit.At).Milliseconds(),
+			SentLately: entry.gate.SentLately(), Home: entry.allocator.source.Issuer, Part: entry.allocator.source.Share,
+			Permits: int(entry.gate.permits.Load()), Outstanding: entry.allocator.outstanding(), Waiting: claim.Waiting, Wanted: claim.Wanted,
 		})
 	}
-	slices.SortFunc(states, func(one, other State) int { return cmp.Compare(one.Server, other.Server) })
+	slices.SortFunc(states, func(a, b State) int { return cmp.Compare(a.Server, b.Server) })
 	return states
 }
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -14,14 +14,14 @@
 import "sync/atomic"
 
 const (
-	scale = 1000
+	unitsPerRetry = 1000
 	// earned is what a success adds, in thousandths of a retry: with it,
 	// retries add at most a tenth to the load.
-	earned = 100
+	unitsPerSuccess = 100
 	// most is how many retries can be saved up.
-	most = 50 * scale
+	maxUnits = 50 * unitsPerRetry
 	// atStart lets a node that just started try a few times.
-	atStart = 10 * scale
+	initialUnits = 10 * unitsPerRetry
 )
 
 // State is what a Budget shows in the state dump. Left is in retries.
@@ -33,24 +33,24 @@
 
 // Budget is shared by the requests of one kind on a node.
 type Budget struct {
-	left    atomic.Int64
-	taken   atomic.Uint64
-	refused atomic.Uint64
-	endless bool
+	units     atomic.Int64
+	taken     atomic.Uint64
+	refused   atomic.Uint64
+	unlimited bool
 }
 
 // Option changes how a Budget is built.
 type Option func(*Budget)
 
 // Endless lets every retry through; comparisons use it.
-func Endless() Option {
-	return func(budget *Budget) { budget.endless = true }
+func Unlimited() Option {
+	return func(budget *Budget) { budget.unlimited = true }
 }
 
 // New returns a budget with a few retries in it.
 func New(options ...Option) *Budget {
 	budget := &Budget{}
-	budget.left.Store(atStart)
+	budget.units.Store(initialUnits)
 	for _, option := range options {
 		option(budget)
 	}
@@ -58,10 +58,10 @@
 }
 
 // Succeeded earns a part of a retry.
-func (budget *Budget) Succeeded() {
+func (budget *Budget) RecordSuccess() {
 	for {
-		left := budget.left.Load()
-		if left >= most || budget.left.CompareAndSwap(left, min(most, left+earned)) {
+		left := budget.units.Load()
+		if left >= maxUnits || budget.units.CompareAndSwap(left, min(maxUnits, left+unitsPerSuccess)) {
 			return
 		}
 	}
@@ -69,18 +69,18 @@
 
 // Take spends one retry and reports false when there is none. What is left
 // never goes below zero.
-func (budget *Budget) Take() bool {
-	if budget.endless {
+func (budget *Budget) TryWithdraw() bool {
+	if budget.unlimited {
 		budget.taken.Add(1)
 		return true
 	}
 	for {
-		left := budget.left.Load()
-		if left < scale {
+		left := budget.units.Load()
+		if left < unitsPerRetry {
 			budget.refused.Add(1)
 			return false
 		}
-		if budget.left.CompareAndSwap(left, left-scale) {
+		if budget.units.CompareAndSwap(left, left-unitsPerRetry) {
 			budget.taken.Add(1)
 			return true
 		}
@@ -89,5 +89,5 @@
 
 // State returns the budget's part of the state dump.
 func (budget *Budget) State() State {
-	return State{Left: float64(budget.left.Load()) / scale, Taken: budget.taken.Load(), Refused: budget.refused.Load()}
+	return State{Left: float64(budget.units.Load()) / unitsPerRetry, Taken: budget.taken.Load(), Refused: budget.refused.Load()}
 }
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -20,9 +20,9 @@
 		succeeded, taken := 0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "success") {
-				budget.Succeeded()
+				budget.RecordSuccess()
 				succeeded++
-			} else if budget.Take() {
+			} else if budget.TryWithdraw() {
 				taken++
 			}
 			if left := budget.State().Left; left < 0 || left > 50 {
--- a/internal/policy/retry/window_test.go
+++ b/internal/policy/retry/window_test.go
@@ -14,7 +14,7 @@
 )
 
 func allowance() retry.Allowance {
-	return retry.Allowance{Ratio: 0.2, Least: 100, Span: 10 * time.Second}
+	return retry.Allowance{Ratio: 0.2, Base: 100, Window: 10 * time.Second}
 }
 
 // A domain goes dark and all its streams are repeated within a second; what the
@@ -26,9 +26,9 @@
 		const nodes = 6
 		draw := rand.New(rand.NewPCG(3, 3))
 		now := clock.Virtual()
-		windows := []*retry.Window{}
+		windows := []*retry.WindowBudget{}
 		for range nodes {
-			windows = append(windows, retry.NewWindow(allowance(), func() int { return nodes }, now, retry.Lot(draw.Float64())))
+			windows = append(windows, retry.NewWindowBudget(allowance(), func() int { return nodes }, now, retry.RoundingOffset(draw.Float64())))
 		}
 		type sent struct {
 			at                time.Duration
@@ -40,9 +40,9 @@
 			rate := 1 + 12*(step/100%2)
 			for range rate {
 				window := windows[draw.IntN(nodes)]
-				window.Request()
+				window.RecordRequest()
 				one.requests++
-				for draw.IntN(3) == 0 && window.Take() {
+				for draw.IntN(3) == 0 && window.TryWithdraw() {
 					one.repeats++
 				}
 			}
@@ -66,18 +66,18 @@
 func TestDarkDomainIsRepeatedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		window := retry.NewWindow(allowance(), func() int { return 6 }, clock.Virtual())
+		window := retry.NewWindowBudget(allowance(), func() int { return 6 }, clock.Virtual())
 		for range 300 {
-			window.Request()
+			window.RecordRequest()
 		}
 		taken := 0
-		for window.Take() {
+		for window.TryWithdraw() {
 			taken++
 		}
 		expect.Expect(taken).To(gomega.BeNumerically(">=", 50))
 		expect.Expect(window.State().Withheld).To(gomega.Equal(uint64(1)))
 		time.Sleep(12 * time.Second)
-		expect.Expect(window.Take()).To(gomega.BeTrue())
+		expect.Expect(window.TryWithdraw()).To(gomega.BeTrue())
 	})
 }
 
@@ -94,11 +94,11 @@
 // returns how many repeats were wanted and sent, and the most in a span as a part of what is
 // allowed.
 func (size fleetSize) asked(draw *rand.Rand, lot func() float64) (wanted, sent int, worst float64) {
-	allowed := retry.Allowance{Ratio: 0.2, Least: size.least, Span: 10 * time.Second}
+	allowed := retry.Allowance{Ratio: 0.2, Base: size.least, Window: 10 * time.Second}
 	now := time.Hour
-	windows := make([]*retry.Window, size.nodes)
+	windows := make([]*retry.WindowBudget, size.nodes)
 	for node := range windows {
-		windows[node] = retry.NewWindow(allowed, func() int { return size.nodes }, func() time.Duration { return now }, retry.Lot(lot()))
+		windows[node] = retry.NewWindowBudget(allowed, func() int { return size.nodes }, func() time.Duration { return now }, retry.RoundingOffset(lot()))
 	}
 	const step = 100 * time.Millisecond
 	const spanSteps = int(10 * time.Second / step)
@@ -109,10 +109,10 @@
 		requests, repeats = append(requests, came), append(repeats, 0)
 		for range came {
 			window := windows[draw.IntN(size.nodes)]
-			window.Request()
+			window.RecordRequest()
 			if draw.Float64() < size.failing {
 				wanted++
-				if window.Take() {
+				if window.TryWithdraw() {
 					sent++
 					repeats[len(repeats)-1]++
 				}
@@ -122,7 +122,7 @@
 		for number := max(0, len(requests)-spanSteps); number < len(requests); number++ {
 			inSpan, repeated = inSpan+requests[number], repeated+repeats[number]
 		}
-		worst = max(worst, float64(repeated)/(allowed.Ratio*float64(inSpan)+allowed.Least))
+		worst = max(worst, float64(repeated)/(allowed.Ratio*float64(inSpan)+allowed.Base))
 	}
 	return wanted, sent, worst
 }
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -119,7 +119,7 @@
 	suspectsGone atomic.Bool
 
 	mu      sync.Mutex
-	budgets map[string]*retry.Window
+	budgets map[string]*retry.WindowBudget
 
 	listeners []net.Listener
 	caller    *http.Server
@@ -172,7 +172,7 @@
 	node := &Node{
 		Part: lifecycle.New("gateway"), Incarnation: rand.Uint64() | 1, settings: settings, platform: platform,
 		logger: slog.New(slog.DiscardHandler), now: clock.Boot, listen: listenTCP,
-		configuration: configuration.NewTable(), budgets: map[string]*retry.Window{},
+		configuration: configuration.NewTable(), budgets: map[string]*retry.WindowBudget{},
 		dirty: make(chan struct{}, 1), known: make(chan struct{}), suspectsNews: make(chan struct{}, 1), measures: newMeasures(), relays: tree.Relays,
 	}
 	node.services.Store(&engineServices{version: -1})
@@ -188,7 +188,7 @@
 	node.view = formation.NewView(node.now, formation.Servers(node.servers.Load))
 	node.quarantine = quarantine.New(quarantine.Clock(node.now))
 	node.stored.held = map[quarantine.Fingerprint]struct{}{}
-	node.limits = ratelimit.New(ratelimit.Clock(node.now), ratelimit.Incarnation(node.Incarnation), ratelimit.Settle(settings.Bounds.Settle))
+	node.limits = ratelimit.New(ratelimit.Clock(node.now), ratelimit.Incarnation(node.Incarnation), ratelimit.PropagationTime(settings.Bounds.Settle))
 	node.notices = notice.New(node.limits, notice.Clock(node.now))
 	node.demand = demand.New(demand.Clock(node.now))
 	node.detours = newDetours(node)
@@ -240,7 +240,7 @@
 		Configuration: node.configuration, Board: node.board, Pool: node.pool, Decode: node.platform.DecodeCaller,
 		DataCentre: node.settings.DataCentre, Budget: node.budget, Ready: node.known, Stopping: node.stopping.Load,
 		Quarantine: node.quarantine, Suspected: node.suspected, Heard: node.heard,
-		AskPermits: node.refreshPermits, Returns: ratelimit.NewReturns(node.now), Nodes: func() int { return node.peers.nodes() },
+		AskPermits: node.refreshPermits, Returns: ratelimit.NewRetryScheduler(node.now), Nodes: func() int { return node.peers.nodes() },
 		Detours: node.detours.tableOrNil(), DetourPool: node.detours.pool, DetourWanted: node.detours.want, Unsure: node.detours.unsureOf,
 		Name: node.settings.Name, NewerAt: func(address string, version int64) { node.peers.heardVersionAt(address, version) },
 		Memory: node.memory, Failed: node.callFailed, Ended: node.measures.ended, Logger: node.logger, Now: node.now,
@@ -354,14 +354,14 @@
 }
 
 // budget returns the window of repeats of a service.
-func (node *Node) budget(service string) *retry.Window {
+func (node *Node) budget(service string) *retry.WindowBudget {
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	window, ok := node.budgets[service]
 	if !ok {
 		bounds := node.settings.Bounds
-		window = retry.NewWindow(retry.Allowance{Ratio: bounds.RetryRatio, Least: bounds.RetryLeast, Span: bounds.RetryWindow}, node.peers.nodes, node.now,
-			retry.Lot(rendezvous.Draw(service, node.Incarnation)))
+		window = retry.NewWindowBudget(retry.Allowance{Ratio: bounds.RetryRatio, Base: bounds.RetryLeast, Window: bounds.RetryWindow}, node.peers.nodes, node.now,
+			retry.RoundingOffset(rendezvous.Draw(service, node.Incarnation)))
 		node.budgets[service] = window
 	}
 	return window
--- a/internal/run/gateway/limits.go
+++ b/internal/run/gateway/limits.go
@@ -95,7 +95,7 @@
 
 // duties returns where this node gets the permits of each server from: a leaf or a relay
 // from the node above, a root from the one of the server's data centre.
-func (peers *peers) duties() func(run ratelimit.Run) ratelimit.Duty {
+func (peers *peers) duties() func(run ratelimit.Run) ratelimit.PermitSource {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	if peers.overlay.Role() != overlay.Root {
@@ -103,7 +103,7 @@
 		if channel := peers.channels[peers.overlay.Upstream()]; channel != nil {
 			lender = channel.permits.number
 		}
-		return func(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Lender: lender} }
+		return func(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Lender: lender} }
 	}
 	self := root{dataCentre: peers.node.settings.DataCentre, incarnation: peers.node.Incarnation}
 	roots := []root{self}
@@ -115,12 +115,12 @@
 	slices.SortFunc(roots, func(one, other root) int { return cmp.Compare(one.incarnation, other.incarnation) })
 	part := min(1, float64(peers.sumsLocked().nodes)/float64(peers.nodes()))
 	places := peers.node.board.ServerRuns()
-	return func(run ratelimit.Run) ratelimit.Duty {
+	return func(run ratelimit.Run) ratelimit.PermitSource {
 		home := homeOf(run, places[run], roots)
 		if home.neighbour == ratelimit.Self {
-			return ratelimit.Duty{Home: true, Part: part}
+			return ratelimit.PermitSource{Issuer: true, Share: part}
 		}
-		return ratelimit.Duty{Lender: home.neighbour}
+		return ratelimit.PermitSource{Lender: home.neighbour}
 	}
 }
 
@@ -183,8 +183,8 @@
 	}
 	duties := peers.duties()
 	limits := peers.node.limits
-	peers.hasten(limits.TakeClaims(number, claimsFromWire(received.Claims), duties))
-	peers.hasten(limits.TakeLoans(number, loansFromWire(received.Loans), duties))
+	peers.hasten(limits.ApplyClaims(number, claimsFromWire(received.Claims), duties))
+	peers.hasten(limits.ApplyLoans(number, loansFromWire(received.Loans), duties))
 }
 
 // takeLimit takes a limit that another node knows, and passes on what is news.
@@ -194,14 +194,14 @@
 	run := ratelimit.Run{Server: told.Server, Born: told.Born}
 	before, known := node.limits.Limit(run)
 	limit := ratelimit.Limit{Run: run, Rate: told.Rate, Version: told.Version, Ended: told.Ended, At: node.now() - age}
-	switch node.limits.Take(limit) {
-	case ratelimit.Same:
+	switch node.limits.Merge(limit) {
+	case ratelimit.AlreadyKnown:
 		return
-	case ratelimit.Old:
+	case ratelimit.Stale:
 		peers.tellLimit(run, func(other *overlay.Link) bool { return other == link })
 		return
 	}
-	if !known || limit.Differs(&before) {
+	if !known || limit.WorthLogging(&before) {
 		node.logger.Info("gateway: a limit was told.", "Server", told.Server, "Rate", told.Rate, "Ended", told.Ended,
 			"AgeMilliseconds", told.AgeMs, "From", link.Remote.Address, "SentLately", node.limits.Gate(run).SentLately())
 	}
@@ -212,7 +212,7 @@
 func limitsToWire(limits *ratelimit.Limits, runs map[ratelimit.Run]struct{}, now time.Duration) []*frame.ServerLimit {
 	told := make([]*frame.ServerLimit, 0, len(runs))
 	for run := range runs {
-		if limit, known := limits.Known(run); known {
+		if limit, known := limits.Lookup(run); known {
 			told = append(told, &frame.ServerLimit{Server: run.Server, Born: run.Born, Rate: limit.Rate, Version: limit.Version, Ended: limit.Ended, AgeMs: milliseconds(now - limit.At)})
 		}
 	}
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -16,18 +16,18 @@
 
 // limitLines are the log lines of what answers change of limits.
 var limitLines = map[ratelimit.Change]string{
-	ratelimit.Learnt:  "gateway: a server named a limit.",
+	ratelimit.Learned:  "gateway: a server named a limit.",
 	ratelimit.Changed: "gateway: a server changed its limit.",
 	ratelimit.Ended:   "gateway: a server names no limit any more.",
-	ratelimit.Spoilt:  "gateway: a server named a limit that can't be read.",
+	ratelimit.Unreadable:  "gateway: a server named a limit that can't be read.",
 }
 
 // backoffLines are the same of backoffs.
 var backoffLines = map[notice.Change]string{
-	notice.Learnt:    "gateway: a server asked for a backoff.",
-	notice.Prolonged: "gateway: a server prolonged its backoff.",
+	notice.Learned:    "gateway: a server asked for a backoff.",
+	notice.Extended: "gateway: a server prolonged its backoff.",
 	notice.Ended:     "gateway: a server takes calls again after its backoff.",
-	notice.Spoilt:    "gateway: a server asked for a backoff that can't be read.",
+	notice.Unreadable:    "gateway: a server asked for a backoff that can't be read.",
 }
 
 // heard takes what an answer says of its server.
@@ -36,7 +36,7 @@
 		node.heardLimit(&heard)
 	}
 	said := &heard.Said
-	changes := node.notices.Heard(heard.Record, heard.Answer())
+	changes := node.notices.HandleResponse(heard.Record, heard.Answer())
 	if changes.Backoff != notice.Unchanged {
 		node.logHeard(backoffLines[changes.Backoff], &heard,
 			slog.Int64("BackoffMilliseconds", said.Backoff.Span.Milliseconds()), slog.String("Value", said.Backoff.Unreadable))
@@ -45,7 +45,7 @@
 		node.logHeard("gateway: a server says that it is draining.", &heard)
 		node.drains()
 	}
-	if changes.Tell {
+	if changes.Announce {
 		node.peers.tellNotice(heard.Record.Run, nil)
 	}
 }
@@ -81,7 +81,7 @@
 			break
 		}
 		delete(channel.notices, run)
-		if known, any := peers.node.notices.Told(run); any {
+		if known, any := peers.node.notices.Announcement(run); any {
 			told = append(told, &frame.ServerNotice{Server: run.Server, Born: run.Born, Draining: known.Draining, BackoffMs: milliseconds(known.Backoff)})
 		}
 	}
@@ -92,11 +92,11 @@
 func (peers *peers) takeNotices(link *overlay.Link, received []*frame.ServerNotice) {
 	node := peers.node
 	for _, one := range received {
-		told := notice.Told{
+		told := notice.Announcement{
 			Run:      ratelimit.Run{Server: one.Server, Born: one.Born},
 			Draining: one.Draining, Backoff: time.Duration(one.BackoffMs) * time.Millisecond,
 		}
-		if !node.notices.Take(told) {
+		if !node.notices.Merge(told) {
 			continue
 		}
 		peers.tellNotice(told.Run, link)
@@ -125,16 +125,16 @@
 		return
 	}
 	before, _ := node.limits.Limit(run)
-	change := node.limits.Answered(run, ratelimit.Answer{
-		Named: told.Named, Rate: told.Rate, Unreadable: told.Unreadable, Refused: !heard.Taken, Began: heard.Chosen,
+	change := node.limits.HandleResponse(run, ratelimit.Response{
+		HasLimit: told.Named, Rate: told.Rate, Unreadable: told.Unreadable, Refused: !heard.Taken, SentAt: heard.Chosen,
 	})
 	if change == ratelimit.Unchanged {
 		return
 	}
-	if change != ratelimit.Spoilt {
+	if change != ratelimit.Unreadable {
 		node.limitNews(run)
 	}
-	if now, _ := node.limits.Limit(run); change == ratelimit.Changed && !now.Differs(&before) {
+	if now, _ := node.limits.Limit(run); change == ratelimit.Changed && !now.WorthLogging(&before) {
 		return
 	}
 	node.logHeard(limitLines[change], heard,
@@ -156,7 +156,7 @@
 
 // backsOff says whether a server asked this node for a backoff that lasts.
 func (node *Node) backsOff(server *roster.Server) bool {
-	return node.notices.BacksOff(server.ID)
+	return node.notices.InBackoff(server.ID)
 }
 
 // sweepNotices forgets what servers said that doesn't count any more.
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -138,7 +138,7 @@
 	return map[string]uint64{
 		"Requests": node.forwarder.Counts.Requests.Load(), "Repeats": node.forwarder.Counts.Repeats.Load(),
 		"Quarantined": node.forwarder.Counts.Quarantined.Load(), "ServerEnds": node.forwarder.Counts.ServerEnds.Load(),
-		"Limited": node.forwarder.Counts.Limited.Load(), "BackedOff": node.forwarder.Counts.BackedOff.Load(), "Shed": node.forwarder.Counts.Shed.Load(), "Unanswered": node.forwarder.Counts.Unanswered.Load(), "LimitsLearnt": node.limits.Counts.Learnt.Load(), "LimitsUnreadable": node.limits.Counts.Unreadable.Load(),
+		"Limited": node.forwarder.Counts.Limited.Load(), "BackedOff": node.forwarder.Counts.BackedOff.Load(), "Shed": node.forwarder.Counts.Shed.Load(), "Unanswered": node.forwarder.Counts.Unanswered.Load(), "LimitsLearnt": node.limits.Counts.Learned.Load(), "LimitsUnreadable": node.limits.Counts.Unreadable.Load(),
 		"BackoffsLearnt": node.notices.Counts.Backoffs.Load(), "BackoffsHinted": node.notices.Counts.Hints.Load(), "BackoffsUnreadable": node.notices.Counts.Unreadable.Load(),
 		"DrainsLearnt": node.notices.Counts.Drains.Load(), "CallsWithheld": node.notices.Counts.Withheld.Load(),
 		"GroupsFoundSlow": paces.Found.Load(), "GroupsNotSlowAnyMore": paces.Ended.Load(), "PacesHeard": paces.Heard.Load(),
@@ -177,7 +177,7 @@
 	router.GET("/state", func(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		jsonhttp.Write(writer, node.State())
 	})
-	router.PUT("/quarantine/:fingerprint", node.changeQuarantine(node.quarantine.Refuse))
+	router.PUT("/quarantine/:fingerprint", node.changeQuarantine(node.quarantine.Quarantine))
 	router.DELETE("/quarantine/:fingerprint", node.changeQuarantine(node.quarantine.Lift))
 	return router
 }
@@ -185,7 +185,7 @@
 // changeQuarantine serves an operator's decision on a request, which all nodes hear of.
 func (node *Node) changeQuarantine(change func(fingerprint quarantine.Fingerprint) bool) httprouter.Handle {
 	return func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
-		fingerprint, err := quarantine.Parse(params.ByName("fingerprint"))
+		fingerprint, err := quarantine.ParseFingerprint(params.ByName("fingerprint"))
 		if err != nil {
 			http.Error(writer, err.Error(), http.StatusBadRequest)
 			return
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -253,7 +253,7 @@
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	if held := peers.channels[link]; held != nil {
-		peers.node.limits.Lose(held.permits.number)
+		peers.node.limits.RemoveNeighbour(held.permits.number)
 	}
 	delete(peers.channels, link)
 	peers.sums = nil
@@ -271,7 +271,7 @@
 		permits: newPermits(peers.lastNeighbour, peers.node.limits.All()), notices: map[ratelimit.Run]struct{}{},
 		paces: peers.node.board.SlowRuns(),
 	}
-	for _, run := range peers.node.notices.All() {
+	for _, run := range peers.node.notices.RunsToAnnounce() {
 		held.notices[run] = struct{}{}
 	}
 	if core(link) {
--- a/internal/run/gateway/suspects.go
+++ b/internal/run/gateway/suspects.go
@@ -73,12 +73,12 @@
 // withdraw ends the calls that servers have not begun to run of a request that is
 // refused by now.
 func (node *Node) withdraw(fingerprint quarantine.Fingerprint) {
-	verdict, refused := node.quarantine.Refuses(fingerprint)
+	verdict, refused := node.quarantine.Quarantined(fingerprint)
 	if !refused {
 		return
 	}
 	node.logger.Warn("gateway: a request is sent to no server any more.", "Fingerprint", fingerprint.String(),
-		"Ends", len(verdict.Ends), "LastRun", verdict.Ends[len(verdict.Ends)-1].Run, "ForMilliseconds", verdict.Left.Milliseconds(),
+		"Ends", len(verdict.Failures), "LastRun", verdict.Failures[len(verdict.Failures)-1].Run, "ForMilliseconds", verdict.Remaining.Milliseconds(),
 		"CallsEnded", node.board.Withdraw(uint64(fingerprint)))
 }
 
@@ -136,7 +136,7 @@
 	now := peers.node.now()
 	for _, one := range told {
 		suspect := suspectFromWire(one, now)
-		if peers.node.quarantine.Take(suspect) {
+		if peers.node.quarantine.Merge(suspect) {
 			peers.tellSuspect(suspect.Fingerprint, link)
 			peers.node.withdraw(suspect.Fingerprint)
 		}
@@ -145,7 +145,7 @@
 
 func suspectToWire(suspect quarantine.Suspect, now time.Duration) *frame.Suspect {
 	told := &frame.Suspect{Fingerprint: uint64(suspect.Fingerprint)}
-	for _, end := range suspect.Ends {
+	for _, end := range suspect.Failures {
 		told.Ends = append(told.Ends, &frame.ServerEnd{Run: end.Run, AgeMs: milliseconds(now - end.At)})
 	}
 	if suspect.LiftedAt > 0 {
@@ -157,7 +157,7 @@
 func suspectFromWire(told *frame.Suspect, now time.Duration) quarantine.Suspect {
 	suspect := quarantine.Suspect{Fingerprint: quarantine.Fingerprint(told.Fingerprint)}
 	for _, end := range told.Ends {
-		suspect.Ends = append(suspect.Ends, quarantine.End{Run: end.Run, At: now - time.Duration(end.AgeMs)*time.Millisecond})
+		suspect.Failures = append(suspect.Failures, quarantine.Failure{Run: end.Run, At: now - time.Duration(end.AgeMs)*time.Millisecond})
 	}
 	if told.Lifted {
 		suspect.LiftedAt = now - time.Duration(told.LiftedAgeMs)*time.Millisecond
@@ -201,7 +201,7 @@
 		node.writeSuspects(least)
 	}
 	due := node.now()-node.stored.readAt >= suspectsTick/2
-	if due && (!node.stored.read || (duty && node.quarantine.Fresh(least, suspectsFresh))) {
+	if due && (!node.stored.read || (duty && node.quarantine.HasRecentFailure(least, suspectsFresh))) {
 		node.stored.readAt = node.now()
 		node.stored.read = node.readSuspects()
 	}
@@ -258,7 +258,7 @@
 			continue
 		}
 		node.stored.held[suspect.Fingerprint] = struct{}{}
-		if node.quarantine.Take(suspect) {
+		if node.quarantine.Merge(suspect) {
 			node.suspected(suspect.Fingerprint)
 		}
 	}
@@ -267,7 +267,7 @@
 
 func suspectToStore(suspect quarantine.Suspect, now time.Duration, today time.Time) store.Suspect {
 	stored := store.Suspect{Fingerprint: suspect.Fingerprint.String()}
-	for _, end := range suspect.Ends {
+	for _, end := range suspect.Failures {
 		stored.Ends = append(stored.Ends, store.SuspectEnd{Run: end.Run, At: today.Add(end.At - now)})
 	}
 	if suspect.LiftedAt > 0 {
@@ -277,7 +277,7 @@
 }
 
 func suspectFromStore(stored store.Suspect, now time.Duration, today time.Time) (quarantine.Suspect, error) {
-	fingerprint, err := quarantine.Parse(stored.Fingerprint)
+	fingerprint, err := quarantine.ParseFingerprint(stored.Fingerprint)
 	if err != nil {
 		return quarantine.Suspect{}, err
 	}
@@ -285,7 +285,7 @@
 	local := func(at time.Time) time.Duration { return now - max(0, today.Sub(at)) }
 	suspect := quarantine.Suspect{Fingerprint: fingerprint}
 	for _, end := range stored.Ends {
-		suspect.Ends = append(suspect.Ends, quarantine.End{Run: end.Run, At: local(end.At)})
+		suspect.Failures = append(suspect.Failures, quarantine.Failure{Run: end.Run, At: local(end.At)})
 	}
 	if !stored.LiftedAt.IsZero() {
 		suspect.LiftedAt = local(stored.LiftedAt)
--- a/internal/run/gateway/ways.go
+++ b/internal/run/gateway/ways.go
@@ -45,7 +45,7 @@
 			"CallsMoved", node.board.Leave(way), "EndsNotBelieved", len(ends), "ReportsWithheld", withheld)
 	case reach.Open:
 		for _, end := range ends {
-			if _, news := node.quarantine.Ended(end.fingerprint, end.run); news {
+			if _, news := node.quarantine.RecordFailure(end.fingerprint, end.run); news {
 				node.suspected(end.fingerprint)
 			}
 		}
--- a/internal/run/gateway/work.go
+++ b/internal/run/gateway/work.go
@@ -336,7 +336,7 @@
 // loseGroup moves the calls of a group that lost a member. Those that left it when it
 // stood still lie under an end of a server now.
 func (node *Node) loseGroup(group string) {
-	for _, fingerprint := range node.quarantine.Lost(group) {
+	for _, fingerprint := range node.quarantine.ConfirmGroupLoss(group) {
 		node.suspected(fingerprint)
 	}
 	if moved := node.board.Lose(group); moved > 0 {
--- a/internal/run/trial/trial.go
+++ b/internal/run/trial/trial.go
@@ -92,7 +92,7 @@
 			return node.Policies{Route: []route.Option{route.Predict(reported), route.Random(func(int) int { return 0 })}}
 		}},
 		{"no shares", func() node.Policies { return node.Policies{Admission: []admission.Option{admission.Open()}} }},
-		{"unlimited retries", func() node.Policies { return node.Policies{Retry: []retry.Option{retry.Endless()}} }},
+		{"unlimited retries", func() node.Policies { return node.Policies{Retry: []retry.Option{retry.Unlimited()}} }},
 	}
 }
 
--- a/internal/serve/draft/draft.go
+++ b/internal/serve/draft/draft.go
@@ -162,7 +162,7 @@
 		return
 	}
 	server.whole.Add(1)
-	server.budget.Succeeded()
+	server.budget.RecordSuccess()
 }
 
 // State returns the server's part of the state dump.
@@ -216,7 +216,7 @@
 		if work.attempts >= attemptsMost {
 			return work.fail("the draft failed at every group that was tried")
 		}
-		if !work.server.budget.Take() {
+		if !work.server.budget.TryWithdraw() {
 			return work.fail("too many drafts are being tried again")
 		}
 		work.server.resumed.Add(1)
--- a/internal/serve/forward/body.go
+++ b/internal/serve/forward/body.go
@@ -61,7 +61,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	exchange.request.Body, exchange.bodyHeld = body, exchange.held.Bytes()
-	exchange.fingerprint = quarantine.Of(quarantine.Asked{
+	exchange.fingerprint = quarantine.NewFingerprint(quarantine.Request{
 		Workspace: exchange.workspace, Method: exchange.request.Method, Host: exchange.request.Host,
 		Target: exchange.request.Target, Body: body,
 	})
--- a/internal/serve/forward/call.go
+++ b/internal/serve/forward/call.go
@@ -91,7 +91,7 @@
 	case dispatch.Limited:
 		exchange.outcome = Limited
 		exchange.forwarder.Counts.Limited.Add(1)
-		exchange.again = exchange.forwarder.Returns.After(exchange.pool(), occupancy.Limit/float64(exchange.forwarder.Nodes()))
+		exchange.again = exchange.forwarder.Returns.Delay(exchange.pool(), occupancy.Limit/float64(exchange.forwarder.Nodes()))
 		reason += fmt.Sprintf(", whose servers take %.2f requests a second by the limits that they name", occupancy.Limit)
 	case dispatch.BackedOff:
 		exchange.outcome = BackedOff
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -38,7 +38,7 @@
 	peers *detour.Table
 	// newer are the versions that the first node heard of.
 	newer  []int64
-	window *retry.Window
+	window *retry.WindowBudget
 	// sweep closes the first node's connections.
 	sweep func()
 }
@@ -73,12 +73,12 @@
 		defer cancel()
 		return dial(ctx, "tcp", address)
 	}))
-	made.window = retry.NewWindow(retry.Allowance{Ratio: 0.2, Least: 1000, Span: 10 * time.Second}, func() int { return 1 }, now)
+	made.window = retry.NewWindowBudget(retry.Allowance{Ratio: 0.2, Base: 1000, Window: 10 * time.Second}, func() int { return 1 }, now)
 	first := forward.New(forward.Parts{
 		Configuration: made.table, Board: made.own, Pool: pool, Decode: decode, Now: now, Name: "first",
 		Detours: made.peers, DetourPool: pool, DetourWanted: func() {}, NewerAt: func(_ string, version int64) { made.newer = append(made.newer, version) },
-		Budget: func(string) *retry.Window { return made.window }, Stopping: func() bool { return false },
-		Returns: ratelimit.NewReturns(now), Quarantine: quarantine.New(quarantine.Clock(now)), Suspected: func(quarantine.Fingerprint) {},
+		Budget: func(string) *retry.WindowBudget { return made.window }, Stopping: func() bool { return false },
+		Returns: ratelimit.NewRetryScheduler(now), Quarantine: quarantine.New(quarantine.Clock(now)), Suspected: func(quarantine.Fingerprint) {},
 		Heard: func(forward.Heard) {}, Failed: func(*dispatch.Target, string) {}, Ended: func(summary forward.Summary) { made.ended = append(made.ended, summary.Outcome) }, Nodes: func() int { return 1 },
 		AskPermits: func() {}, Logger: slog.New(slog.DiscardHandler),
 	})
--- a/internal/serve/forward/exchange.go
+++ b/internal/serve/forward/exchange.go
@@ -44,7 +44,7 @@
 	exclude  []string
 	// mayHaveRun is set when a call left whose fate is not known.
 	mayHaveRun bool
-	budget     *retry.Window
+	budget     *retry.WindowBudget
 	// held is what the request holds of the node's memory, bodyHeld the part of it that is
 	// the request's body.
 	held     memory.Hold
@@ -123,7 +123,7 @@
 	exchange.service = pickService(route.Services, rand.Float64())
 	exchange.budget = exchange.forwarder.Budget(exchange.service)
 	if exchange.inward == nil {
-		exchange.budget.Request()
+		exchange.budget.RecordRequest()
 	}
 	exchange.deadline = exchange.timeLimit()
 	return true
@@ -270,7 +270,7 @@
 		exchange.outcome = AttemptsSpent
 		return false
 	}
-	if !exchange.budget.Take() {
+	if !exchange.budget.TryWithdraw() {
 		exchange.outcome = BudgetSpent
 		return false
 	}
--- a/internal/serve/forward/forward.go
+++ b/internal/serve/forward/forward.go
@@ -71,7 +71,7 @@
 	// DataCentre is this node's.
 	DataCentre string
 	// Budget returns the window of repeats of a service.
-	Budget func(service string) *retry.Window
+	Budget func(service string) *retry.WindowBudget
 	// Ready is closed once the node knows a configuration and the servers.
 	Ready <-chan struct{}
 	// Stopping says that the node is shutting down.
@@ -88,7 +88,7 @@
 	AskPermits func()
 	// Returns tells callers refused for a limit when to come back, Nodes how many nodes
 	// share it.
-	Returns *ratelimit.Returns
+	Returns *ratelimit.RetryScheduler
 	Nodes   func() int
 	// Memory is the budget of bytes that are buffered; nil for none.
 	Memory *memory.Budget
--- a/internal/serve/forward/heard.go
+++ b/internal/serve/forward/heard.go
@@ -25,9 +25,9 @@
 }
 
 // Answer returns what is to be kept of it.
-func (heard *Heard) Answer() notice.Answer {
-	return notice.Answer{
-		Backoff: notice.Backoff(heard.Said.Backoff), Draining: heard.Said.Draining, Taken: heard.Taken, Began: heard.Sent,
+func (heard *Heard) Answer() notice.Response {
+	return notice.Response{
+		Backoff: notice.Backoff(heard.Said.Backoff), Draining: heard.Said.Draining, Accepted: heard.Taken, SentAt: heard.Sent,
 	}
 }
 
--- a/internal/serve/forward/pick_test.go
+++ b/internal/serve/forward/pick_test.go
@@ -90,7 +90,7 @@
 		limits := ratelimit.New(ratelimit.Clock(exchange.forwarder.Now))
 		board := dispatch.New(dispatch.Clock(exchange.forwarder.Now), dispatch.Notices(notice.New(limits)))
 		board.Update(map[string][]dispatch.Spec{PoolName("drafts", "large"): {{ID: "a", Group: "g", Slots: 8}}})
-		limits.Answered(ratelimit.Run{Server: "a"}, ratelimit.Answer{Named: true, Rate: 20})
+		limits.HandleResponse(ratelimit.Run{Server: "a"}, ratelimit.Response{HasLimit: true, Rate: 20})
 		asked := 0
 		exchange.forwarder.Board, exchange.forwarder.AskPermits = board, func() { asked++ }
 		began := time.Now()
@@ -98,7 +98,7 @@
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Limited))
 		expect.Expect(time.Since(began)).To(gomega.BeNumerically("<=", 300*time.Millisecond/8))
 		expect.Expect(asked).To(gomega.Equal(1))
-		home := func(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Home: true, Part: 1} }
+		home := func(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Issuer: true, Share: 1} }
 		limits.Refresh(home)
 		time.Sleep(time.Second)
 		go func() {
--- a/internal/serve/forward/refuse.go
+++ b/internal/serve/forward/refuse.go
@@ -38,7 +38,7 @@
 // returnAfter is after which time a caller should come back to servers whose backoff ends
 // after a time: not before that, and one after the other.
 func (exchange *exchange) returnAfter(opens time.Duration) time.Duration {
-	turn := exchange.forwarder.Returns.After(exchange.pool()+" after a backoff", returnRate)
+	turn := exchange.forwarder.Returns.Delay(exchange.pool()+" after a backoff", returnRate)
 	return opens + turn + time.Duration(exchange.priority)*returnStep
 }
 
--- a/internal/serve/forward/rig_test.go
+++ b/internal/serve/forward/rig_test.go
@@ -74,11 +74,11 @@
 		defer cancel()
 		return dial(ctx, "tcp", address)
 	}))
-	window := retry.NewWindow(retry.Allowance{Ratio: 0.2, Least: 1000, Span: 10 * time.Second}, func() int { return 1 }, now)
+	window := retry.NewWindowBudget(retry.Allowance{Ratio: 0.2, Base: 1000, Window: 10 * time.Second}, func() int { return 1 }, now)
 	forwarder := forward.New(forward.Parts{
 		Configuration: table, Board: rig.board, Pool: rig.pool, Decode: decode, Memory: rig.memory, Now: now,
-		Budget: func(string) *retry.Window { return window }, Stopping: func() bool { return false },
-		Returns: ratelimit.NewReturns(now), Quarantine: quarantine.New(quarantine.Clock(now)), Suspected: func(quarantine.Fingerprint) {},
+		Budget: func(string) *retry.WindowBudget { return window }, Stopping: func() bool { return false },
+		Returns: ratelimit.NewRetryScheduler(now), Quarantine: quarantine.New(quarantine.Clock(now)), Suspected: func(quarantine.Fingerprint) {},
 		Heard: func(forward.Heard) {}, Failed: func(*dispatch.Target, string) {}, Ended: rig.ended, Nodes: func() int { return 1 },
 		AskPermits: func() {}, Logger: slog.New(slog.NewTextHandler(rig, nil)),
 	})
--- a/internal/serve/forward/suspect.go
+++ b/internal/serve/forward/suspect.go
@@ -42,10 +42,10 @@
 		return 0
 	}
 	if stoodStill && !target.Lost() {
-		list.Doubt(exchange.fingerprint, target.Group, target.Run())
+		list.RecordStall(exchange.fingerprint, target.Group, target.Run())
 		return 0
 	}
-	ends, news := list.Ended(exchange.fingerprint, target.Run())
+	ends, news := list.RecordFailure(exchange.fingerprint, target.Run())
 	if news {
 		exchange.forwarder.Suspected(exchange.fingerprint)
 	}
@@ -62,7 +62,7 @@
 // noteServed notes that the request was answered whole, which one of which servers end
 // never is. An answer without a length may have been cut by such an end, and says nothing.
 func (exchange *exchange) noteServed(leg *leg) {
-	if leg.peer != nil || !leg.Framed() || !exchange.forwarder.Quarantine.Served(exchange.fingerprint) {
+	if leg.peer != nil || !leg.Framed() || !exchange.forwarder.Quarantine.RecordSuccess(exchange.fingerprint) {
 		return
 	}
 	exchange.forwarder.Suspected(exchange.fingerprint)
@@ -73,25 +73,25 @@
 // quarantined says whether the request must reach no server any more: so many ended
 // that ran it that the next would as well, with the calls of all others there.
 func (exchange *exchange) quarantined() bool {
-	verdict, refused := exchange.forwarder.Quarantine.Refuses(exchange.fingerprint)
+	verdict, refused := exchange.forwarder.Quarantine.Quarantined(exchange.fingerprint)
 	if !refused {
 		return false
 	}
 	if exchange.outcome != Quarantined {
 		exchange.forwarder.Counts.Quarantined.Add(1)
 	}
-	exchange.outcome, exchange.again = Quarantined, verdict.Left
+	exchange.outcome, exchange.again = Quarantined, verdict.Remaining
 	exchange.cause = explain(verdict, exchange.forwarder.Now())
 	return true
 }
 
 // explain tells in words why a request is refused.
 func explain(verdict quarantine.Verdict, now time.Duration) string {
-	runs := make([]string, 0, len(verdict.Ends))
-	for _, end := range verdict.Ends {
+	runs := make([]string, 0, len(verdict.Failures))
+	for _, end := range verdict.Failures {
 		runs = append(runs, end.Run)
 	}
-	last := verdict.Ends[len(verdict.Ends)-1].At
+	last := verdict.Failures[len(verdict.Failures)-1].At
 	return "servers ended that ran it: " + strings.Join(runs, ", ") + "; the last " +
 		strconv.FormatInt((now-last).Milliseconds(), 10) + " ms ago"
 }
