--- a/internal/policy/dispatch/limit_test.go
+++ b/internal/policy/dispatch/limit_test.go
@@ -24,7 +24,9 @@
 	return board, limits, &at
 }
 
-func home(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Issuer: true, Share: 1} }
+func home(ratelimit.Run) ratelimit.PermitSource {
+	return ratelimit.PermitSource{Issuer: true, Share: 1}
+}
 
 // Guards against calls that wait for a server that names a limit while another has places.
 func TestCallsGoElsewhereBeforeALimitIsReached(t *testing.T) {
--- a/internal/policy/ratelimit/fleetmodel_test.go
+++ b/internal/policy/ratelimit/fleetmodel_test.go
@@ -152,9 +152,9 @@
 	return created
 }
 
-func (fleet *fleet) connect(one, other *node) *link {
+func (fleet *fleet) connect(a, b *node) *link {
 	leaves := max(1, len(fleet.nodes)/9)
-	created := &link{number: len(fleet.links) + 1, ends: [2]*node{one, other}, interval: min(200*time.Millisecond, max(50*time.Millisecond, time.Duration(leaves)*2500*time.Microsecond))}
+	created := &link{number: len(fleet.links) + 1, ends: [2]*node{a, b}, interval: min(200*time.Millisecond, max(50*time.Millisecond, time.Duration(leaves)*2500*time.Microsecond))}
 	created.nextFrameAt[0] = fleet.clock.current + time.Duration(fleet.random.Int64N(int64(created.interval)))
 	created.nextFrameAt[1] = fleet.clock.current + time.Duration(fleet.random.Int64N(int64(created.interval)))
 	fleet.links = append(fleet.links, created)
@@ -393,7 +393,7 @@
 					fleet.simulate(span, 2*rate)
 					b.ReportMetric(float64(fleet.maxInWindow(announcedAt+3*time.Second))/tolerated(rate), "worst/bound")
 					b.ReportMetric(float64(fleet.sentSince(measuredFrom))/rate/span.Seconds(), "used")
-					b.ReportMetric(float64(fleet.totalWait.Milliseconds())/max(1, float64(len(fleet.sent))), "ms-totalWait")
+					b.ReportMetric(float64(fleet.totalWait.Milliseconds())/max(1, float64(len(fleet.sent))), "ms-waited")
 					b.ReportMetric(float64(fleet.frames-frames)/span.Seconds()-baseFrameRate, "frames/s")
 					b.ReportMetric(float64(fleet.entries-entries)/span.Seconds(), "entries/s")
 					b.ReportMetric(fleet.maxAfterIdle(rate)/tolerated(rate), "rush/bound")
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -16,18 +16,18 @@
 
 // limitLines are the log lines of what answers change of limits.
 var limitLines = map[ratelimit.Change]string{
-	ratelimit.Learned:  "gateway: a server named a limit.",
-	ratelimit.Changed: "gateway: a server changed its limit.",
-	ratelimit.Ended:   "gateway: a server names no limit any more.",
-	ratelimit.Unreadable:  "gateway: a server named a limit that can't be read.",
+	ratelimit.Learned:    "gateway: a server named a limit.",
+	ratelimit.Changed:    "gateway: a server changed its limit.",
+	ratelimit.Ended:      "gateway: a server names no limit any more.",
+	ratelimit.Unreadable: "gateway: a server named a limit that can't be read.",
 }
 
 // backoffLines are the same of backoffs.
 var backoffLines = map[notice.Change]string{
 	notice.Learned:    "gateway: a server asked for a backoff.",
-	notice.Extended: "gateway: a server prolonged its backoff.",
-	notice.Ended:     "gateway: a server takes calls again after its backoff.",
-	notice.Unreadable:    "gateway: a server asked for a backoff that can't be read.",
+	notice.Extended:   "gateway: a server prolonged its backoff.",
+	notice.Ended:      "gateway: a server takes calls again after its backoff.",
+	notice.Unreadable: "gateway: a server asked for a backoff that can't be read.",
 }
 
 // heard takes what an answer says of its server.
