--- a/internal/policy/notice/announcement.go
+++ b/internal/policy/notice/announcement.go
@@ -6,64 +6,67 @@
 	"hazelslip/internal/policy/ratelimit"
 )
 
-// Told is what a node tells others of a server.
+// Announcement is what a node announces to other nodes about a server run.
 type Announcement struct {
 	ratelimit.Run
 	Draining bool
-	// Backoff is what is left of a backoff that the server asked of any node.
+	// Backoff is the remaining time of backoffs that the server requested from any node.
 	Backoff time.Duration
 }
 
-// hintLeast is by how much a hint must grow to be told on: nodes that are refused one after
-// the other would each tell all others of it.
+// minHintExtension is the minimum extension of a hint that is announced. Otherwise nodes that are
+// refused one after the other would each send an announcement to all nodes.
 const minHintExtension = 500 * time.Millisecond
 
-// Take takes what another node tells, and says whether it is news.
-func (notices *Notices) Merge(told Announcement) bool {
+// Merge applies an announcement of another node and reports whether the announcement changed
+// anything.
+func (notices *Notices) Merge(announcement Announcement) bool {
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
-	held, one := notices.runLocked(told.Run)
-	news := notices.hintLocked(held, told.Backoff)
-	if news {
+	server, run := notices.runStateLocked(announcement.Run)
+	extended := notices.applyHintLocked(server, announcement.Backoff)
+	if extended {
 		notices.Counts.Hints.Add(1)
 	}
-	if told.Draining && !one.draining.Swap(true) {
-		one.drainingSince = notices.now()
+	if announcement.Draining && !run.draining.Swap(true) {
+		run.drainingSince = notices.now()
 		notices.Counts.Drains.Add(1)
 		return true
 	}
-	return news
+	return extended
 }
 
-// hintLocked notes a backoff that a server asked of any node, and says whether it is news.
-func (notices *Notices) hintLocked(held *serverState, span time.Duration) bool {
+// applyHintLocked records a backoff that the server requested from any node and reports whether the
+// hint was extended.
+func (notices *Notices) applyHintLocked(server *serverState, span time.Duration) bool {
 	until := notices.now() + min(span, maxBackoff)
-	if span <= 0 || until < time.Duration(held.hintUntil.Load())+minHintExtension {
+	if span <= 0 || until < time.Duration(server.hintUntil.Load())+minHintExtension {
 		return false
 	}
-	held.hintUntil.Store(int64(until))
+	server.hintUntil.Store(int64(until))
 	return true
 }
 
-// Told returns what others are to be told of a run, and whether that is anything.
-func (notices *Notices) Announcement(key ratelimit.Run) (Announcement, bool) {
+// Announcement returns what to announce to other nodes about a run. It returns false if there is
+// nothing to announce.
+func (notices *Notices) Announcement(id ratelimit.Run) (Announcement, bool) {
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
-	held, one := notices.runLocked(key)
-	left := time.Duration(held.hintUntil.Load()) - notices.now()
-	told := Announcement{Run: key, Draining: one.draining.Load(), Backoff: max(0, left)}
-	return told, told.Draining || told.Backoff > 0
+	server, run := notices.runStateLocked(id)
+	remaining := time.Duration(server.hintUntil.Load()) - notices.now()
+	announcement := Announcement{Run: id, Draining: run.draining.Load(), Backoff: max(0, remaining)}
+	return announcement, announcement.Draining || announcement.Backoff > 0
 }
 
-// All returns the runs of which others are to be told something.
+// RunsToAnnounce returns the runs with a drain or a hint to announce to other nodes.
 func (notices *Notices) RunsToAnnounce() []ratelimit.Run {
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
 	now := notices.now()
 	all := []ratelimit.Run{}
-	for id, held := range notices.servers {
-		for born, one := range held.runs {
-			if one.draining.Load() || time.Duration(held.hintUntil.Load()) > now {
+	for id, server := range notices.servers {
+		for born, run := range server.runs {
+			if run.draining.Load() || time.Duration(server.hintUntil.Load()) > now {
 				all = append(all, ratelimit.Run{Server: id, Born: born})
 			}
 		}
@@ -71,7 +74,7 @@
 	return all
 }
 
-// Hinted says whether the server asked any node for a backoff that lasts.
+// HasHint reports whether a backoff that the server requested from any node is in force.
 func (record *Record) HasHint(now time.Duration) bool {
 	until := record.server.hintUntil.Load()
 	return until != 0 && time.Duration(until) > now
--- a/internal/policy/notice/notice.go
+++ b/internal/policy/notice/notice.go
@@ -1,30 +1,31 @@
-// Package notice keeps what backend servers say of themselves in their answers.
+// Package notice tracks the backoffs and drains that backend servers announce in their responses.
 //
-// A server may ask for a backoff: for some time it wants no more calls from the node that it
-// refused. It may say that it is draining: it wants no new calls at all until it has ended.
-// And it may name a limit that all nodes keep together, which package ratelimit keeps.
+// A server may request a backoff: it wants no more calls for some time from the node whose call it
+// refused. A server may announce that it is draining: it wants no new calls at all until it exits.
+// A server may also announce a rate limit that all nodes keep together. Package ratelimit handles
+// that limit.
 //
-// There is one record for each run of a server, whatever groups it heads, pools it stands in
-// and routes lead to it, so that no change of those ends what the server said. Each answer
-// is taken by Heard, whether to a call, a question or an order; each call is let through by
-// Record.Admit just before it is written, since what was chosen before an answer came may be
-// sent after it. A backoff belongs to the server's ID, since it may name its host's need; a
-// drain ends with the run that announced it.
+// There is one record for each run of a server process, independent of groups, pools and routes.
+// Changes to groups, pools or routes therefore do not end what the server announced. HandleResponse
+// receives every response of a server, whether to a call, a query or an order. Record.Admit checks
+// each call just before the call is written, because a response may arrive between the choice of a
+// server and the sending of the call. A backoff applies to the server's ID, because the cause may
+// be the server's host. A drain ends with the run that announced it.
 //
-// When a backoff has passed one call goes first, and the others follow when the server has
-// taken it: a server that is still in need would refuse them all, and each refusal
-// costs a repeat.
+// After a backoff one probe call is sent first. The other calls follow once the server accepts the
+// probe. A server that is still overloaded would refuse all of them, and each refusal costs a
+// retry.
 //
-// What one node heard it tells the others. A drain binds them all. A backoff is aimed at the
-// node that was refused, and to the others a hint: they call the server after all
-// others that can take a call.
+// Each node announces what it learns to the other nodes. A drain is binding for all nodes. A
+// backoff is binding only for the node that was refused. For other nodes a backoff is a hint: these
+// nodes call the server only if no other server can accept the call.
 //
 // # Usage
 //
 //	notices := notice.New(limits, notice.Clock(clock.Boot))
 //	record := notices.Record(ratelimit.Run{Server: "i-1", Born: 7})
-//	if err := record.Admit(); err != nil { ... } // send the call elsewhere
-//	changes := notices.Heard(record, notice.Answer{Backoff: notice.Backoff{Span: 3 * time.Second}})
+//	if err := record.Admit(); err != nil { ... } // send the call to another server
+//	changes := notices.HandleResponse(record, notice.Response{Backoff: notice.Backoff{Span: 3 * time.Second}})
 package notice
 
 import (
@@ -38,84 +39,83 @@
 	"hazelslip/internal/policy/ratelimit"
 )
 
-// Errors of Record.Admit. Use errors.Is.
+// Errors returned by Record.Admit. Test for them with errors.Is.
 var (
-	// ErrWithheld is either of the others.
-	ErrWithheld = errors.New("the call was withheld")
+	// ErrWithheld is matched by ErrBackoff and ErrDraining.
+	ErrWithheld = errors.New("the call was not sent to the server")
 	ErrBackoff  = errors.Mark(errors.New("the server asked for a backoff"), ErrWithheld)
 	ErrDraining = errors.Mark(errors.New("the server is draining"), ErrWithheld)
 )
 
 const (
-	// backoffMost bounds a backoff: a server that asks for more has either ended by then or
-	// changed its mind.
+	// maxBackoff caps a backoff. A server that requests more has exited or changed its request by then.
 	maxBackoff = 7 * 24 * time.Hour
-	// trialTime is how long the first call after a backoff is waited for before another
-	// may try. Its answer may be lost, or its caller may leave.
+	// probeTimeout is how long an unanswered probe call blocks further probes. The response may be
+	// lost, or the caller may disconnect.
 	probeTimeout = 500 * time.Millisecond
-	// prolongedLeast is by how much a backoff must grow to be news: calls that
-	// were refused together each grow it a little.
+	// minExtension is the smallest extension of a backoff that is reported as a change. Concurrent
+	// calls that are refused together each extend the backoff a little.
 	minExtension = 100 * time.Millisecond
-	// unaskedAfter is how long after its end a backoff is forgotten that no call has tried.
+	// untriedBackoffTTL is how long an ended backoff is kept if no call has tried the server since.
 	untriedBackoffTTL = 10 * time.Second
-	// drainingKept is for how long a drain is remembered of a run that no target and no
-	// entry stands for. Entries vanish and come back, also after outages of the registry.
+	// drainTTL is how long the drain of a run is kept while no target and no registry entry refers to
+	// the run. Entries may disappear and return, for example after a registry outage.
 	drainTTL = 30 * time.Minute
 )
 
-// Backoff is what one answer asks for.
+// Backoff is the backoff requested by one response.
 type Backoff struct {
-	// Span is for how long the server wants no more calls; 0 for no time.
+	// Span is how long the server wants no more calls. 0 means that no backoff is requested.
 	Span time.Duration
-	// Unreadable is a value that is no span, quoted; empty if there is none.
+	// Unreadable is the quoted value if it could not be parsed as a duration, otherwise empty.
 	Unreadable string
 }
 
-// Answer is what one answer of a server says of the server.
+// Response is what one response of a server says about the server.
 type Response struct {
 	Backoff Backoff
-	// Draining says that the server takes no new calls.
+	// Draining is set if the server accepts no new calls.
 	Draining bool
-	// Taken says that the server took a call, Began when that was sent.
+	// Accepted is set if the server accepted a call. SentAt is the time when that call was sent.
 	Accepted bool
 	SentAt   time.Duration
 }
 
-// Change is what an answer changed.
+// Change is the effect of a response on a backoff or a drain.
 type Change int
 
-// The changes.
+// Effects of a response.
 const (
 	Unchanged Change = iota
 	Learned
 	Extended
 	Ended
-	// Spoilt: the answer has the first value of this server that can't be read.
+	// Unreadable means that the response has the first value of this server that could not be parsed.
 	Unreadable
 )
 
-// Changes are those of one answer.
+// Changes holds the effects of one response.
 type Changes struct {
 	Backoff  Change
 	Draining Change
-	// Tell says that other nodes are to be told.
+	// Announce is set if the change must be announced to other nodes.
 	Announce bool
 }
 
-// Counts are counters; they only grow.
+// Counts holds cumulative counters.
 type Counts struct {
-	// Backoffs are those that were asked for anew or prolonged, Unreadable the answers with
-	// a value that is none, Drains the runs that said they were draining.
+	// Backoffs counts backoffs that were started or extended. Unreadable counts responses whose backoff
+	// could not be parsed. Drains counts runs that announced a drain.
 	Backoffs   atomic.Uint64
 	Unreadable atomic.Uint64
 	Drains     atomic.Uint64
-	// Hints are the backoffs that servers asked of other nodes.
+	// Hints counts backoffs announced by other nodes.
 	Hints atomic.Uint64
-	// Withheld are the calls that were chosen and then not sent.
+	// Withheld counts calls that were refused by Record.Admit after a server was chosen for them.
 	Withheld atomic.Uint64
 }
 
-// Notices are the records of all servers.
+// Notices holds the backoffs and drains of all servers.
 type Notices struct {
 	Counts Counts
 	now    clock.Now
@@ -125,50 +125,51 @@
 	servers map[string]*serverState
 }
 
-// server is what is known of all runs under one ID.
+// serverState holds the state of all runs of one server ID.
 type serverState struct {
-	// until is the end of the backoff, 0 for none; trial is when the call was sent that
-	// tries the server after it, 0 for none.
+	// backoffUntil is the end of the backoff for this node. probeSentAt is the time when the latest
+	// probe call after the backoff was sent. Both are 0 for none.
 	backoffUntil atomic.Int64
 	probeSentAt  atomic.Int64
-	// elsewhere is the end of a backoff that the server asked of other nodes, 0 for none.
+	// hintUntil is the latest end of the backoffs that the server requested from any node, 0 for none.
 	hintUntil atomic.Int64
 
-	// The lock of Notices guards the rest. asked is the span that was asked for last, and
-	// askedAt when.
+	// The lock of Notices guards the fields below. requestedSpan is the span of the latest backoff in
+	// force, requestedAt the time of its request.
 	requestedSpan      time.Duration
 	requestedAt        time.Duration
 	unreadableReported bool
-	runs               map[int64]*run
+	runs               map[int64]*runState
 }
 
-// run is what is known of one run.
-type run struct {
+// runState holds the drain of one run.
+type runState struct {
 	draining atomic.Bool
-	// since is when it said so, usedAt when anything last stood for the run.
+	// drainingSince is when the drain was announced. lastUsedAt is when a target or a registry entry
+	// last referred to the run.
 	drainingSince, lastUsedAt time.Duration
 }
 
-// Record is what one run of a server has said of itself.
+// Record gives access to the backoff, drain and rate limit of one server run.
 type Record struct {
 	ratelimit.Run
-	// Gate keeps the limit.
+	// Gate enforces the server's rate limit.
 	Gate *ratelimit.Gate
 
 	notices *Notices
 	server  *serverState
-	run     *run
+	run     *runState
 }
 
-// Option changes how Notices are built.
+// Option configures Notices.
 type Option func(*Notices)
 
-// Clock sets the clock.
+// Clock sets the time source.
 func Clock(now clock.Now) Option {
 	return func(notices *Notices) { notices.now = now }
 }
 
-// New returns notices of no server, with the limits that servers name.
+// New returns Notices without any server. The records share the given rate limits.
 func New(limits *ratelimit.Limits, options ...Option) *Notices {
 	notices := &Notices{now: clock.Boot, limits: limits, servers: map[string]*serverState{}}
 	for _, option := range options {
@@ -178,78 +179,78 @@
 }
 
 // Record returns the record of a run.
-func (notices *Notices) Record(key ratelimit.Run) *Record {
+func (notices *Notices) Record(id ratelimit.Run) *Record {
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
-	held, one := notices.runLocked(key)
-	return &Record{Run: key, Gate: notices.limits.Gate(key), notices: notices, server: held, run: one}
+	server, run := notices.runStateLocked(id)
+	return &Record{Run: id, Gate: notices.limits.Gate(id), notices: notices, server: server, run: run}
 }
 
-func (notices *Notices) runLocked(key ratelimit.Run) (*serverState, *run) {
-	held := notices.servers[key.Server]
-	if held == nil {
-		held = &serverState{runs: map[int64]*run{}}
-		notices.servers[key.Server] = held
+func (notices *Notices) runStateLocked(id ratelimit.Run) (*serverState, *runState) {
+	server := notices.servers[id.Server]
+	if server == nil {
+		server = &serverState{runs: map[int64]*runState{}}
+		notices.servers[id.Server] = server
 	}
-	one := held.runs[key.Born]
-	if one == nil {
-		one = &run{}
-		held.runs[key.Born] = one
+	run := server.runs[id.Born]
+	if run == nil {
+		run = &runState{}
+		server.runs[id.Born] = run
 	}
-	one.lastUsedAt = notices.now()
-	return held, one
+	run.lastUsedAt = notices.now()
+	return server, run
 }
 
-// Heard takes what an answer says of its server.
-func (notices *Notices) HandleResponse(record *Record, answer Response) Changes {
-	quiet := answer.Backoff == Backoff{} && !answer.Draining
-	if quiet && (!answer.Accepted || record.server.backoffUntil.Load() == 0) {
+// HandleResponse updates the backoff and the drain of a server from a response.
+func (notices *Notices) HandleResponse(record *Record, response Response) Changes {
+	noNotice := response.Backoff == Backoff{} && !response.Draining
+	if noNotice && (!response.Accepted || record.server.backoffUntil.Load() == 0) {
 		return Changes{}
 	}
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
-	changes := Changes{Backoff: notices.applyBackoffLocked(record.server, answer), Draining: notices.applyDrainLocked(record.run, answer)}
-	hinted := notices.hintLocked(record.server, answer.Backoff.Span)
-	changes.Announce = hinted || changes.Draining == Learned
+	changes := Changes{Backoff: notices.applyBackoffLocked(record.server, response), Draining: notices.applyDrainLocked(record.run, response)}
+	hintExtended := notices.applyHintLocked(record.server, response.Backoff.Span)
+	changes.Announce = hintExtended || changes.Draining == Learned
 	return changes
 }
 
-func (notices *Notices) applyBackoffLocked(held *serverState, answer Response) Change {
+func (notices *Notices) applyBackoffLocked(server *serverState, response Response) Change {
 	now := notices.now()
-	until := time.Duration(held.backoffUntil.Load())
-	switch asked := answer.Backoff; {
-	case asked.Span > 0:
-		return notices.extendBackoffLocked(held, min(asked.Span, maxBackoff))
-	case asked.Unreadable != "":
-		return notices.countUnreadableLocked(held)
-	case !answer.Accepted || until == 0 || now < until || answer.SentAt < until:
+	until := time.Duration(server.backoffUntil.Load())
+	switch requested := response.Backoff; {
+	case requested.Span > 0:
+		return notices.extendBackoffLocked(server, min(requested.Span, maxBackoff))
+	case requested.Unreadable != "":
+		return notices.countUnreadableLocked(server)
+	case !response.Accepted || until == 0 || now < until || response.SentAt < until:
 		return Unchanged
 	}
-	held.backoffUntil.Store(0)
-	held.probeSentAt.Store(0)
+	server.backoffUntil.Store(0)
+	server.probeSentAt.Store(0)
 	return Ended
 }
 
-func (notices *Notices) countUnreadableLocked(held *serverState) Change {
+func (notices *Notices) countUnreadableLocked(server *serverState) Change {
 	notices.Counts.Unreadable.Add(1)
-	if held.unreadableReported {
+	if server.unreadableReported {
 		return Unchanged
 	}
-	held.unreadableReported = true
+	server.unreadableReported = true
 	return Unreadable
 }
 
-// prolongLocked puts a backoff in force. A shorter one doesn't cut a longer one short: the
-// server may have asked for the longer one because of another call.
-func (notices *Notices) extendBackoffLocked(held *serverState, span time.Duration) Change {
+// extendBackoffLocked starts or extends a backoff. A shorter backoff does not cut a longer one
+// short, because the server may have requested the longer one in response to another call.
+func (notices *Notices) extendBackoffLocked(server *serverState, span time.Duration) Change {
 	now := notices.now()
-	before, until := time.Duration(held.backoffUntil.Load()), now+span
+	before, until := time.Duration(server.backoffUntil.Load()), now+span
 	if until <= before {
 		return Unchanged
 	}
-	held.backoffUntil.Store(int64(until))
-	held.probeSentAt.Store(0)
-	held.requestedSpan, held.requestedAt = span, now
+	server.backoffUntil.Store(int64(until))
+	server.probeSentAt.Store(0)
+	server.requestedSpan, server.requestedAt = span, now
 	switch {
 	case before <= now:
 		notices.Counts.Backoffs.Add(1)
@@ -261,36 +262,36 @@
 	return Extended
 }
 
-func (notices *Notices) applyDrainLocked(held *run, answer Response) Change {
-	if !answer.Draining || held.draining.Swap(true) {
+func (notices *Notices) applyDrainLocked(run *runState, response Response) Change {
+	if !response.Draining || run.draining.Swap(true) {
 		return Unchanged
 	}
-	held.drainingSince = notices.now()
+	run.drainingSince = notices.now()
 	notices.Counts.Drains.Add(1)
 	return Learned
 }
 
-// Draining says whether a run has said that it is draining.
-func (notices *Notices) Draining(key ratelimit.Run) bool {
+// Draining reports whether a run has announced that it is draining.
+func (notices *Notices) Draining(id ratelimit.Run) bool {
 	if notices.Counts.Drains.Load() == 0 {
 		return false
 	}
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
-	held := notices.servers[key.Server]
-	if held == nil || held.runs[key.Born] == nil {
+	server := notices.servers[id.Server]
+	if server == nil || server.runs[id.Born] == nil {
 		return false
 	}
-	return held.runs[key.Born].draining.Load()
+	return server.runs[id.Born].draining.Load()
 }
 
-// BacksOff says whether a server asked this node for a backoff that lasts.
+// InBackoff reports whether a backoff that the server requested from this node is in force.
 func (notices *Notices) InBackoff(id string) bool {
 	if notices.Counts.Backoffs.Load() == 0 {
 		return false
 	}
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
-	held := notices.servers[id]
-	return held != nil && time.Duration(held.backoffUntil.Load()) > notices.now()
+	server := notices.servers[id]
+	return server != nil && time.Duration(server.backoffUntil.Load()) > notices.now()
 }
--- a/internal/policy/notice/record.go
+++ b/internal/policy/notice/record.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Draining says whether the run takes no new calls.
+// Draining reports whether the run accepts no new calls.
 func (record *Record) Draining() bool {
 	return record.run.draining.Load()
 }
 
-// Takes says whether a new call may be sent to the server.
+// Accepts reports whether a new call may be sent to the server.
 func (record *Record) Accepts(now time.Duration) bool {
 	if record.run.draining.Load() {
 		return false
@@ -16,21 +16,22 @@
 	return until == 0 || record.server.nextCallAt(until) <= now
 }
 
-// opensAt is when the next call may be sent, after a backoff that ends at a time.
+// nextCallAt returns the earliest time for the next call, given the end of the backoff.
 func (server *serverState) nextCallAt(until int64) time.Duration {
-	if trial := server.probeSentAt.Load(); trial != 0 {
-		return max(time.Duration(until), time.Duration(trial)+probeTimeout)
+	if probe := server.probeSentAt.Load(); probe != 0 {
+		return max(time.Duration(until), time.Duration(probe)+probeTimeout)
 	}
 	return time.Duration(until)
 }
 
-// OpensAt is when the next call may be sent after a backoff.
+// NextCallAt returns the earliest time for the next call after a backoff.
 func (record *Record) NextCallAt() time.Duration {
 	return record.server.nextCallAt(record.server.backoffUntil.Load())
 }
 
-// Admit lets a call through that is about to be written, or returns why it may not be sent.
-// Of the calls after a backoff one is let through at a time until the server has taken one.
+// Admit checks a call that is about to be written. It returns an error if the call must not be
+// sent. After a backoff Admit lets one probe call through at a time until the server accepts a
+// call.
 func (record *Record) Admit() error {
 	until := record.server.backoffUntil.Load()
 	if until == 0 && !record.run.draining.Load() {
@@ -48,7 +49,7 @@
 	if record.Draining() {
 		return ErrDraining
 	}
-	if trial := record.server.probeSentAt.Load(); record.server.nextCallAt(until) <= now && record.server.probeSentAt.CompareAndSwap(trial, int64(now)) {
+	if probe := record.server.probeSentAt.Load(); record.server.nextCallAt(until) <= now && record.server.probeSentAt.CompareAndSwap(probe, int64(now)) {
 		return nil
 	}
 	return ErrBackoff
--- a/internal/policy/notice/state.go
+++ b/internal/policy/notice/state.go
@@ -8,85 +8,85 @@
 	"hazelslip/internal/policy/ratelimit"
 )
 
-// State is what a server has said of itself, in the state dump.
+// State describes the backoff and drain of a server in the state dump.
 type State struct {
 	Server string
-	// BackoffMilliseconds is what is left of its backoff, 0 once that has passed, of the
-	// AskedMilliseconds that it asked for AskedMillisecondsAgo.
+	// BackoffMilliseconds is the remaining backoff, 0 once the backoff has ended. AskedMilliseconds is
+	// the requested duration, and AskedMillisecondsAgo the time since the request.
 	BackoffMilliseconds  int64
 	AskedMilliseconds    int64
 	AskedMillisecondsAgo int64
-	// HintMilliseconds is what is left of backoffs that it asked of any node.
+	// HintMilliseconds is the remaining time of backoffs that the server requested from any node.
 	HintMilliseconds int64
-	// Untried says that the backoff has passed and that no call has been taken since.
+	// Untried is set if the backoff has ended and the server has not accepted a call since.
 	Untried bool
-	// DrainingMilliseconds is how long ago it said that it is draining, -1 if it didn't.
+	// DrainingMilliseconds is the time since the server announced a drain, -1 if there is no drain.
 	DrainingMilliseconds int64
 }
 
-// State returns the servers that ask for a backoff or are draining, by server.
+// State returns the servers with a backoff or a drain, sorted by server.
 func (notices *Notices) State() []State {
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
 	now := notices.now()
 	states := []State{}
-	for id, held := range notices.servers {
-		hint := time.Duration(held.hintUntil.Load()) - now
+	for id, server := range notices.servers {
+		hint := time.Duration(server.hintUntil.Load()) - now
 		state := State{Server: id, DrainingMilliseconds: -1, HintMilliseconds: max(0, hint).Milliseconds()}
-		if until := time.Duration(held.backoffUntil.Load()); until != 0 {
+		if until := time.Duration(server.backoffUntil.Load()); until != 0 {
 			state.BackoffMilliseconds, state.Untried = max(0, until-now).Milliseconds(), until <= now
-			state.AskedMilliseconds, state.AskedMillisecondsAgo = held.requestedSpan.Milliseconds(), (now - held.requestedAt).Milliseconds()
+			state.AskedMilliseconds, state.AskedMillisecondsAgo = server.requestedSpan.Milliseconds(), (now - server.requestedAt).Milliseconds()
 		}
-		for _, one := range held.runs {
-			if one.draining.Load() {
-				state.DrainingMilliseconds = max(state.DrainingMilliseconds, (now - one.drainingSince).Milliseconds())
+		for _, run := range server.runs {
+			if run.draining.Load() {
+				state.DrainingMilliseconds = max(state.DrainingMilliseconds, (now - run.drainingSince).Milliseconds())
 			}
 		}
 		if state.AskedMilliseconds > 0 || state.HintMilliseconds > 0 || state.DrainingMilliseconds >= 0 {
 			states = append(states, state)
 		}
 	}
-	slices.SortFunc(states, func(one, other State) int { return cmp.Compare(one.Server, other.Server) })
+	slices.SortFunc(states, func(a, b State) int { return cmp.Compare(a.Server, b.Server) })
 	return states
 }
 
-// Sweep forgets what doesn't count any more, and returns the servers whose backoff was
-// forgotten since no call had tried them.
-func (notices *Notices) Sweep(used func(key ratelimit.Run) bool) []string {
+// Sweep removes outdated state. It returns the servers whose backoff was removed without a call
+// that tried the server after the backoff.
+func (notices *Notices) Sweep(used func(run ratelimit.Run) bool) []string {
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
 	now := notices.now()
-	untried := []string{}
-	for id, held := range notices.servers {
-		if until := time.Duration(held.backoffUntil.Load()); until != 0 && now >= until+untriedBackoffTTL {
-			held.backoffUntil.Store(0)
-			held.probeSentAt.Store(0)
-			untried = append(untried, id)
+	expired := []string{}
+	for id, server := range notices.servers {
+		if until := time.Duration(server.backoffUntil.Load()); until != 0 && now >= until+untriedBackoffTTL {
+			server.backoffUntil.Store(0)
+			server.probeSentAt.Store(0)
+			expired = append(expired, id)
 		}
-		for born, one := range held.runs {
+		for born, run := range server.runs {
 			if used(ratelimit.Run{Server: id, Born: born}) {
-				one.lastUsedAt = now
+				run.lastUsedAt = now
 			}
-			if one.expired(now) {
-				delete(held.runs, born)
+			if run.expired(now) {
+				delete(server.runs, born)
 			}
 		}
-		if len(held.runs) == 0 && held.backoffUntil.Load() == 0 {
+		if len(server.runs) == 0 && server.backoffUntil.Load() == 0 {
 			delete(notices.servers, id)
 		}
 	}
-	slices.Sort(untried)
-	return untried
+	slices.Sort(expired)
+	return expired
 }
 
-// unusedKept is how long a run is remembered for which nothing stands: a target may just
-// have been made for it.
+// unusedRunTTL is how long the state of an unused run is kept. A target for the run may just have
+// been created.
 const unusedRunTTL = 2 * time.Second
 
-func (run *run) expired(now time.Duration) bool {
-	kept := unusedRunTTL
+func (run *runState) expired(now time.Duration) bool {
+	ttl := unusedRunTTL
 	if run.draining.Load() {
-		kept = drainTTL
+		ttl = drainTTL
 	}
-	return now-run.lastUsedAt > kept
+	return now-run.lastUsedAt > ttl
 }
