--- a/internal/policy/quarantine/fingerprint.go
+++ b/internal/policy/quarantine/fingerprint.go
@@ -9,45 +9,46 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fingerprint tells requests apart by what they ask, whoever takes them: the same
-// caller's request comes again with the same one, under another ID and at any node.
+// Fingerprint identifies requests by their content. A request that a caller sends again has the
+// same fingerprint, even with another request ID and at another node.
 type Fingerprint uint64
 
-// Asked is what a fingerprint is of.
+// Request is the content that a fingerprint is computed from.
 type Request struct {
-	// Workspace is the caller's, empty on routes that ask for no key. It is used in
-	// place of the key, since one workspace may hold several.
+	// Workspace is the caller's workspace, empty on routes that need no API key. The workspace is used
+	// instead of the key because a workspace may have several keys.
 	Workspace string
 	Method    string
 	Host      string
-	// Target is the path and query.
+	// Target is the path with the query.
 	Target string
 	Body   []byte
 }
 
-// Of returns the fingerprint of a request. Each part is hashed with its length, so that
-// no two requests differ only in where one part ends.
-func NewFingerprint(asked Request) Fingerprint {
-	digest := xxhash.New()
+// NewFingerprint computes the fingerprint of a request. Each part is hashed together with its
+// length, so that requests that differ only in the boundary between two parts get different
+// fingerprints.
+func NewFingerprint(request Request) Fingerprint {
+	hash := xxhash.New()
 	length := [8]byte{}
-	for _, part := range []string{asked.Workspace, asked.Method, asked.Host, asked.Target} {
+	for _, part := range []string{request.Workspace, request.Method, request.Host, request.Target} {
 		binary.LittleEndian.PutUint64(length[:], uint64(len(part)))
-		_, _ = digest.Write(length[:])
-		_, _ = digest.WriteString(part)
+		_, _ = hash.Write(length[:])
+		_, _ = hash.WriteString(part)
 	}
-	_, _ = digest.Write(asked.Body)
-	return Fingerprint(digest.Sum64())
+	_, _ = hash.Write(request.Body)
+	return Fingerprint(hash.Sum64())
 }
 
-// String is the fingerprint as logs and operators write it, sixteen hexadecimal digits.
+// String returns the sixteen hexadecimal digits that logs and the operator API use.
 func (fingerprint Fingerprint) String() string {
 	return fmt.Sprintf("%016x", uint64(fingerprint))
 }
 
-// ErrFingerprint means that a text is no fingerprint. Use errors.Is.
+// ErrInvalidFingerprint is returned for text that is not a fingerprint. Test for it with errors.Is.
 var ErrInvalidFingerprint = errors.New("a fingerprint is sixteen hexadecimal digits")
 
-// Parse reads a fingerprint as String writes it.
+// ParseFingerprint parses the format of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 {
--- a/internal/policy/quarantine/quarantine.go
+++ b/internal/policy/quarantine/quarantine.go
@@ -1,28 +1,29 @@
-// Package quarantine decides which requests are sent to no server any more, because
-// servers end that run them.
+// Package quarantine decides which requests are no longer sent to any server, because servers fail
+// while they run them.
 //
-// A request that ends each server that begins to run it comes again: the node that has
-// it repeats it, and its caller returns, at any node. Nothing in one attempt tells it
-// from a request whose server died of something else, so a List remembers under which
-// requests servers ended, by what was asked, and refuses one under which several did.
+// A server fails under a request if the request is in progress on the server at the time of the
+// failure. A request that makes each server fail returns again and again: the node retries it, and
+// the caller sends it again to any node. One attempt alone does not show whether the request caused
+// the failure or something else did. A List therefore records, by request fingerprint, under which
+// requests servers failed, and quarantines a request under which several did.
 //
-// A server that dies takes all requests with it that it has under way, of which at most
-// one is to blame. What tells the others: they are answered whole at last, as a request
-// that ends its servers never is. One whole answer, wherever it was given, lifts all
-// suspicion. That is also what frees a request that many callers send alike, as when
-// they ask for the state of something: some of them are always answered.
+// When a server fails, all requests in progress on it fail, and at most one of them is the cause.
+// The others can be told apart because they are answered completely in the end, which never happens
+// to a request that makes its servers fail. One complete response, given by any node, lifts all
+// suspicion. This also protects identical requests of many callers, such as status queries: some of
+// them are always answered.
 //
-// Nodes tell each other what their lists hold. Ends add up and are told as often as
-// anybody likes: what counts is under how many runs of servers, not how many
-// calls broke off.
+// Nodes exchange the contents of their lists. Failures accumulate and may be announced any number
+// of times: the count is the number of server runs that failed, not the number of calls that broke
+// off.
 //
 // # Usage
 //
 //	list := quarantine.New()
-//	fingerprint := quarantine.Of(quarantine.Asked{Workspace: workspace, Method: method, Target: target, Body: body})
-//	if verdict, refused := list.Refuses(fingerprint); refused { ... }
-//	list.Ended(fingerprint, "i-1/g7/0")
-//	list.Served(fingerprint)
+//	fingerprint := quarantine.NewFingerprint(quarantine.Request{Workspace: workspace, Method: method, Target: target, Body: body})
+//	if verdict, quarantined := list.Quarantined(fingerprint); quarantined { ... }
+//	list.RecordFailure(fingerprint, "i-1/g7/0")
+//	list.RecordSuccess(fingerprint)
 package quarantine
 
 import (
@@ -38,60 +39,62 @@
 )
 
 const (
-	// endsMost is under how many ends of servers a request is refused. One is chance,
-	// and so is a second in a wave of losses, in which a stream that goes on elsewhere
-	// soon breaks off again; a third is rare even there, and each costs a group. Without
-	// the bound one caller goes on to end servers for as long as it returns.
+	// defaultFailureThreshold is the number of server failures after which a request is quarantined.
+	// One failure may be coincidence. So may a second one when many servers fail at once, because a
+	// stream that moved to another server soon breaks off again. A third is rare even then. Each
+	// further failure costs a group of servers. Without a threshold one caller could make servers fail
+	// for as long as it keeps retrying.
 	defaultFailureThreshold = 3
-	// remembered is for how long an end counts. Who sends such a request comes back after
-	// seconds or minutes; after this a fault that was mended meanwhile holds nobody up.
+	// defaultFailureTTL is how long a failure counts. Callers retry such a request after seconds or
+	// minutes. Afterwards a fault that was fixed in the meantime no longer blocks requests.
 	defaultFailureTTL = 10 * time.Minute
-	// liftRemembered is for how long it is remembered that suspicion was lifted: ends
-	// that are told late don't raise it again.
+	// liftTTL is how long the list remembers that suspicion was lifted. Older failures that arrive late
+	// must not raise the suspicion again.
 	liftTTL = 30 * time.Second
-	// sameLift is how far apart nodes may note one and the same lift.
+	// sameLiftTolerance is the maximum difference between the times that nodes record for the same
+	// lift.
 	sameLiftTolerance = time.Second
-	// entriesMost bounds the list: at some 200 bytes each, under half a megabyte. A wave
-	// of losses brings some hundred innocent requests, most of which are served
-	// within seconds.
+	// maxEntries bounds the list. At about 200 bytes per entry the list stays below half a megabyte.
+	// When many servers fail at once, some hundred harmless requests are added. Most of them are
+	// answered within seconds.
 	maxEntries = 2048
-	// endsKept bounds the ends of one request.
+	// maxFailuresKept is the maximum number of failures kept per request.
 	maxFailuresKept = 8
-	// servedFor is for how long an answered request is known as harmless, and servedMost
-	// how many are kept, by their fingerprints' last bits, sixteen bytes each. Where all
-	// callers of a fleet send the same body and some groups lose their heads at once, innocent
-	// requests would be refused without it.
+	// successTTL is how long an answered request is known as harmless. successSlots is the number of
+	// slots for such requests, at sixteen bytes each. A request's slot is given by the last bits of its
+	// fingerprint. Without these records harmless requests would be quarantined when all callers of a
+	// fleet send the same body and several groups lose their head server at once.
 	successTTL   = 30 * time.Second
 	successSlots = 1024
 )
 
-// End is a server that ended while it had a request.
+// Failure records that a server failed while a request was in progress on it.
 type Failure struct {
-	// Run names one run of the server, in one group.
+	// Run identifies one run of the server in one group.
 	Run string
 	At  time.Duration
 }
 
-// Suspect is what is known of one request.
+// Suspect is what a node knows about one request.
 type Suspect struct {
 	Fingerprint Fingerprint
-	// Ends are those that count, the oldest first.
+	// Failures holds the failures that count, oldest first.
 	Failures []Failure
-	// LiftedAt is when suspicion was last lifted, 0 for never. Ends up to then don't count.
+	// LiftedAt is when suspicion was last lifted, 0 for never. Failures up to this time do not count.
 	LiftedAt time.Duration
-	// Peak is the most ends that counted at a time, as far as this node knew: who was
-	// told of that many must hear that suspicion was lifted.
+	// Peak is the highest number of failures that counted at the same time, as far as this node knows.
+	// Nodes that received an announcement with that many failures must also receive the lift.
 	Peak int
 }
 
-// Verdict is why a request is refused.
+// Verdict explains why a request is quarantined.
 type Verdict struct {
 	Failures []Failure
-	// Left is for how long it will be, if nothing more happens.
+	// Remaining is the remaining time of the quarantine if there are no further failures.
 	Remaining time.Duration
 }
 
-// entry is a Suspect and how often it has changed here.
+// suspectEntry is a Suspect with the list version of its last change.
 type suspectEntry struct {
 	Suspect
 	version uint64
@@ -104,14 +107,14 @@
 	return entry.Failures[len(entry.Failures)-1].At
 }
 
-// List is the requests under which servers ended, as far as this node knows.
+// List holds the requests under which servers failed, as far as this node knows.
 type List struct {
 	now              clock.Now
 	failureThreshold int
 	failureTTL       time.Duration
 
-	// known and refused count entries, so that a node on which no server ended
-	// spends nothing on a request.
+	// entryCount and quarantinedCount let a node without recorded failures skip the lookup for each
+	// request.
 	entryCount       atomic.Int32
 	quarantinedCount atomic.Int32
 
@@ -126,28 +129,28 @@
 	version uint64
 }
 
-// served is a request that was answered whole.
+// success is a request that was answered completely.
 type success struct {
 	fingerprint Fingerprint
 	at          time.Duration
 }
 
-// Option changes how a List is built.
+// Option configures a List.
 type Option func(*List)
 
-// Clock sets the clock.
+// Clock sets the time source.
 func Clock(now clock.Now) Option {
 	return func(list *List) { list.now = now }
 }
 
-// Ends sets under how many ends of servers a request is refused.
-func FailureThreshold(most int) Option {
-	return func(list *List) { list.failureThreshold = most }
+// FailureThreshold sets the number of server failures after which a request is quarantined.
+func FailureThreshold(threshold int) Option {
+	return func(list *List) { list.failureThreshold = threshold }
 }
 
-// Remembered sets for how long an end counts.
-func FailureTTL(span time.Duration) Option {
-	return func(list *List) { list.failureTTL = span }
+// FailureTTL sets how long a failure counts.
+func FailureTTL(ttl time.Duration) Option {
+	return func(list *List) { list.failureTTL = ttl }
 }
 
 // New returns an empty list.
@@ -159,25 +162,25 @@
 	return list
 }
 
-// Ended notes that a run of a server ended under a request, and returns how many did.
-// News says that it wasn't known. A request that was answered here a moment ago is not
-// to blame.
-func (list *List) RecordFailure(fingerprint Fingerprint, run string) (ends int, news bool) {
+// RecordFailure records that a server run failed under a request. It returns the number of failures
+// that count, and whether this one is new. The failure is ignored if the request was answered on
+// this node within successTTL.
+func (list *List) RecordFailure(fingerprint Fingerprint, run string) (failures int, changed bool) {
 	now := list.now()
 	if list.succeededRecently(fingerprint, now) {
 		return 0, false
 	}
-	news = list.Merge(Suspect{Fingerprint: fingerprint, Failures: []Failure{{Run: run, At: now}}})
+	changed = list.Merge(Suspect{Fingerprint: fingerprint, Failures: []Failure{{Run: run, At: now}}})
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	if held, known := list.entries[fingerprint]; known {
-		ends = len(held.Failures)
+	if entry, known := list.entries[fingerprint]; known {
+		failures = len(entry.Failures)
 	}
-	return ends, news
+	return failures, changed
 }
 
-// Served notes that a request was answered whole, which lifts suspicion. It says whether
-// there was any.
+// RecordSuccess records that a request was answered completely, which lifts suspicion. It reports
+// whether there was any suspicion.
 func (list *List) RecordSuccess(fingerprint Fingerprint) bool {
 	list.successesMu.Lock()
 	list.successes[fingerprint%successSlots] = success{fingerprint: fingerprint, at: list.now()}
@@ -186,8 +189,8 @@
 		return false
 	}
 	list.mu.Lock()
-	held, known := list.entries[fingerprint]
-	suspected := known && len(held.Failures) > 0 && !slices.ContainsFunc(held.Failures, byOperator)
+	entry, known := list.entries[fingerprint]
+	suspected := known && len(entry.Failures) > 0 && !slices.ContainsFunc(entry.Failures, byOperator)
 	list.mu.Unlock()
 	return suspected && list.Lift(fingerprint)
 }
@@ -195,120 +198,121 @@
 func (list *List) succeededRecently(fingerprint Fingerprint, now time.Duration) bool {
 	list.successesMu.Lock()
 	defer list.successesMu.Unlock()
-	held := list.successes[fingerprint%successSlots]
-	return held.fingerprint == fingerprint && held.at > 0 && now-held.at < successTTL
+	latest := list.successes[fingerprint%successSlots]
+	return latest.fingerprint == fingerprint && latest.at > 0 && now-latest.at < successTTL
 }
 
-// Lift ends all suspicion of a request, and says whether that is news.
+// Lift lifts all suspicion from a request and reports whether that changed the list.
 func (list *List) Lift(fingerprint Fingerprint) bool {
 	return list.Merge(Suspect{Fingerprint: fingerprint, LiftedAt: list.now()})
 }
 
-// operatorRun begins the names of ends that an operator stated, of which no server
-// ended. An answer that was under way when the operator decided doesn't lift them.
+// operatorRunPrefix starts the run names of failures that stand for an operator's decision. No
+// server failed for these. A response that was already in progress at the time of the decision does
+// not lift them.
 const operatorRunPrefix = "operator/"
 
-func byOperator(end Failure) bool {
-	return strings.HasPrefix(end.Run, operatorRunPrefix)
+func byOperator(failure Failure) bool {
+	return strings.HasPrefix(failure.Run, operatorRunPrefix)
 }
 
-// Refuse makes a request be refused, as an operator decides, and says whether that is
-// news.
+// Quarantine quarantines a request by an operator's decision and reports whether that changed the
+// list.
 func (list *List) Quarantine(fingerprint Fingerprint) bool {
-	told := Suspect{Fingerprint: fingerprint}
+	suspect := Suspect{Fingerprint: fingerprint}
 	for number := range list.failureThreshold {
-		told.Failures = append(told.Failures, Failure{Run: operatorRunPrefix + strconv.Itoa(number+1), At: list.now()})
+		suspect.Failures = append(suspect.Failures, Failure{Run: operatorRunPrefix + strconv.Itoa(number+1), At: list.now()})
 	}
-	return list.Merge(told)
+	return list.Merge(suspect)
 }
 
-// Refuses says whether a request is refused, and why.
+// Quarantined reports whether a request is quarantined, and why.
 func (list *List) Quarantined(fingerprint Fingerprint) (Verdict, bool) {
 	if list.quarantinedCount.Load() == 0 {
 		return Verdict{}, false
 	}
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	held, known := list.entries[fingerprint]
-	if !known || len(held.Failures) < list.failureThreshold {
+	entry, known := list.entries[fingerprint]
+	if !known || len(entry.Failures) < list.failureThreshold {
 		return Verdict{}, false
 	}
-	left := held.lastFailureAt() + list.failureTTL - list.now()
-	return Verdict{Failures: slices.Clone(held.Failures), Remaining: left}, left > 0
+	remaining := entry.lastFailureAt() + list.failureTTL - list.now()
+	return Verdict{Failures: slices.Clone(entry.Failures), Remaining: remaining}, remaining > 0
 }
 
-// Take adds what another node knows of a request, and says whether any of it is news.
-func (list *List) Merge(told Suspect) bool {
+// Merge adds what another node knows about a request and reports whether that changed the list.
+func (list *List) Merge(suspect Suspect) bool {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	defer list.updateCountsLocked()
-	held, known := list.entries[told.Fingerprint]
+	entry, known := list.entries[suspect.Fingerprint]
 	if !known {
-		held = &suspectEntry{Suspect: Suspect{Fingerprint: told.Fingerprint}}
+		entry = &suspectEntry{Suspect: Suspect{Fingerprint: suspect.Fingerprint}}
 	}
-	news := told.LiftedAt > held.LiftedAt+sameLiftTolerance || (told.LiftedAt > 0 && held.LiftedAt == 0)
-	held.LiftedAt = max(held.LiftedAt, told.LiftedAt)
-	for _, end := range told.Failures {
-		news = list.addFailure(held, end) || news
+	changed := suspect.LiftedAt > entry.LiftedAt+sameLiftTolerance || (suspect.LiftedAt > 0 && entry.LiftedAt == 0)
+	entry.LiftedAt = max(entry.LiftedAt, suspect.LiftedAt)
+	for _, failure := range suspect.Failures {
+		changed = list.addFailure(entry, failure) || changed
 	}
-	held.Peak = max(held.Peak, len(held.Failures))
-	before := len(held.Failures)
-	held.Failures = slices.DeleteFunc(held.Failures, func(end Failure) bool { return end.At <= held.LiftedAt })
-	if !news && len(held.Failures) == before {
+	entry.Peak = max(entry.Peak, len(entry.Failures))
+	before := len(entry.Failures)
+	entry.Failures = slices.DeleteFunc(entry.Failures, func(failure Failure) bool { return failure.At <= entry.LiftedAt })
+	if !changed && len(entry.Failures) == before {
 		return false
 	}
 	list.version++
-	held.version = list.version
-	list.entries[told.Fingerprint] = held
+	entry.version = list.version
+	list.entries[suspect.Fingerprint] = entry
 	list.evictLocked()
 	return true
 }
 
-// add adds an end to an entry unless it is known or counts no more.
-func (list *List) addFailure(held *suspectEntry, end Failure) bool {
-	if end.At <= held.LiftedAt || list.now()-end.At > list.failureTTL {
+// addFailure adds a failure to an entry unless the failure is already known, expired or lifted.
+func (list *List) addFailure(entry *suspectEntry, failure Failure) bool {
+	if failure.At <= entry.LiftedAt || list.now()-failure.At > list.failureTTL {
 		return false
 	}
-	if slices.ContainsFunc(held.Failures, func(other Failure) bool { return other.Run == end.Run }) {
+	if slices.ContainsFunc(entry.Failures, func(other Failure) bool { return other.Run == failure.Run }) {
 		return false
 	}
-	held.Failures = append(held.Failures, end)
-	slices.SortFunc(held.Failures, func(one, other Failure) int {
-		return cmp.Or(cmp.Compare(one.At, other.At), cmp.Compare(one.Run, other.Run))
+	entry.Failures = append(entry.Failures, failure)
+	slices.SortFunc(entry.Failures, func(a, b Failure) int {
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Run, b.Run))
 	})
-	if len(held.Failures) > maxFailuresKept {
-		held.Failures = slices.Delete(held.Failures, 0, len(held.Failures)-maxFailuresKept)
+	if len(entry.Failures) > maxFailuresKept {
+		entry.Failures = slices.Delete(entry.Failures, 0, len(entry.Failures)-maxFailuresKept)
 	}
 	return true
 }
 
-// boundLocked forgets the entry with the fewest ends, the oldest of them, when there are
-// too many: one that is refused goes last.
+// evictLocked removes the entry with the fewest failures if the list is too long, among equals the
+// least recently changed one. Quarantined requests are therefore removed last.
 func (list *List) evictLocked() {
 	if len(list.entries) <= maxEntries {
 		return
 	}
-	var least *suspectEntry
-	for _, held := range list.entries {
-		if least == nil || len(held.Failures) < len(least.Failures) || (len(held.Failures) == len(least.Failures) && held.version < least.version) {
-			least = held
+	var evicted *suspectEntry
+	for _, entry := range list.entries {
+		if evicted == nil || len(entry.Failures) < len(evicted.Failures) || (len(entry.Failures) == len(evicted.Failures) && entry.version < evicted.version) {
+			evicted = entry
 		}
 	}
-	delete(list.entries, least.Fingerprint)
+	delete(list.entries, evicted.Fingerprint)
 }
 
 func (list *List) updateCountsLocked() {
-	refused := int32(0)
-	for _, held := range list.entries {
-		if len(held.Failures) >= list.failureThreshold {
-			refused++
+	quarantined := int32(0)
+	for _, entry := range list.entries {
+		if len(entry.Failures) >= list.failureThreshold {
+			quarantined++
 		}
 	}
 	list.entryCount.Store(int32(len(list.entries)))
-	list.quarantinedCount.Store(refused)
+	list.quarantinedCount.Store(quarantined)
 }
 
-// Sweep forgets what is too old to count.
+// Sweep removes expired failures and lifts.
 func (list *List) Sweep() {
 	if list.entryCount.Load() == 0 {
 		return
@@ -317,9 +321,9 @@
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	defer list.updateCountsLocked()
-	for fingerprint, held := range list.entries {
-		held.Failures = slices.DeleteFunc(held.Failures, func(end Failure) bool { return now-end.At > list.failureTTL })
-		if len(held.Failures) == 0 && now-held.LiftedAt > liftTTL {
+	for fingerprint, entry := range list.entries {
+		entry.Failures = slices.DeleteFunc(entry.Failures, func(failure Failure) bool { return now-failure.At > list.failureTTL })
+		if len(entry.Failures) == 0 && now-entry.LiftedAt > liftTTL {
 			delete(list.entries, fingerprint)
 		}
 	}
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -19,150 +19,151 @@
 	return quarantine.New(append([]quarantine.Option{quarantine.Clock(clock.Virtual())}, options...)...)
 }
 
-const asked = quarantine.Fingerprint(7)
+const poison = quarantine.Fingerprint(7)
 
-func TestThirdEndRefuses(t *testing.T) {
+func TestThirdFailureQuarantines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		list := newList()
 		for number := range 3 {
-			_, refused := list.Quarantined(asked)
-			expect.Expect(refused).To(gomega.BeFalse())
-			ends, news := list.RecordFailure(asked, fmt.Sprint("i-", number))
-			expect.Expect(ends).To(gomega.Equal(number + 1))
-			expect.Expect(news).To(gomega.BeTrue())
+			_, quarantined := list.Quarantined(poison)
+			expect.Expect(quarantined).To(gomega.BeFalse())
+			failures, changed := list.RecordFailure(poison, fmt.Sprint("i-", number))
+			expect.Expect(failures).To(gomega.Equal(number + 1))
+			expect.Expect(changed).To(gomega.BeTrue())
 		}
-		verdict, refused := list.Quarantined(asked)
-		expect.Expect(refused).To(gomega.BeTrue())
+		verdict, quarantined := list.Quarantined(poison)
+		expect.Expect(quarantined).To(gomega.BeTrue())
 		expect.Expect(verdict.Failures).To(gomega.HaveLen(3))
-		_, refused = list.Quarantined(asked + 1)
-		expect.Expect(refused).To(gomega.BeFalse())
+		_, quarantined = list.Quarantined(poison + 1)
+		expect.Expect(quarantined).To(gomega.BeFalse())
 	})
 }
 
-// Twenty calls of one request break off when their one server ends, and several nodes
-// tell of it. That is one end, not twenty.
-func TestCallsOfOneServerAreOneEnd(t *testing.T) {
+// Guards against counting one server failure several times: twenty calls of one request break off
+// with their server, and several nodes announce the failure.
+func TestCallsOfOneServerCountAsOneFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		list := newList()
 		for range 20 {
-			list.RecordFailure(asked, "i-1/g1/0")
+			list.RecordFailure(poison, "i-1/g1/0")
 			time.Sleep(time.Millisecond)
 		}
-		expect.Expect(list.Merge(quarantine.Suspect{Fingerprint: asked, Failures: []quarantine.Failure{{Run: "i-1/g1/0", At: time.Hour}}})).To(gomega.BeFalse())
-		_, refused := list.Quarantined(asked)
-		expect.Expect(refused).To(gomega.BeFalse())
+		expect.Expect(list.Merge(quarantine.Suspect{Fingerprint: poison, Failures: []quarantine.Failure{{Run: "i-1/g1/0", At: time.Hour}}})).To(gomega.BeFalse())
+		_, quarantined := list.Quarantined(poison)
+		expect.Expect(quarantined).To(gomega.BeFalse())
 	})
 }
 
-// In a wave of losses a request lies under three ends by chance and is answered at last
-// at another node. It is harmless, also where the ends are told after that.
-func TestAnswerLiftsSuspicionForGood(t *testing.T) {
+// Guards against quarantining a harmless request: by coincidence three servers fail under it, it is
+// answered by another node, and the failures are announced again afterwards.
+func TestSuccessLiftsSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		here, there := newList(), newList()
 		for number := range 3 {
-			here.RecordFailure(asked, fmt.Sprint("i-", number))
+			here.RecordFailure(poison, fmt.Sprint("i-", number))
 		}
-		before, _ := here.Suspect(asked)
+		before, _ := here.Suspect(poison)
 		expect.Expect(there.Merge(before)).To(gomega.BeTrue())
 		time.Sleep(2 * time.Second)
-		expect.Expect(there.RecordSuccess(asked)).To(gomega.BeTrue())
-		after, _ := there.Suspect(asked)
+		expect.Expect(there.RecordSuccess(poison)).To(gomega.BeTrue())
+		after, _ := there.Suspect(poison)
 		expect.Expect(here.Merge(after)).To(gomega.BeTrue())
 		for _, list := range []*quarantine.List{here, there} {
 			expect.Expect(list.Merge(before)).To(gomega.BeFalse())
-			_, refused := list.Quarantined(asked)
-			expect.Expect(refused).To(gomega.BeFalse())
+			_, quarantined := list.Quarantined(poison)
+			expect.Expect(quarantined).To(gomega.BeFalse())
 			expect.Expect(list.State()).To(gomega.BeEmpty())
 		}
 	})
 }
 
-// All groups of a slow data centre stand still for a moment, and are whole. A request that
-// was moved away from three of them must go on; once the third turns out to have lost a
-// member, that one counts.
-func TestGroupsThatOnlyStoodStillDoNotCount(t *testing.T) {
+// Guards against quarantining a request because its groups stalled without losing a member. All
+// groups of a slow data centre stall for a moment, and the request is moved away from three of
+// them. Only the group that turns out to have lost a member counts.
+func TestStalledGroupsCountOnlyAfterConfirmedLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		list := newList()
 		for _, group := range []string{"g1", "g2", "g3"} {
-			list.RecordStall(asked, group, "i/"+group)
+			list.RecordStall(poison, group, "i/"+group)
 		}
-		_, known := list.Suspect(asked)
+		_, known := list.Suspect(poison)
 		expect.Expect(known).To(gomega.BeFalse())
-		expect.Expect(list.ConfirmGroupLoss("g3")).To(gomega.Equal([]quarantine.Fingerprint{asked}))
+		expect.Expect(list.ConfirmGroupLoss("g3")).To(gomega.Equal([]quarantine.Fingerprint{poison}))
 		expect.Expect(list.ConfirmGroupLoss("g3")).To(gomega.BeEmpty())
-		suspect, _ := list.Suspect(asked)
+		suspect, _ := list.Suspect(poison)
 		expect.Expect(suspect.Failures).To(gomega.HaveLen(1))
 		time.Sleep(7 * time.Second)
 		expect.Expect(list.ConfirmGroupLoss("g1")).To(gomega.BeEmpty())
 	})
 }
 
-// An operator refuses a request of which answers are under way. They must not lift it.
-func TestAnswersDoNotLiftAnOperatorsDecision(t *testing.T) {
+// Guards against lifting an operator's quarantine by responses that were in progress when the
+// operator decided.
+func TestSuccessDoesNotLiftOperatorQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		list := newList()
-		expect.Expect(list.Quarantine(asked)).To(gomega.BeTrue())
-		expect.Expect(list.RecordSuccess(asked)).To(gomega.BeFalse())
-		_, refused := list.Quarantined(asked)
-		expect.Expect(refused).To(gomega.BeTrue())
+		expect.Expect(list.Quarantine(poison)).To(gomega.BeTrue())
+		expect.Expect(list.RecordSuccess(poison)).To(gomega.BeFalse())
+		_, quarantined := list.Quarantined(poison)
+		expect.Expect(quarantined).To(gomega.BeTrue())
 		time.Sleep(2 * time.Second)
-		expect.Expect(list.Lift(asked)).To(gomega.BeTrue())
-		_, refused = list.Quarantined(asked)
-		expect.Expect(refused).To(gomega.BeFalse())
+		expect.Expect(list.Lift(poison)).To(gomega.BeTrue())
+		_, quarantined = list.Quarantined(poison)
+		expect.Expect(quarantined).To(gomega.BeFalse())
 	})
 }
 
-func TestSuspicionEnds(t *testing.T) {
+func TestQuarantineExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		list := newList(quarantine.FailureTTL(time.Minute), quarantine.FailureThreshold(1))
-		list.RecordFailure(asked, "i-1")
+		list.RecordFailure(poison, "i-1")
 		time.Sleep(40 * time.Second)
-		verdict, refused := list.Quarantined(asked)
-		expect.Expect(refused).To(gomega.BeTrue())
+		verdict, quarantined := list.Quarantined(poison)
+		expect.Expect(quarantined).To(gomega.BeTrue())
 		expect.Expect(verdict.Remaining).To(gomega.Equal(20 * time.Second))
 		time.Sleep(21 * time.Second)
-		_, refused = list.Quarantined(asked)
-		expect.Expect(refused).To(gomega.BeFalse())
+		_, quarantined = list.Quarantined(poison)
+		expect.Expect(quarantined).To(gomega.BeFalse())
 		list.Sweep()
-		_, known := list.Suspect(asked)
+		_, known := list.Suspect(poison)
 		expect.Expect(known).To(gomega.BeFalse())
 	})
 }
 
-// A wave of losses puts thousands of requests under one end each. The list stays small,
-// and what is refused stays on it.
+// Guards against a list that grows without bound, or loses a quarantined request, when a server
+// failure adds thousands of requests.
 func TestListIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		list := newList()
 		for number := range 3 {
-			list.RecordFailure(asked, fmt.Sprint("i-", number))
+			list.RecordFailure(poison, fmt.Sprint("i-", number))
 		}
 		for number := range 5000 {
 			list.RecordFailure(quarantine.Fingerprint(1000+number), "i-9")
 		}
 		expect.Expect(len(list.State())).To(gomega.BeNumerically("<=", 2048))
-		_, refused := list.Quarantined(asked)
-		expect.Expect(refused).To(gomega.BeTrue())
+		_, quarantined := list.Quarantined(poison)
+		expect.Expect(quarantined).To(gomega.BeTrue())
 	})
 }
 
-// Nodes tell each other what they know in any order, late and twice. In the end all know
-// the same, whoever saw which end.
-func TestNodesAgreeInTheEnd(t *testing.T) {
+// Guards against nodes whose lists differ after all announcements were exchanged in any order, late
+// and repeatedly.
+func TestListsConverge(t *testing.T) {
 	suite.FixRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Hour
 		clock := quarantine.Clock(func() time.Duration { return now })
 		lists := []*quarantine.List{quarantine.New(clock), quarantine.New(clock), quarantine.New(clock)}
-		tell := func(from, to int) {
-			if suspect, known := lists[from].Suspect(asked); known {
+		announce := func(from, to int) {
+			if suspect, known := lists[from].Suspect(poison); known {
 				lists[to].Merge(suspect)
 			}
 		}
@@ -171,19 +172,19 @@
 			node := rapid.IntRange(0, 2).Draw(t, "node")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				lists[node].RecordFailure(asked, fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "run")))
+				lists[node].RecordFailure(poison, fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "run")))
 			case 2:
 				if rapid.IntRange(0, 3).Draw(t, "lift") == 0 {
-					lists[node].Lift(asked)
+					lists[node].Lift(poison)
 				}
 			default:
-				tell(node, rapid.IntRange(0, 2).Draw(t, "to"))
+				announce(node, rapid.IntRange(0, 2).Draw(t, "to"))
 			}
 		}
 		for range 2 {
 			for from := range lists {
 				for to := range lists {
-					tell(from, to)
+					announce(from, to)
 				}
 			}
 		}
@@ -194,28 +195,29 @@
 			}
 			return slices.Sorted(slices.Values(found))
 		}
-		_, first := lists[0].Quarantined(asked)
+		_, expected := lists[0].Quarantined(poison)
 		for _, list := range lists {
-			if _, refused := list.Quarantined(asked); refused != first {
-				t.Fatal("the nodes don't agree whether the request is refused")
+			if _, quarantined := list.Quarantined(poison); quarantined != expected {
+				t.Fatal("nodes disagree whether the request is quarantined")
 			}
 			if !slices.Equal(runs(list), runs(lists[0])) {
-				t.Fatalf("the nodes don't agree: %v and %v", runs(list), runs(lists[0]))
+				t.Fatalf("nodes know different failures: %v and %v", runs(list), runs(lists[0]))
 			}
 		}
 	})
 }
 
-// Two requests that differ only in where one part ends and the next begins are two.
-func TestFingerprintTellsPartsApart(t *testing.T) {
+// Guards against equal fingerprints of two requests that differ only in the boundary between two
+// parts.
+func TestFingerprintSeparatesParts(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	one := quarantine.NewFingerprint(quarantine.Request{Workspace: "ab", Method: "c", Target: "/x", Body: []byte("y")})
-	other := quarantine.NewFingerprint(quarantine.Request{Workspace: "a", Method: "bc", Target: "/x", Body: []byte("y")})
-	expect.Expect(one).NotTo(gomega.Equal(other))
-	expect.Expect(quarantine.NewFingerprint(quarantine.Request{Workspace: "ab", Method: "c", Target: "/xy"})).NotTo(gomega.Equal(one))
-	parsed, err := quarantine.ParseFingerprint(one.String())
+	first := quarantine.NewFingerprint(quarantine.Request{Workspace: "ab", Method: "c", Target: "/x", Body: []byte("y")})
+	second := quarantine.NewFingerprint(quarantine.Request{Workspace: "a", Method: "bc", Target: "/x", Body: []byte("y")})
+	expect.Expect(first).NotTo(gomega.Equal(second))
+	expect.Expect(quarantine.NewFingerprint(quarantine.Request{Workspace: "ab", Method: "c", Target: "/xy"})).NotTo(gomega.Equal(first))
+	parsed, err := quarantine.ParseFingerprint(first.String())
 	expect.Expect(err).NotTo(gomega.HaveOccurred())
-	expect.Expect(parsed).To(gomega.Equal(one))
+	expect.Expect(parsed).To(gomega.Equal(first))
 	_, err = quarantine.ParseFingerprint("xyz")
 	expect.Expect(err).To(gomega.MatchError(quarantine.ErrInvalidFingerprint))
 }
--- a/internal/policy/quarantine/stall.go
+++ b/internal/policy/quarantine/stall.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// doubt is a request whose group stood still. It may only be slow.
+// stall is a request whose group stalled. The group may only be slow.
 type stall struct {
 	fingerprint Fingerprint
 	group, run  string
@@ -13,41 +13,42 @@
 }
 
 const (
-	// doubtKept is for how long a group that stands still may turn out to have lost a
-	// member: longer than the registry takes to drop one that says nothing more.
+	// stallTTL is how long after a stall the loss of a group member still counts as a failure under the
+	// request. It is longer than the registry takes to drop a member that no longer reports.
 	stallTTL = 6 * time.Second
-	// doubtsMost bounds the doubts: the calls of some twenty groups.
+	// maxStalls bounds the recorded stalls. It suffices for the calls of about twenty groups.
 	maxStalls = 512
 )
 
-// Doubt notes that a request's group stood still, which counts as an end once the group is
-// known to have lost a member: of the groups that stand still, three in ten are whole.
+// RecordStall records that the group of a request stalled. The stall counts as a failure only after
+// the group is known to have lost a member, because three in ten stalled groups are intact.
 func (list *List) RecordStall(fingerprint Fingerprint, group, run string) {
 	list.stallsMu.Lock()
 	defer list.stallsMu.Unlock()
 	now := list.now()
-	list.stalls = slices.DeleteFunc(list.stalls, func(doubt stall) bool { return now-doubt.at > stallTTL })
+	list.stalls = slices.DeleteFunc(list.stalls, func(pending stall) bool { return now-pending.at > stallTTL })
 	if len(list.stalls) < maxStalls {
 		list.stalls = append(list.stalls, stall{fingerprint: fingerprint, group: group, run: run, at: now})
 	}
 }
 
-// Lost notes that a group lost a member, and returns the requests under which that is news.
+// ConfirmGroupLoss records that a group lost a member. It turns the stalls of the group into
+// failures and returns the requests with a new failure.
 func (list *List) ConfirmGroupLoss(group string) []Fingerprint {
 	list.stallsMu.Lock()
 	confirmed := []stall{}
-	for _, doubt := range list.stalls {
-		if doubt.group == group && list.now()-doubt.at <= stallTTL {
-			confirmed = append(confirmed, doubt)
+	for _, pending := range list.stalls {
+		if pending.group == group && list.now()-pending.at <= stallTTL {
+			confirmed = append(confirmed, pending)
 		}
 	}
-	list.stalls = slices.DeleteFunc(list.stalls, func(doubt stall) bool { return doubt.group == group })
+	list.stalls = slices.DeleteFunc(list.stalls, func(pending stall) bool { return pending.group == group })
 	list.stallsMu.Unlock()
-	news := []Fingerprint{}
-	for _, doubt := range confirmed {
-		if _, told := list.RecordFailure(doubt.fingerprint, doubt.run); told {
-			news = append(news, doubt.fingerprint)
+	newFailures := []Fingerprint{}
+	for _, pending := range confirmed {
+		if _, changed := list.RecordFailure(pending.fingerprint, pending.run); changed {
+			newFailures = append(newFailures, pending.fingerprint)
 		}
 	}
-	return news
+	return newFailures
 }
