--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -1,37 +1,38 @@
-// Package retry bounds how much work is tried again.
+// Package retry limits the number of retries.
 //
-// A Budget earns a fraction of a try with each success and spends a whole one
-// with each retry, so that in an outage, when successes stop, retries stop too
-// and cannot multiply the load.
+// A Budget gains a fraction of a retry with each success and loses one with each retry. Successes
+// stop in an outage, so retries stop as well and do not multiply the load. A WindowBudget limits
+// the retries of a service in a sliding window.
 //
 // # Usage
 //
 //	budget := retry.New()
-//	budget.Succeeded()
-//	if budget.Take() { ... }
+//	budget.RecordSuccess()
+//	if budget.TryWithdraw() { ... }
 package retry
 
 import "sync/atomic"
 
 const (
+	// Budgets count in thousandths of a retry.
 	unitsPerRetry = 1000
-	// earned is what a success adds, in thousandths of a retry: with it,
-	// retries add at most a tenth to the load.
+	// unitsPerSuccess limits retries to an additional load of at most one tenth.
 	unitsPerSuccess = 100
-	// most is how many retries can be saved up.
+	// maxUnits is the maximum balance: 50 retries.
 	maxUnits = 50 * unitsPerRetry
-	// atStart lets a node that just started try a few times.
+	// initialUnits is the balance of a new budget: 10 retries, so that a node can retry right after its
+	// start.
 	initialUnits = 10 * unitsPerRetry
 )
 
-// State is what a Budget shows in the state dump. Left is in retries.
+// State describes a Budget in the state dump. Left is in retries.
 type State struct {
 	Left    float64
 	Taken   uint64
 	Refused uint64
 }
 
-// Budget is shared by the requests of one kind on a node.
+// Budget is a retry budget shared by all requests of one kind on a node.
 type Budget struct {
 	units     atomic.Int64
 	taken     atomic.Uint64
@@ -39,15 +40,15 @@
 	unlimited bool
 }
 
-// Option changes how a Budget is built.
+// Option configures a Budget.
 type Option func(*Budget)
 
-// Endless lets every retry through; comparisons use it.
+// Unlimited grants every retry. It serves as the baseline in comparisons.
 func Unlimited() Option {
 	return func(budget *Budget) { budget.unlimited = true }
 }
 
-// New returns a budget with a few retries in it.
+// New returns a budget with the initial balance.
 func New(options ...Option) *Budget {
 	budget := &Budget{}
 	budget.units.Store(initialUnits)
@@ -57,37 +58,37 @@
 	return budget
 }
 
-// Succeeded earns a part of a retry.
+// RecordSuccess adds the fraction of a retry that a success gains.
 func (budget *Budget) RecordSuccess() {
 	for {
-		left := budget.units.Load()
-		if left >= maxUnits || budget.units.CompareAndSwap(left, min(maxUnits, left+unitsPerSuccess)) {
+		units := budget.units.Load()
+		if units >= maxUnits || budget.units.CompareAndSwap(units, min(maxUnits, units+unitsPerSuccess)) {
 			return
 		}
 	}
 }
 
-// Take spends one retry and reports false when there is none. What is left
-// never goes below zero.
+// TryWithdraw takes one retry from the budget, or returns false if less than one is left. The
+// balance never becomes negative.
 func (budget *Budget) TryWithdraw() bool {
 	if budget.unlimited {
 		budget.taken.Add(1)
 		return true
 	}
 	for {
-		left := budget.units.Load()
-		if left < unitsPerRetry {
+		units := budget.units.Load()
+		if units < unitsPerRetry {
 			budget.refused.Add(1)
 			return false
 		}
-		if budget.units.CompareAndSwap(left, left-unitsPerRetry) {
+		if budget.units.CompareAndSwap(units, units-unitsPerRetry) {
 			budget.taken.Add(1)
 			return true
 		}
 	}
 }
 
-// State returns the budget's part of the state dump.
+// State returns the state of the budget for the state dump.
 func (budget *Budget) State() State {
 	return State{Left: float64(budget.units.Load()) / unitsPerRetry, Taken: budget.taken.Load(), Refused: budget.refused.Load()}
 }
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -9,28 +9,28 @@
 	"hazelslip/internal/testlib/suite"
 )
 
-// An outage: successes stop and every request asks for retries. The budget must
-// run dry instead of multiplying the load, never go below zero, and grant no
-// more than a tenth of the successes beyond what was saved up.
-func TestBudgetAgainstCounting(t *testing.T) {
+// Guards against a budget that multiplies the load in an outage, when successes stop and every
+// request asks for retries. The balance must stay between 0 and 50, and the granted retries must
+// not exceed the initial balance plus one tenth of the successes.
+func TestBudgetBoundsRetries(t *testing.T) {
 	suite.FixRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		budget := retry.New()
-		saved := budget.State().Left
-		succeeded, taken := 0, 0
+		initial := budget.State().Left
+		successes, granted := 0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "success") {
 				budget.RecordSuccess()
-				succeeded++
+				successes++
 			} else if budget.TryWithdraw() {
-				taken++
+				granted++
 			}
 			if left := budget.State().Left; left < 0 || left > 50 {
-				t.Fatalf("%g left", left)
+				t.Fatalf("budget has %g retries, want 0 to 50", left)
 			}
 		}
-		if float64(taken) > saved+float64(succeeded)/10 {
-			t.Fatalf("%d retries on %d successes", taken, succeeded)
+		if float64(granted) > initial+float64(successes)/10 {
+			t.Fatalf("%d retries granted after %d successes", granted, successes)
 		}
 	})
 }
--- a/internal/policy/retry/window.go
+++ b/internal/policy/retry/window.go
@@ -7,8 +7,8 @@
 	"hazelslip/internal/common/clock"
 )
 
-// Allowance is what an operator allows a service in repeats, by all nodes
-// together: in any span, Ratio times the requests in it plus Least.
+// Allowance is the number of retries that an operator allows for a service on all nodes together:
+// in any window of length Window, at most Ratio times the number of requests plus Base.
 type Allowance struct {
 	Ratio  float64
 	Base   float64
@@ -16,36 +16,36 @@
 }
 
 const (
-	// windowParts is how many parts a span is counted in.
+	// slotsPerWindow is the number of slots in which a window is counted.
 	slotsPerWindow = 10
-	// ratioUsed is the part of the ratio that a node uses. Windows slide and
-	// nodes count different requests, so not all of it can be.
+	// usableRatio is the fraction of Ratio that a node uses. Windows slide, and nodes count different
+	// requests, so the nodes would exceed the allowance if they used all of it.
 	usableRatio = 0.85
-	// leastUsed is the part of the fixed allowance that the nodes use together:
-	// a node that was restarted has forgotten what it spent.
+	// usableBase is the fraction of Base that all nodes use together. A restarted node has lost its
+	// count of retries.
 	usableBase = 0.7
 )
 
-// Window bounds the repeats that a node sends to one service. Each node takes
-// its part of the fixed allowance by the number of nodes that it knows of, so
-// that no counter is shared. It answers a domain that goes dark: all its
-// streams are repeated within a second, which a rate that follows successes
-// would not let through.
+// WindowBudget limits the retries that a node sends to one service. Each node uses an equal share
+// of Base, by the number of nodes that it knows of, so no shared counter is needed. The budget is
+// made for the loss of a failure domain: all streams of the domain are retried within a second,
+// which a rate that follows successes would not allow.
 //
-// Repeats are whole, and a node of a large fleet has a fraction of one. The node's lot decides
-// whether that counts as a whole one or as none: all nodes together come to the sum of their
-// parts, where each would come to nothing. The lot is kept for the life of the process, so
-// a node can't win by asking again.
+// Retries are whole numbers, and in a large fleet a node's share is a fraction of a retry. The
+// node's random rounding offset decides whether a fraction is rounded up or down. All nodes
+// together then reach the sum of their shares, while rounding down everywhere would leave no
+// retries. The offset is constant for the life of the process, so repeated attempts do not get
+// another chance.
 type WindowBudget struct {
 	allowance      Allowance
 	nodes          func() int
 	now            clock.Now
 	roundingOffset float64
 
-	mu       sync.Mutex
-	slots    [slotsPerWindow + 1]slot
-	sent     uint64
-	withheld uint64
+	mu      sync.Mutex
+	slots   [slotsPerWindow + 1]slot
+	granted uint64
+	refused uint64
 }
 
 type slot struct {
@@ -54,71 +54,73 @@
 	retries  int
 }
 
-// WindowOption changes how a Window is built.
+// WindowBudgetOption configures a WindowBudget.
 type WindowBudgetOption func(*WindowBudget)
 
-// Lot sets the node's lot, from 0 up to 1. With the least of them a fraction counts as none.
-func RoundingOffset(lot float64) WindowBudgetOption {
-	return func(window *WindowBudget) { window.roundingOffset = lot }
+// RoundingOffset sets the node's rounding offset, from 0 up to but not including 1. With 0
+// fractions are always rounded down.
+func RoundingOffset(offset float64) WindowBudgetOption {
+	return func(budget *WindowBudget) { budget.roundingOffset = offset }
 }
 
-// NewWindow returns a window in which nothing was counted.
+// NewWindowBudget returns a WindowBudget with empty counts.
 func NewWindowBudget(allowance Allowance, nodes func() int, now clock.Now, options ...WindowBudgetOption) *WindowBudget {
-	window := &WindowBudget{allowance: allowance, nodes: nodes, now: now}
+	budget := &WindowBudget{allowance: allowance, nodes: nodes, now: now}
 	for _, option := range options {
-		option(window)
+		option(budget)
 	}
-	return window
+	return budget
 }
 
-func (window *WindowBudget) currentSlot() *slot {
-	number := int64(window.now() / (window.allowance.Window / slotsPerWindow))
-	part := &window.slots[number%int64(len(window.slots))]
-	if part.number != number {
-		part.number, part.requests, part.retries = number, 0, 0
+func (budget *WindowBudget) currentSlot() *slot {
+	number := int64(budget.now() / (budget.allowance.Window / slotsPerWindow))
+	slot := &budget.slots[number%int64(len(budget.slots))]
+	if slot.number != number {
+		slot.number, slot.requests, slot.retries = number, 0, 0
 	}
-	return part
+	return slot
 }
 
-// Request counts a caller's request.
-func (window *WindowBudget) RecordRequest() {
-	window.mu.Lock()
-	defer window.mu.Unlock()
-	window.currentSlot().requests++
+// RecordRequest counts a caller's request.
+func (budget *WindowBudget) RecordRequest() {
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
+	budget.currentSlot().requests++
 }
 
-// Take counts a repeat, or reports false when there is none left.
-func (window *WindowBudget) TryWithdraw() bool {
-	window.mu.Lock()
-	defer window.mu.Unlock()
-	current := window.currentSlot()
-	requests, repeats := 0, 0
-	for _, part := range window.slots {
-		if part.number >= current.number-slotsPerWindow {
-			requests += part.requests
-			repeats += part.retries
+// TryWithdraw grants and counts a retry, or returns false if the allowance is used up.
+func (budget *WindowBudget) TryWithdraw() bool {
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
+	current := budget.currentSlot()
+	requests, retries := 0, 0
+	for _, slot := range budget.slots {
+		if slot.number >= current.number-slotsPerWindow {
+			requests += slot.requests
+			retries += slot.retries
 		}
 	}
-	allowed := usableRatio*window.allowance.Ratio*float64(requests) +
-		usableBase*window.allowance.Base/float64(max(1, window.nodes()))
-	if float64(repeats+1) > allowed+window.roundingOffset {
-		window.withheld++
+	allowed := usableRatio*budget.allowance.Ratio*float64(requests) +
+		usableBase*budget.allowance.Base/float64(max(1, budget.nodes()))
+	if float64(retries+1) > allowed+budget.roundingOffset {
+		budget.refused++
 		return false
 	}
 	current.retries++
-	window.sent++
+	budget.granted++
 	return true
 }
 
-// WindowState is a Window in the state dump. Both only grow.
+// WindowState describes a WindowBudget in the state dump: the cumulative numbers of granted and
+// refused retries.
 type WindowState struct {
 	Sent     uint64
 	Withheld uint64
 }
 
-// State returns the window's part of the state dump.
-func (window *WindowBudget) State() WindowState {
-	window.mu.Lock()
-	defer window.mu.Unlock()
-	return WindowState{Sent: window.sent, Withheld: window.withheld}
+// State returns the state of the budget for the state dump.
+func (budget *WindowBudget) State() WindowState {
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
+	return WindowState{Sent: budget.granted, Withheld: budget.refused}
 }
