--- a/internal/policy/patience/patience.go
+++ b/internal/policy/patience/patience.go
@@ -1,105 +1,109 @@
-// Package patience decides how long an answer of the store is waited for, and how often a
-// store that doesn't answer is asked again.
+// Package patience sets the timing of calls to the store: when an overdue call is hedged by another
+// one, when a failed call is retried, and how long a call may take.
 //
-// A store that was away may have forgotten the calls that it was sent meanwhile. Whoever
-// waits for one of them learns of the return only when it times out, and whoever waits
-// less loses a store that is merely slow. So a call that is overdue is not given up: another
-// is made beside it, and the first answer counts. How long calls may take and how often they
-// are made are two limits, and only the second decides how soon a return is noticed.
+// A store that comes back from an outage may have lost the calls that were sent to it in the
+// meantime. With long call timeouts a node notices the return only when such a call times out. With
+// short ones a node gives up on a store that is merely slow. An overdue call is therefore not
+// cancelled: a second call is sent in parallel, and the first response counts. The maximum duration
+// of a call and the interval between calls are separate limits, and only the interval determines
+// how soon the return of the store is noticed.
 //
 // # Usage
 //
-//	beside := patience.Beside(wait, usual.Longest())
-//	pause := patience.Of(patience.Speaker).Pause(failures, elapsed)
+//	delay := patience.HedgeDelay(wait, latencies.Max())
+//	pause := patience.TimingFor(patience.Representative).RetryDelay(failures, elapsed)
 package patience
 
 import "time"
 
-// Part is a node's part in reading the store.
+// Role is a node's role in reading the store.
 type Role int
 
-// The parts of nodes.
+// Roles of nodes.
 const (
-	// Speaker: it speaks for its data centre, and others hear from it that the store is back.
+	// Representative reads the store on behalf of its data centre. Other nodes learn from it that the
+	// store is back.
 	Representative Role = iota
-	// Hearer: it asks for itself, where nobody tells it.
+	// Listener reads the store only for itself, while no other node passes on the store's content.
 	Listener
 )
 
-// Limits are how long one node waits for the store.
+// Timing holds the timing of one node's calls to the store.
 type Timing struct {
-	// Again is the time between the starts of two calls while none is answered, Away the same
-	// once the store answers no call of this node.
+	// HedgeInterval is the time between the starts of two calls while none is answered. OutageInterval
+	// replaces it once the store answers no call of this node.
 	HedgeInterval, OutageInterval time.Duration
-	// Most is how long one call may take beside the time that it waits for news.
+	// CallTimeout is the maximum duration of a call, not counting the time for which the store is asked
+	// to wait for a change.
 	CallTimeout time.Duration
 }
 
 const (
 	representativeInterval = 400 * time.Millisecond
 	listenerInterval       = 800 * time.Millisecond
-	// most is as long as a store may take that is slow and not away.
+	// callTimeout is the longest response time of a store that is slow but not down.
 	callTimeout = 3 * time.Second
-	// besideLeast and besideMost bound when a second call is made beside one.
+	// minHedgeDelay and maxHedgeDelay bound the time after which an overdue call is hedged.
 	minHedgeDelay = 250 * time.Millisecond
 	maxHedgeDelay = time.Second
 )
 
-// Of returns the limits of a node with a part.
-func TimingFor(part Role) Timing {
-	if part == Representative {
+// TimingFor returns the timing for a node with the given role.
+func TimingFor(role Role) Timing {
+	if role == Representative {
 		return Timing{HedgeInterval: representativeInterval, OutageInterval: representativeInterval, CallTimeout: callTimeout}
 	}
 	return Timing{HedgeInterval: listenerInterval, OutageInterval: listenerInterval, CallTimeout: callTimeout}
 }
 
-// Beside returns after which time of a call that waits for news another is made beside it:
-// twice what answers usually take, within bounds.
-func HedgeDelay(wait, usual time.Duration) time.Duration {
-	return wait + min(maxHedgeDelay, max(minHedgeDelay, 2*usual))
+// HedgeDelay returns the time after which a call is hedged by a second call: the time for which the
+// store is asked to wait for a change, plus twice the typical latency, within bounds.
+func HedgeDelay(wait, typical time.Duration) time.Duration {
+	return wait + min(maxHedgeDelay, max(minHedgeDelay, 2*typical))
 }
 
-// firstPause follows the first failure after an answer: a connection that was reset is
-// no outage.
+// firstRetryDelay is the delay after the first failure since the last response. A connection reset
+// is not an outage.
 const firstRetryDelay = 150 * time.Millisecond
 
-// Pause returns how long the next call waits after one that failed some time after its
-// start, as the last of some in a row.
-func (limits Timing) RetryDelay(failures int, elapsed time.Duration) time.Duration {
+// RetryDelay returns the delay before the next call, given the number of consecutive failures and
+// the time since the start of the failed call.
+func (timing Timing) RetryDelay(failures int, elapsed time.Duration) time.Duration {
 	if failures <= 1 {
 		return firstRetryDelay
 	}
-	return max(0, limits.OutageInterval-elapsed)
+	return max(0, timing.OutageInterval-elapsed)
 }
 
-// Next returns how long after a call that hangs another is made beside it.
-func (limits Timing) NextHedge(away bool) time.Duration {
-	if away {
-		return limits.OutageInterval
+// NextHedge returns the time after which a call that hangs is hedged by another one.
+func (timing Timing) NextHedge(outage bool) time.Duration {
+	if outage {
+		return timing.OutageInterval
 	}
-	return limits.HedgeInterval
+	return timing.HedgeInterval
 }
 
-// usualOf is over how many answers the usual time is taken.
+// latencySamples is the number of responses in a LatencyWindow.
 const latencySamples = 8
 
-// Usual is how long answers take.
+// LatencyWindow holds the latencies of the latest responses.
 type LatencyWindow struct {
 	latest [latencySamples]time.Duration
 	next   int
 }
 
-// Took notes how long an answer took beside the time that it waited for news.
-func (usual *LatencyWindow) Observe(span time.Duration) {
-	usual.latest[usual.next] = max(0, span)
-	usual.next = (usual.next + 1) % latencySamples
+// Observe records the latency of a response, not counting the time for which the store waited for a
+// change.
+func (window *LatencyWindow) Observe(latency time.Duration) {
+	window.latest[window.next] = max(0, latency)
+	window.next = (window.next + 1) % latencySamples
 }
 
-// Longest is the longest of the latest answers.
-func (usual *LatencyWindow) Max() time.Duration {
+// Max returns the highest latency in the window.
+func (window *LatencyWindow) Max() time.Duration {
 	longest := time.Duration(0)
-	for _, span := range usual.latest {
-		longest = max(longest, span)
+	for _, latency := range window.latest {
+		longest = max(longest, latency)
 	}
 	return longest
 }
