--- a/internal/policy/quarantine/quarantine.go
+++ b/internal/policy/quarantine/quarantine.go
@@ -312,7 +312,7 @@
 	list.quarantinedCount.Store(quarantined)
 }
 
-// Sweep removes expired failures and lifts.
+// Sweep removes expired failures, and entries without failures whose lift is older than liftTTL.
 func (list *List) Sweep() {
 	if list.entryCount.Load() == 0 {
 		return
--- a/internal/policy/ratelimit/allocator.go
+++ b/internal/policy/ratelimit/allocator.go
@@ -126,6 +126,7 @@
 	if source.Issuer {
 		allocator.tokens, allocator.refilledAt = 0, now
 		if !initial {
+			// A node that becomes the issuer later waits until the permits of the former issuer have expired.
 			allocator.issuesFrom = now + orphanTTL
 		}
 	}
@@ -208,6 +209,7 @@
 	allocator.refreshLocal(now)
 	removeExpired(&allocator.orphanSentWithoutPermit, now)
 	for _, expired := range removeExpired(&allocator.orphans, now) {
+		// Expired permits of lost neighbours count as used.
 		allocator.recordUsage(expired.count, 0)
 	}
 	if allocator.source.Issuer {
@@ -228,6 +230,7 @@
 	used := int(allocator.gate.used.Swap(0))
 	removeOldest(&allocator.local, used)
 	returned, due := 0, now
+	// Without demand, permits expire after idlePermitTTL instead of permitTTL.
 	if self.wanted == 0 && self.waiting == 0 {
 		due += permitTTL - idlePermitTTL
 	}
--- a/internal/policy/ratelimit/exchange.go
+++ b/internal/policy/ratelimit/exchange.go
@@ -13,8 +13,8 @@
 
 // PermitSource tells where a node gets the permits of one server from.
 type PermitSource struct {
-	// Issuer is set if this node issues the permits, for a share of the limit. The share is the part of
-	// the fleet's nodes that this node can reach.
+	// Issuer is set if this node issues the permits, for a share of the limit: the fraction
+	// of the fleet's nodes that this node receives reports from.
 	Issuer bool
 	Share  float64
 	// Lender is the neighbour that a node other than the issuer borrows from. Self means that there is
--- a/internal/policy/ratelimit/fleetmodel_test.go
+++ b/internal/policy/ratelimit/fleetmodel_test.go
@@ -79,7 +79,7 @@
 	upstream  *link
 	rootLinks map[int]*link
 	share     float64
-	// The node does nothing before pausedUntil.
+	// pausedUntil is the time before which the node does nothing.
 	pausedUntil time.Duration
 	waiting     []request
 }
@@ -90,7 +90,7 @@
 	done         func()
 }
 
-// link connects two nodes. Both nodes know the other one as neighbour number.
+// link connects two nodes. Each node identifies the other one by the number of the link.
 type link struct {
 	number int
 	ends   [2]*node
--- a/internal/policy/ratelimit/permits_test.go
+++ b/internal/policy/ratelimit/permits_test.go
@@ -109,8 +109,8 @@
 		expect.Expect(gate.TryAcquire(0)).To(gomega.BeTrue())
 	}
 	limits.HandleResponse(run, ratelimit.Response{HasLimit: true, Rate: 10})
-	named, sent := clock.current, 0
-	for clock.current < named+3900*time.Millisecond {
+	announcedAt, sent := clock.current, 0
+	for clock.current < announcedAt+3900*time.Millisecond {
 		clock.current += 20 * time.Millisecond
 		gate.RecordDemand()
 		limits.Refresh(asIssuer)
@@ -159,7 +159,7 @@
 	expect.Expect(lent(3)).To(gomega.BeNumerically(">", 0))
 }
 
-// Guards against using permits of a former lender in addition to those of the current first.
+// Guards against using permits of a former lender in addition to those of the current one.
 func TestPermitsOfFormerLenderAreRevoked(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	clock := &fakeClock{current: time.Minute}
@@ -191,16 +191,16 @@
 	clock := &fakeClock{current: time.Minute}
 	lender, _ := newNode(clock, 1, 20)
 	borrower, gate := newNode(clock, 2, 20)
-	exchange := func(times int) (taken int) {
+	exchange := func(times int) (total int) {
 		for range times {
 			clock.current += 50 * time.Millisecond
 			gate.RecordDemand()
 			borrower.Refresh(asBorrower)
 			lender.ApplyClaims(1, borrower.Claims(1), asIssuer)
 			borrower.ApplyLoans(1, lender.Loans(1), asBorrower)
-			taken += admitted(gate)
+			total += admitted(gate)
 		}
-		return taken
+		return total
 	}
 	expect.Expect(exchange(200)).To(gomega.BeNumerically(">", 50))
 	borrower.Refresh(func(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Lender: 9} })
@@ -257,7 +257,7 @@
 // unused, or uses the share of others.
 func TestIssuerUsesItsShareOfLimit(t *testing.T) {
 	for _, rate := range []float64{0.2, 1.1, 5, 50} {
-		for _, part := range []float64{0.5, 0.86} {
+		for _, share := range []float64{0.5, 0.86} {
 			expect := gomega.NewWithT(t)
 			clock := &fakeClock{current: time.Minute}
 			limits, gate := newNode(clock, 1, rate)
@@ -265,12 +265,12 @@
 			for range 6000 {
 				clock.current += 10 * time.Millisecond
 				gate.RecordDemand()
-				limits.Refresh(func(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Issuer: true, Share: part} })
+				limits.Refresh(func(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Issuer: true, Share: share} })
 				now := admitted(gate)
 				sent, burst = sent+now, max(burst, now)
 			}
-			expect.Expect(float64(sent)).To(gomega.BeNumerically("~", 60*rate*part, 3+rate*part), "limit %v per second, share %v", rate, part)
-			expect.Expect(float64(burst)).To(gomega.BeNumerically("<=", (2*rate+5)*part))
+			expect.Expect(float64(sent)).To(gomega.BeNumerically("~", 60*rate*share, 3+rate*share), "limit %v per second, share %v", rate, share)
+			expect.Expect(float64(burst)).To(gomega.BeNumerically("<=", (2*rate+5)*share))
 		}
 	}
 }
--- a/internal/policy/ratelimit/ratelimit.go
+++ b/internal/policy/ratelimit/ratelimit.go
@@ -1,5 +1,5 @@
 // Package ratelimit enforces the request rate limits that backend servers announce. A limit is the
-// number of requests a second that one server accepts from all nodes together.
+// number of requests per second that one server accepts from all nodes together.
 //
 // A node learns a limit from the responses of the server. A limit applies to one run of the server
 // process and stays in force until a response announces none. A restarted server, and a server that
@@ -7,10 +7,11 @@
 //
 // While a server announces a limit, each request to the server needs a permit. One node, the
 // issuer, issues the permits at the rate of the limit. The other nodes borrow permits over the
-// existing links between nodes, each node for itself and for the nodes behind it. An unused permit
-// is returned and lent again. A node without a connection to a lender sends nothing. An issuer that
-// can reach only a share of the nodes issues only that share of the limit. Two issuers that cannot
-// reach each other therefore keep the limit together.
+// existing links between nodes. Each node borrows for itself and for the nodes behind it, which are
+// the nodes that reach the issuer through it. An unused permit is returned and lent again. A node
+// that receives nothing from a lender sends nothing to the server. An issuer that receives only
+// from a share of the nodes issues only that share of the limit. Two issuers that do not receive
+// from each other therefore keep the limit together.
 //
 // # Usage
 //
--- a/internal/policy/ratelimit/update.go
+++ b/internal/policy/ratelimit/update.go
@@ -33,9 +33,9 @@
 )
 
 // HandleResponse updates the limit of a run from a response. A response without a limit ends the
-// known limit, with two exceptions. If the request was sent before the limit was learned, the
-// response may be outdated. If the server refused the request, the refusal may come from a
-// component that does not count requests.
+// known limit, with two exceptions. If the request was sent before the latest response that
+// announced the limit, its own response may be outdated. If the server refused the request, the
+// refusal may come from a component that does not count requests.
 func (limits *Limits) HandleResponse(run Run, response Response) Change {
 	if !response.HasLimit && response.Unreadable == "" && limits.limitCount.Load() == 0 {
 		return Unchanged
@@ -82,7 +82,8 @@
 	AlreadyKnown MergeResult = iota
 	// Applied means that the limit replaced the one known to this node.
 	Applied
-	// Stale means that this node knows a newer limit and should announce it.
+	// Stale means that the received limit is outdated. This node knows a newer one and should announce
+	// it.
 	Stale
 )
 
