--- a/internal/policy/dispatch/admit.go
+++ b/internal/policy/dispatch/admit.go
@@ -17,7 +17,7 @@
 // refusesCalls reports whether the target gets no new calls from any node: its group has lost a member, its
 // server accepts none, or its data centre is drained.
 func (target *Target) refusesCalls(now time.Duration) bool {
-	return target.memberLost.Load() || target.drainMark.Drained() || !target.record.Takes(now)
+	return target.memberLost.Load() || target.drainMark.Drained() || !target.record.Accepts(now)
 }
 
 // ErrDrained reports that a call was withheld because the data centre of its target was drained after the target
--- a/internal/policy/dispatch/backoff_test.go
+++ b/internal/policy/dispatch/backoff_test.go
@@ -22,7 +22,7 @@
 }
 
 func recordBackoff(notices *notice.Notices, server string, duration time.Duration) {
-	notices.Heard(notices.Record(ratelimit.Run{Server: server}), notice.Answer{Backoff: notice.Backoff{Span: duration}})
+	notices.HandleResponse(notices.Record(ratelimit.Run{Server: server}), notice.Response{Backoff: notice.Backoff{Span: duration}})
 }
 
 // Guards against choosing a server in its backoff because it has the fewest calls.
@@ -75,7 +75,7 @@
 	expect := gomega.NewWithT(t)
 	board, notices, _ := newBoardWithNotices()
 	for _, server := range []string{"a", "b"} {
-		notices.Heard(notices.Record(ratelimit.Run{Server: server}), notice.Answer{Draining: true})
+		notices.HandleResponse(notices.Record(ratelimit.Run{Server: server}), notice.Response{Draining: true})
 	}
 	for _, group := range []string{"g1", "g2"} {
 		regrouped := head("a")
--- a/internal/policy/dispatch/backoffmodel_test.go
+++ b/internal/policy/dispatch/backoffmodel_test.go
@@ -105,7 +105,7 @@
 			call, sentAt := target.Begin(100, 0, func() {}), model.at
 			model.after(modelCallTime, func() {
 				call.End()
-				model.notices[node].Heard(target.Record(), notice.Answer{Taken: true, Began: sentAt})
+				model.notices[node].HandleResponse(target.Record(), notice.Response{Accepted: true, SentAt: sentAt})
 			})
 			return
 		}
@@ -123,15 +123,15 @@
 }
 
 func (model *backoffModel) recordRefusal(node int, target *dispatch.Target) {
-	changes := model.notices[node].Heard(target.Record(), notice.Answer{Backoff: notice.Backoff{Span: modelBackoffTime}})
-	report, known := model.notices[node].Told(target.ServerRun())
-	if !model.sharesBackoffs || !changes.Tell || !known {
+	changes := model.notices[node].HandleResponse(target.Record(), notice.Response{Backoff: notice.Backoff{Span: modelBackoffTime}})
+	report, known := model.notices[node].Announcement(target.ServerRun())
+	if !model.sharesBackoffs || !changes.Announce || !known {
 		return
 	}
 	model.after(modelPropagationDelay, func() {
 		for other, notices := range model.notices {
 			if other != node {
-				notices.Take(report)
+				notices.Merge(report)
 			}
 		}
 	})
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -380,7 +380,7 @@
 
 // AwaitPermit counts a call as waiting for a permit of the target's server until done is called.
 func (target *Target) AwaitPermit(urgency int) (done func()) {
-	return target.record.Gate.Await(urgency)
+	return target.record.Gate.AddWaiter(urgency)
 }
 
 // Record returns the statements of the target's server: rate limit, backoff and draining.
@@ -390,7 +390,7 @@
 
 // BackoffEndsAt returns when a target whose server asked for a backoff may get the next call.
 func (target *Target) BackoffEndsAt() time.Duration {
-	return target.record.OpensAt()
+	return target.record.NextCallAt()
 }
 
 // Avoid keeps new calls away from a target that failed a call. A shorter duration doesn't cut an earlier, longer
--- a/internal/policy/dispatch/limit_test.go
+++ b/internal/policy/dispatch/limit_test.go
@@ -20,11 +20,13 @@
 	draw := rand.New(rand.NewPCG(1, 1))
 	board := dispatch.New(dispatch.Clock(now), dispatch.Random(draw.IntN), dispatch.Notices(notice.New(limits)))
 	board.Update(map[string][]dispatch.Spec{pool: {head("a"), head("b")}})
-	limits.Answered(ratelimit.Run{Server: "a"}, ratelimit.Answer{Named: true, Rate: 2})
+	limits.HandleResponse(ratelimit.Run{Server: "a"}, ratelimit.Response{HasLimit: true, Rate: 2})
 	return board, limits, &at
 }
 
-func homeOfAll(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Home: true, Part: 1} }
+func homeOfAll(ratelimit.Run) ratelimit.PermitSource {
+	return ratelimit.PermitSource{Issuer: true, Share: 1}
+}
 
 // Guards against calls that wait for a rate-limited server while another server has free slots.
 func TestPickAvoidsRateLimitedServer(t *testing.T) {
@@ -61,6 +63,6 @@
 	board, limits, _ := newBoardWithRateLimit()
 	board.SetPeerLoads(map[string]dispatch.ServerLoad{"a": {Calls: 3}})
 	expect.Expect(board.Occupancy(pool)).To(gomega.Equal(dispatch.Occupancy{Targets: 2, Slots: 19, ActiveCalls: 3, RateLimit: 2}))
-	limits.Take(ratelimit.Limit{Run: ratelimit.Run{Server: "a"}, Version: 9, Ended: true})
+	limits.Merge(ratelimit.Limit{Run: ratelimit.Run{Server: "a"}, Version: 9, Ended: true})
 	expect.Expect(board.Occupancy(pool)).To(gomega.Equal(dispatch.Occupancy{Targets: 2, Slots: 32, ActiveCalls: 3}))
 }
--- a/internal/policy/dispatch/pick.go
+++ b/internal/policy/dispatch/pick.go
@@ -120,7 +120,7 @@
 			continue
 		}
 		costs[index] = criteria.cost(target) + target.failureCost(now)
-		if target.record.Hinted(now) {
+		if target.record.HasHint(now) {
 			costs[index] += backoffHintPenalty
 		}
 		if criteria.PreferActive && !target.recentlyActive(now) {
@@ -139,7 +139,7 @@
 func (criteria *Criteria) earliestBackoffEnd(targets []*Target, now time.Duration) (*Target, Verdict) {
 	var first *Target
 	for _, target := range targets {
-		if target.MemberLost() || target.drainMark.Drained() || !criteria.allows(target) || target.record.Draining() || target.record.Takes(now) {
+		if target.MemberLost() || target.drainMark.Drained() || !criteria.allows(target) || target.record.Draining() || target.record.Accepts(now) {
 			continue
 		}
 		if first == nil || target.BackoffEndsAt() < first.BackoffEndsAt() {
@@ -163,9 +163,9 @@
 		case index < 0:
 			return nil, Full
 		case !board.takeColdPermit(targets[index]):
-		case targets[index].record.Gate.Take(criteria.Urgency):
+		case targets[index].record.Gate.TryAcquire(criteria.Urgency):
 			if rateLimited != nil {
-				rateLimited.record.Gate.Ask()
+				rateLimited.record.Gate.RecordDemand()
 			}
 			return targets[index], Chosen
 		case rateLimited == nil:
--- a/internal/policy/dispatch/state.go
+++ b/internal/policy/dispatch/state.go
@@ -25,7 +25,7 @@
 				Server: target.ID, Address: target.Address, Group: target.Group, DataCentre: target.DataCentre, Slots: target.Slots,
 				Mine: int(target.ownCalls.Load()), Others: int(target.peerCalls.Load()),
 				Unread: int(target.pendingPromptTokens.Load() + target.peerPendingPromptTokens.Load()), Avoided: target.Avoided(now), Broken: target.breaker.open(now),
-				BacksOff: !target.record.Draining() && !target.record.Takes(now), Draining: target.record.Draining(),
+				BacksOff: !target.record.Draining() && !target.record.Accepts(now), Draining: target.record.Draining(),
 				Drained: target.drainMark.Drained(), Cold: target.cold(now),
 				Pace: target.slowdown(),
 			})
