--- a/internal/fleet/detour/detour.go
+++ b/internal/fleet/detour/detour.go
@@ -45,7 +45,7 @@
 	Peer       string
 	DataCentre string
 	// Lost are the ways to servers that it has lost.
-	Lost []reach.Place
+	Lost []reach.Destination
 	// Calls are those that it has under way.
 	Calls int
 }
@@ -131,7 +131,7 @@
 }
 
 // Useful returns where the nodes take frames that said lately that they have kept some of the ways that are lost here.
-func (table *Table) Useful(lost []reach.Place) []string {
+func (table *Table) Useful(lost []reach.Destination) []string {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	useful := []string{}
@@ -145,7 +145,7 @@
 
 // Choose returns a node that reaches servers of a service which this one doesn't, by the ways that this one has lost. It
 // is none of those that are excluded, by their addresses.
-func (table *Table) Choose(service string, lost []reach.Place, exclude []string) (*Peer, bool) {
+func (table *Table) Choose(service string, lost []reach.Destination, exclude []string) (*Peer, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	now, lost := table.now(), placesOf(service, lost)
@@ -173,13 +173,13 @@
 }
 
 // keeps says whether the node has kept the way to any of some places.
-func (peer *Peer) keeps(places []reach.Place) bool {
-	return slices.ContainsFunc(places, func(place reach.Place) bool { return !slices.Contains(peer.Node.Lost, place) })
+func (peer *Peer) keeps(places []reach.Destination) bool {
+	return slices.ContainsFunc(places, func(place reach.Destination) bool { return !slices.Contains(peer.Node.Lost, place) })
 }
 
 // placesOf returns those of some places that are of a service.
-func placesOf(service string, places []reach.Place) []reach.Place {
-	return slices.DeleteFunc(slices.Clone(places), func(place reach.Place) bool { return place.Service != service })
+func placesOf(service string, places []reach.Destination) []reach.Destination {
+	return slices.DeleteFunc(slices.Clone(places), func(place reach.Destination) bool { return place.Service != service })
 }
 
 // Asked notes that other nodes were asked, and that those which answer have answered.
@@ -225,7 +225,7 @@
 }
 
 // Lacks notes that a node said, refusing a request, that it reaches no server of a service either.
-func (table *Table) Lacks(address, service string, lost []reach.Place) {
+func (table *Table) Lacks(address, service string, lost []reach.Destination) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	held, known := table.peers[address]
@@ -245,7 +245,7 @@
 // State is a node of the table in the state dump.
 type State struct {
 	Address, DataCentre string
-	Lost                []reach.Place
+	Lost                []reach.Destination
 	// Calls are those that it said it has, Mine those that this node has sent through it.
 	Calls, Mine     int
 	AgeMilliseconds int64
--- a/internal/fleet/detour/detour_test.go
+++ b/internal/fleet/detour/detour_test.go
@@ -18,7 +18,7 @@
 	expect := gomega.NewWithT(t)
 	at := time.Hour
 	table := detour.New("east", detour.Clock(func() time.Duration { return at }))
-	lost := []reach.Place{{Service: "drafts", DataCentre: "east"}, {Service: "drafts", DataCentre: "west"}}
+	lost := []reach.Destination{{Service: "drafts", DataCentre: "east"}, {Service: "drafts", DataCentre: "west"}}
 	choose := func(exclude ...string) string {
 		peer, found := table.Choose("drafts", lost, exclude)
 		if !found {
@@ -59,7 +59,7 @@
 				table.Heard(detour.Node{Address: fmt.Sprint(node), DataCentre: "east", Calls: taken[node]})
 			}
 			for range 20 {
-				peer, found := table.Choose("drafts", []reach.Place{{Service: "drafts"}}, nil)
+				peer, found := table.Choose("drafts", []reach.Destination{{Service: "drafts"}}, nil)
 				expect.Expect(found).To(gomega.BeTrue())
 				peer.Begin(0, 0, func() {})
 				node := 0
--- a/internal/policy/dispatch/centre.go
+++ b/internal/policy/dispatch/centre.go
@@ -194,11 +194,11 @@
 func (target *Target) Heard() {
 	target.breaker.answered(target.now())
 	target.centre.hear(target.now())
-	target.way.Heard(target.ID)
+	target.way.RecordActivity(target.ID)
 }
 
 // Missed tells that a call at the target, sent at a time, timed out.
 func (target *Target) Missed(sent time.Duration) {
 	target.centre.missed(target.ID, sent)
-	target.way.Broke(target.ID, sent)
+	target.way.RecordBreak(target.ID, sent)
 }
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -85,7 +85,7 @@
 	// centre is the way to the target's data centre, nil for the node's own.
 	centre *centre
 	// way is this node's way to the servers of the target's service in its data centre.
-	way *reach.Way
+	way *reach.Path
 	// holding is what was seen of the calls of the target's pool, nil for a plain server.
 	holding *holding
 	// drain is the mark of the target's data centre.
@@ -163,7 +163,7 @@
 	random     func(n int) int
 	now        clock.Now
 	record     func(run ratelimit.Run) *notice.Record
-	ways       *reach.Ways
+	ways       *reach.Paths
 	// idle says whether there is an open connection to an address that carries no call.
 	idle  func(address string) bool
 	drain func(dataCentre string) *drain.Mark
@@ -215,7 +215,7 @@
 }
 
 // Ways sets what this node knows of its ways to servers.
-func Ways(ways *reach.Ways) Option {
+func Ways(ways *reach.Paths) Option {
 	return func(board *Board) { board.ways = ways }
 }
 
@@ -277,7 +277,7 @@
 	for name, specs := range pools {
 		filled := &pool{}
 		for _, spec := range specs {
-			target := &Target{Spec: spec, load: board.load(spec), centre: board.centre(spec.DataCentre, next), way: board.ways.Of(wayOf(&spec)), drain: board.drain(spec.DataCentre)}
+			target := &Target{Spec: spec, load: board.load(spec), centre: board.centre(spec.DataCentre, next), way: board.ways.Get(wayOf(&spec)), drain: board.drain(spec.DataCentre)}
 			if spec.Group != "" {
 				target.holding = board.holding(name)
 			}
--- a/internal/policy/dispatch/use.go
+++ b/internal/policy/dispatch/use.go
@@ -52,7 +52,7 @@
 	now := use.target.now()
 	use.target.progress.Store(int64(now))
 	use.target.centre.hear(now)
-	use.target.way.Heard(use.target.ID)
+	use.target.way.RecordActivity(use.target.ID)
 	if !use.running.Swap(true) {
 		use.target.running.Add(1)
 		use.target.unread.Add(-use.tokens)
--- a/internal/policy/dispatch/way.go
+++ b/internal/policy/dispatch/way.go
@@ -15,53 +15,53 @@
 	wayAlive = 250 * time.Millisecond
 )
 
-func wayOf(spec *Spec) reach.Place {
-	return reach.Place{Service: spec.Service, DataCentre: spec.DataCentre}
+func wayOf(spec *Spec) reach.Destination {
+	return reach.Destination{Service: spec.Service, DataCentre: spec.DataCentre}
 }
 
 // listWays tells the ways which servers they lead to.
 func (board *Board) listWays(held *layout) {
-	servers := map[reach.Place][]string{}
+	servers := map[reach.Destination][]string{}
 	for _, filled := range held.pools {
 		for _, target := range filled.targets {
 			servers[wayOf(&target.Spec)] = append(servers[wayOf(&target.Spec)], target.ID)
 		}
 	}
 	for _, way := range board.ways.All() {
-		way.List(servers[way.Place])
+		way.SetServers(servers[way.Destination])
 	}
 }
 
 // Opened tells that the target was connected to for a call.
 func (target *Target) Opened() {
-	target.way.Opened(target.ID)
+	target.way.RecordConnect(target.ID)
 }
 
 // Unopened tells that the target could not be connected to, by an attempt begun at a time.
 func (target *Target) Unopened(began time.Duration) {
-	target.way.Unopened(target.ID, began)
+	target.way.RecordConnectFailure(target.ID, began)
 }
 
 // Broke tells that the connection of a call at the target broke.
 func (target *Target) Broke() {
-	target.way.Broke(target.ID, target.now())
+	target.way.RecordBreak(target.ID, target.now())
 }
 
 // Reached says whether the way to the target is beyond doubt. What calls there end by says nothing of the
 // server where it isn't.
 func (target *Target) Reached() bool {
-	return target.way.Standing() == reach.Open
+	return target.way.Status() == reach.Healthy
 }
 
 // Way is this node's way to the target.
-func (target *Target) Way() *reach.Way {
+func (target *Target) Way() *reach.Path {
 	return target.way
 }
 
 // LivesOn says whether a target can only be called over a connection that is open: its way is lost, something has just
 // come from it, and such a connection is there.
 func (board *Board) LivesOn(target *Target) bool {
-	return target.way.Alive(target.ID) && board.idle(target.Address)
+	return target.way.RecentlyActive(target.ID) && board.idle(target.Address)
 }
 
 // WayLost says whether a pool has servers that this node doesn't reach beyond doubt, and none that it may reach.
@@ -71,7 +71,7 @@
 		return false
 	}
 	for _, target := range filled.targets {
-		if target.way.Standing() != reach.Lost {
+		if target.way.Status() != reach.Lost {
 			return false
 		}
 	}
@@ -79,7 +79,7 @@
 }
 
 // Ways are this node's ways to servers.
-func (board *Board) Ways() *reach.Ways {
+func (board *Board) Ways() *reach.Paths {
 	return board.ways
 }
 
@@ -91,7 +91,7 @@
 			continue
 		}
 		if span := target.stillAfter(waySilence); target.active() > 0 || now-target.oldest(now) >= span {
-			target.way.Silent(span)
+			target.way.RecordSilence(span)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 
 // WayProbes returns what is to be tried of ways that are doubted or lost.
 func (board *Board) WayProbes() []WayProbe {
-	due := board.ways.Due()
+	due := board.ways.DueProbes()
 	if len(due) == 0 {
 		return nil
 	}
@@ -121,7 +121,7 @@
 
 // Leave ends the calls of a way that is lost, but for those of which something has just come, so that they go on
 // elsewhere. It returns how many there were.
-func (board *Board) Leave(way *reach.Way) int {
+func (board *Board) Leave(way *reach.Path) int {
 	moved, now := 0, board.now()
 	for _, target := range board.layout.Load().all {
 		if target.way == way && target.Group != "" && now-time.Duration(target.progress.Load()) > wayAlive {
--- a/internal/policy/reach/probe.go
+++ b/internal/policy/reach/probe.go
@@ -2,169 +2,169 @@
 
 import "time"
 
-// Probe is servers of a way that are to be connected to.
+// Probe is a set of servers of a path that the caller has to try connecting to.
 type Probe struct {
-	Way     *Way
+	Path    *Path
 	Servers []string
 }
 
-// Due returns what is to be tried now.
-func (ways *Ways) Due() []Probe {
-	if !ways.Unsettled() {
+// DueProbes returns the probes that have to be run now.
+func (paths *Paths) DueProbes() []Probe {
+	if !paths.AnyUnhealthy() {
 		return nil
 	}
 	due := []Probe{}
-	for _, way := range ways.All() {
-		if servers := way.due(); len(servers) > 0 {
-			due = append(due, Probe{Way: way, Servers: servers})
+	for _, path := range paths.All() {
+		if servers := path.dueServers(); len(servers) > 0 {
+			due = append(due, Probe{Path: path, Servers: servers})
 		}
 	}
 	return due
 }
 
-// due returns the servers of the way that are to be tried.
-func (way *Way) due() []string {
-	if way.Standing() == Open {
+// dueServers returns the servers of the path that have to be probed now, or none.
+func (path *Path) dueServers() []string {
+	if path.Status() == Healthy {
 		return nil
 	}
-	way.mu.Lock()
-	defer way.mu.Unlock()
-	now := way.ways.now()
-	if way.triedAt != 0 && now-way.triedAt < probeEvery {
+	path.mu.Lock()
+	defer path.mu.Unlock()
+	now := path.paths.now()
+	if path.probedAt != 0 && now-path.probedAt < probeInterval {
 		return nil
 	}
-	if len(way.servers) == 0 {
-		way.openLocked(now)
+	if len(path.servers) == 0 {
+		path.markHealthyLocked(now)
 		return nil
 	}
-	way.triedAt = now
+	path.probedAt = now
 	switch {
-	case way.quiet:
-		return way.drawLocked(quietSample)
-	case way.Standing() == Doubted:
-		return way.drawLocked(sample)
-	case way.proving:
-		return way.drawLocked(provenSample)
+	case path.silenceOnly:
+		return path.sampleLocked(silenceSample)
+	case path.Status() == Suspected:
+		return path.sampleLocked(suspectedSample)
+	case path.lastProbePassed:
+		return path.sampleLocked(recoverySample)
 	}
-	return way.drawLocked(probes)
+	return path.sampleLocked(lostSample)
 }
 
-// drawLocked draws servers of the way.
-func (way *Way) drawLocked(count int) []string {
-	left := append([]string{}, way.servers...)
-	drawn := []string{}
-	for len(left) > 0 && len(drawn) < count {
-		number := way.ways.random(len(left))
-		drawn = append(drawn, left[number])
-		left[number] = left[len(left)-1]
-		left = left[:len(left)-1]
+// sampleLocked returns up to count servers of the path, chosen at random.
+func (path *Path) sampleLocked(count int) []string {
+	remaining := append([]string{}, path.servers...)
+	chosen := []string{}
+	for len(remaining) > 0 && len(chosen) < count {
+		index := path.paths.random(len(remaining))
+		chosen = append(chosen, remaining[index])
+		remaining[index] = remaining[len(remaining)-1]
+		remaining = remaining[:len(remaining)-1]
 	}
-	return drawn
+	return chosen
 }
 
-// Whole says whether so many servers that were reached show that a way which is only doubted isn't lost, whatever
-// becomes of the others.
-func (probe *Probe) Whole(reached int) bool {
-	return probe.Way.Standing() == Doubted && reached > 0 && !probe.lost(reached)
+// ProvesHealthy reports whether the given number of reached servers is enough to show that a suspected path is not
+// lost, whatever the outcome for the remaining servers of the probe.
+func (probe *Probe) ProvesHealthy(reached int) bool {
+	return probe.Path.Status() == Suspected && reached > 0 && !probe.provesLost(reached)
 }
 
-// lost says whether the way is lost if so many of the servers are reached.
-func (probe *Probe) lost(reached int) bool {
-	return (len(probe.Servers)-reached)*lostOf >= lostParts*len(probe.Servers)
+// provesLost reports whether the path is lost if only the given number of servers is reached.
+func (probe *Probe) provesLost(reached int) bool {
+	return (len(probe.Servers)-reached)*lostDenominator >= lostNumerator*len(probe.Servers)
 }
 
-// Result is what a probe changed.
+// Result is the outcome of a probe.
 type Result struct {
-	Before, After Standing
-	// Reached of Tried servers were connected to.
+	Before, After Status
+	// Tried servers were probed, and Reached of them accepted a connection.
 	Tried, Reached int
-	// For is how long the way had not been open.
-	For time.Duration
+	// UnhealthyFor is how long the path had not been healthy before this probe.
+	UnhealthyFor time.Duration
 }
 
-// Changed says whether the way is lost now and wasn't, or is whole again.
+// Changed reports whether the probe changed the status of the path.
 func (result *Result) Changed() bool {
 	return result.Before != result.After
 }
 
-// Done tells which servers of a probe were connected to. Where a way is lost, others may be: nothing has been called
-// there for a while, perhaps.
-func (probe *Probe) Done(reached []string) Result {
-	result := probe.done(reached)
+// Complete records which servers of the probe accepted a connection. When the path becomes lost, Complete also marks
+// other paths as suspected: they may be lost too, without any recent call that would have shown it.
+func (probe *Probe) Complete(reached []string) Result {
+	result := probe.complete(reached)
 	if result.After == Lost && result.Changed() {
-		probe.Way.ways.doubtOthers(probe.Way.Place)
+		probe.Path.paths.suspectOthers(probe.Path.Destination)
 	}
 	return result
 }
 
-// doubtOthers doubts other ways, those of the same service first.
-func (ways *Ways) doubtOthers(lost Place) {
-	same, others := []*Way{}, []*Way{}
-	for _, way := range ways.All() {
+// suspectOthers marks up to maxSuspectedOthers healthy paths as suspected, starting with paths of the same service.
+func (paths *Paths) suspectOthers(lost Destination) {
+	sameService, others := []*Path{}, []*Path{}
+	for _, path := range paths.All() {
 		switch {
-		case way.Standing() != Open:
-		case way.Place.Service == lost.Service:
-			same = append(same, way)
+		case path.Status() != Healthy:
+		case path.Destination.Service == lost.Service:
+			sameService = append(sameService, path)
 		default:
-			others = append(others, way)
+			others = append(others, path)
 		}
 	}
-	for number, way := range append(same, others...) {
-		if number == doubtedAtOnce {
+	for index, path := range append(sameService, others...) {
+		if index == maxSuspectedOthers {
 			return
 		}
-		way.mu.Lock()
-		way.doubtLocked(ways.now())
-		way.mu.Unlock()
+		path.mu.Lock()
+		path.markSuspectedLocked(paths.now())
+		path.mu.Unlock()
 	}
 }
 
-func (probe *Probe) done(reached []string) Result {
-	way := probe.Way
-	way.mu.Lock()
-	defer way.mu.Unlock()
-	now := way.ways.now()
-	result := Result{Before: way.Standing(), Tried: len(probe.Servers), Reached: len(reached), For: now - way.since}
+func (probe *Probe) complete(reached []string) Result {
+	path := probe.Path
+	path.mu.Lock()
+	defer path.mu.Unlock()
+	now := path.paths.now()
+	result := Result{Before: path.Status(), Tried: len(probe.Servers), Reached: len(reached), UnhealthyFor: now - path.unhealthySince}
 	for _, server := range probe.Servers {
-		delete(way.reached, server)
+		delete(path.reachedAt, server)
 	}
 	for _, server := range reached {
-		if way.reached != nil {
-			way.reached[server] = now
+		if path.reachedAt != nil {
+			path.reachedAt[server] = now
 		}
 	}
 	switch result.Before {
-	case Doubted:
+	case Suspected:
 		switch {
-		case !probe.lost(len(reached)):
-			way.openLocked(now)
-		case way.quiet && len(way.servers) > len(probe.Servers):
-			way.triedAt = 0
+		case !probe.provesLost(len(reached)):
+			path.markHealthyLocked(now)
+		case path.silenceOnly && len(path.servers) > len(probe.Servers):
+			path.probedAt = 0
 		default:
-			way.standing.Store(int32(Lost))
+			path.status.Store(int32(Lost))
 		}
-		way.quiet = false
+		path.silenceOnly = false
 	case Lost:
-		proven := way.proving || len(way.servers) <= len(probe.Servers)
-		way.proving = len(reached) == len(probe.Servers)
-		if proven && (len(probe.Servers)-len(reached))*lostOf <= len(probe.Servers) {
-			way.openLocked(now)
+		proven := path.lastProbePassed || len(path.servers) <= len(probe.Servers)
+		path.lastProbePassed = len(reached) == len(probe.Servers)
+		if proven && (len(probe.Servers)-len(reached))*lostDenominator <= len(probe.Servers) {
+			path.markHealthyLocked(now)
 		}
 	}
-	result.After = way.Standing()
+	result.After = path.Status()
 	return result
 }
 
-// openLocked makes the way count as whole.
-func (way *Way) openLocked(now time.Duration) {
-	if way.Standing() != Open {
-		way.ways.unsettled.Add(-1)
+// markHealthyLocked sets the path to Healthy and discards all evidence against it.
+func (path *Path) markHealthyLocked(now time.Duration) {
+	if path.Status() != Healthy {
+		path.paths.unhealthy.Add(-1)
 	}
-	way.standing.Store(int32(Open))
-	way.reached, way.alive = nil, nil
-	way.proving, way.wholeAt, way.opened = false, now, now
-	way.heardAt.Store(int64(now))
-	clear(way.broken)
-	clear(way.unopened)
-	way.countLocked()
+	path.status.Store(int32(Healthy))
+	path.reachedAt, path.activeAt = nil, nil
+	path.lastProbePassed, path.recoveredAt, path.lastConnect = false, now, now
+	path.lastActivity.Store(int64(now))
+	clear(path.broken)
+	clear(path.connectFailed)
+	path.updateFailureCountLocked()
 }
--- a/internal/policy/reach/reach.go
+++ b/internal/policy/reach/reach.go
@@ -1,23 +1,23 @@
-// Package reach decides whether this node reaches the servers of a service, or has lost its own
-// way to them.
+// Package reach tracks whether this node can reach the servers of each service, or has lost its network path to them.
 //
-// A node that can't connect to a server, whose connections are reset or fall silent, can't tell
-// by one server whether that has ended or whether its own links have. Servers fail one at a time;
-// a way that is lost fails at all of them. So a Way gathers what failed since something last came, doubts
-// itself once two servers failed or all of them are silent, and has some servers connected to. While most of these can't
-// be, calls don't go there but through nodes that reach them. A server that was connected to since is
-// reached all the same: a node may lose the way to most servers of a service and keep the way to some.
+// A node that cannot connect to a server, or whose connections to a server are reset or go silent, cannot tell from
+// this one server whether the server has ended or the node's own network has failed. Servers fail one at a time,
+// whereas a lost path affects all servers at once. So each Path collects the failures since anything was last
+// received. The path becomes Suspected once two servers have failed or all servers are silent, and a sample of its
+// servers is then probed by connecting to them. The path becomes Lost if most of the probed servers are unreachable.
+// Calls then go through other nodes that reach the servers. A server that was connected to recently is still called
+// directly, because a node may lose the path to most servers of a service and still reach a few.
 //
-// There is a Way for each service in each data centre, as one may be lost without the others. What a
-// doubted way seems to tell of servers is not believed, nor told to other nodes.
+// There is one Path for each service in each data centre, since each of them can be lost without the others. Failures
+// that are seen over a suspected path are neither believed nor reported to other nodes.
 //
 // # Usage
 //
-//	ways := reach.New(reach.Clock(now))
-//	way := ways.Of(reach.Place{Service: "drafts", DataCentre: "east"})
-//	way.Unopened("i-1", begunAt)
-//	for _, probe := range ways.Due() { ... probe.Done(reached) }
-//	way.Blocks("i-1")
+//	paths := reach.New(reach.Clock(now))
+//	path := paths.Get(reach.Destination{Service: "drafts", DataCentre: "east"})
+//	path.RecordConnectFailure("i-1", begunAt)
+//	for _, probe := range paths.DueProbes() { ... probe.Complete(reached) }
+//	path.Blocks("i-1")
 package reach
 
 import (
@@ -32,183 +32,187 @@
 )
 
 const (
-	// doubtServers is at how many servers calls must have failed since anything last came.
-	doubtServers = 2
-	// doubtAgain is how long a way that was found whole isn't doubted again for failures, silentAgain
-	// for silence: the first event of a long prompt takes longer.
-	doubtAgain  = 400 * time.Millisecond
-	silentAgain = time.Second
-	// quietSample is how many servers are connected to first where nothing but silence speaks against a way.
-	quietSample = 2
-	// sample is how many servers are connected to when a way is doubted or may be whole again,
-	// lostParts of lostOf must not be reached for it to be lost.
-	sample    = 4
-	lostParts = 3
-	lostOf    = 4
-	// doubtedAtOnce is how many other ways are doubted when one is lost.
-	doubtedAtOnce = 8
-	// probeEvery is how often a lost way is tried, probes at how many servers.
-	probeEvery = 250 * time.Millisecond
-	probes     = 2
-	// provenSample is how many servers are tried before a lost way counts as whole.
-	provenSample = 8
-	// reachedKept is how long a server of a lost way counts as reached after it was.
-	reachedKept = 2 * time.Second
-	// aliveFor is how long an open connection to a server counts as one that serves after something came
-	// from there.
-	aliveFor = 500 * time.Millisecond
-	// failuresMost bounds the servers that are remembered.
-	failuresMost = 64
+	// suspectAfterServers is how many servers must have failed calls, since anything was last received, for the path
+	// to become suspected.
+	suspectAfterServers = 2
+	// suspectCooldown and silenceCooldown are how long a path that was found healthy is not suspected again, for
+	// failures and for silence. The cooldown for silence is longer because the first event of a long prompt takes
+	// longer.
+	suspectCooldown = 400 * time.Millisecond
+	silenceCooldown = time.Second
+	// silenceSample is how many servers are probed first if silence is the only evidence against a path.
+	silenceSample = 2
+	// suspectedSample is how many servers are probed when a path is suspected. The path is lost if at least
+	// lostNumerator/lostDenominator of the probed servers are unreachable.
+	suspectedSample = 4
+	lostNumerator   = 3
+	lostDenominator = 4
+	// maxSuspectedOthers is how many other paths become suspected when a path is lost.
+	maxSuspectedOthers = 8
+	// probeInterval is the time between two probes of a lost path, and lostSample is how many servers each of them
+	// tries.
+	probeInterval = 250 * time.Millisecond
+	lostSample    = 2
+	// recoverySample is how many servers of a lost path are probed, after a probe that reached all its servers,
+	// before the path counts as healthy.
+	recoverySample = 8
+	// reachedTTL is how long a server of a lost path counts as reached after a successful connection.
+	reachedTTL = 2 * time.Second
+	// activeWindow is how long an open connection to a server counts as in use after the server last sent something.
+	activeWindow = 500 * time.Millisecond
+	// maxFailedServers bounds the servers that are remembered for each kind of failure.
+	maxFailedServers = 64
 )
 
-// Standing is what the node believes of a way.
-type Standing int32
+// Status is what this node assumes about a path.
+type Status int32
 
-// The standings of a way.
+// The statuses of a path.
 const (
-	// Open: nothing speaks against it.
-	Open Standing = iota
-	// Doubted: some of its servers are being connected to.
-	Doubted
-	// Lost: most servers that were tried could not be connected to.
+	// Healthy means that there is not enough evidence of a failure. Printed as "Open".
+	Healthy Status = iota
+	// Suspected means that some servers of the path are being probed. Printed as "Doubted".
+	Suspected
+	// Lost means that most of the probed servers could not be connected to.
 	Lost
 )
 
-// String names the standing for logs.
-func (standing Standing) String() string {
-	return [...]string{"Open", "Doubted", "Lost"}[standing]
+// String returns the name of the status in logs and in the state dump.
+func (status Status) String() string {
+	return [...]string{"Open", "Doubted", "Lost"}[status]
 }
 
-// Place is the servers of a service in a data centre.
-type Place struct {
+// Destination identifies the servers of a service in a data centre.
+type Destination struct {
 	Service    string
 	DataCentre string
 }
 
-// Ways are all ways of a node.
-type Ways struct {
+// Paths holds all paths of a node.
+type Paths struct {
 	now    clock.Now
 	random func(n int) int
 
-	mu   sync.Mutex
-	ways map[Place]*Way
-	// unsettled counts the ways that are not open, so that a node whose ways are open spends nothing.
-	unsettled atomic.Int32
+	mu    sync.Mutex
+	paths map[Destination]*Path
+	// unhealthy counts the suspected and lost paths, so that a node without any skips all further work.
+	unhealthy atomic.Int32
 }
 
-// Option changes how Ways are built.
-type Option func(*Ways)
+// Option configures Paths.
+type Option func(*Paths)
 
 // Clock sets the clock.
 func Clock(now clock.Now) Option {
-	return func(ways *Ways) { ways.now = now }
+	return func(paths *Paths) { paths.now = now }
 }
 
-// Random sets how a number below n is drawn.
+// Random sets the function that returns a random number in [0, n).
 func Random(draw func(n int) int) Option {
-	return func(ways *Ways) { ways.random = draw }
+	return func(paths *Paths) { paths.random = draw }
 }
 
-// New returns Ways of which nothing is known.
-func New(options ...Option) *Ways {
-	ways := &Ways{now: clock.Boot, random: rand.IntN, ways: map[Place]*Way{}}
+// New returns Paths without any path.
+func New(options ...Option) *Paths {
+	paths := &Paths{now: clock.Boot, random: rand.IntN, paths: map[Destination]*Path{}}
 	for _, option := range options {
-		option(ways)
+		option(paths)
 	}
-	return ways
+	return paths
 }
 
-// Of returns the way to a place.
-func (ways *Ways) Of(place Place) *Way {
-	ways.mu.Lock()
-	defer ways.mu.Unlock()
-	way, known := ways.ways[place]
+// Get returns the path to a destination, and creates it on first use.
+func (paths *Paths) Get(destination Destination) *Path {
+	paths.mu.Lock()
+	defer paths.mu.Unlock()
+	path, known := paths.paths[destination]
 	if !known {
-		way = &Way{Place: place, ways: ways}
-		way.heardAt.Store(int64(ways.now()))
-		ways.ways[place] = way
+		path = &Path{Destination: destination, paths: paths}
+		path.lastActivity.Store(int64(paths.now()))
+		paths.paths[destination] = path
 	}
-	return way
+	return path
 }
 
-// All returns all ways.
-func (ways *Ways) All() []*Way {
-	ways.mu.Lock()
-	defer ways.mu.Unlock()
-	all := make([]*Way, 0, len(ways.ways))
-	for _, way := range ways.ways {
-		all = append(all, way)
+// All returns all paths, in no particular order.
+func (paths *Paths) All() []*Path {
+	paths.mu.Lock()
+	defer paths.mu.Unlock()
+	all := make([]*Path, 0, len(paths.paths))
+	for _, path := range paths.paths {
+		all = append(all, path)
 	}
 	return all
 }
 
-// Unsettled says whether any way is doubted or lost.
-func (ways *Ways) Unsettled() bool {
-	return ways.unsettled.Load() > 0
+// AnyUnhealthy reports whether any path is suspected or lost.
+func (paths *Paths) AnyUnhealthy() bool {
+	return paths.unhealthy.Load() > 0
 }
 
-// State is a way in the state dump.
+// State is one path in the state dump.
 type State struct {
 	Service, DataCentre, Standing string
-	// Servers are all of the way, Reached those that are called although it is not open.
+	// Servers counts all servers of the path. Reached counts those that are called although the path is not healthy.
 	Servers, Reached int
-	// ForMilliseconds is since when it is not open.
+	// ForMilliseconds is how long the path has not been healthy.
 	ForMilliseconds int64
 }
 
-// State returns the ways that are not open.
-func (ways *Ways) State() []State {
+// State returns the state of all paths that are not healthy.
+func (paths *Paths) State() []State {
 	states := []State{}
-	for _, way := range ways.All() {
-		if way.Standing() == Open {
+	for _, path := range paths.All() {
+		if path.Status() == Healthy {
 			continue
 		}
-		way.mu.Lock()
+		path.mu.Lock()
 		states = append(states, State{
-			Service: way.Place.Service, DataCentre: way.Place.DataCentre, Standing: way.Standing().String(), Servers: len(way.servers),
-			Reached: way.reachedLocked(ways.now()), ForMilliseconds: (ways.now() - way.since).Milliseconds(),
+			Service: path.Destination.Service, DataCentre: path.Destination.DataCentre, Standing: path.Status().String(), Servers: len(path.servers),
+			Reached: path.countReachedLocked(paths.now()), ForMilliseconds: (paths.now() - path.unhealthySince).Milliseconds(),
 		})
-		way.mu.Unlock()
+		path.mu.Unlock()
 	}
 	return states
 }
 
-// Lost returns the places whose ways are lost, in a fixed order; with doubts, also those whose ways are doubted. A few
-// servers of a lost way may be reached: too few for what is asked of it.
-func (ways *Ways) Lost(doubts bool) []Place {
-	if !ways.Unsettled() {
+// LostDestinations returns the destinations whose paths are lost, sorted by service and data centre. If
+// includeSuspected is set, it also returns those whose paths are suspected. A destination is listed even if a few of
+// its servers are reached, since these are too few for its load.
+func (paths *Paths) LostDestinations(includeSuspected bool) []Destination {
+	if !paths.AnyUnhealthy() {
 		return nil
 	}
-	lost := []Place{}
-	for _, way := range ways.All() {
-		way.mu.Lock()
-		standing := way.Standing()
-		if len(way.servers) > 0 && (standing == Lost || (doubts && standing == Doubted)) {
-			lost = append(lost, way.Place)
+	lost := []Destination{}
+	for _, path := range paths.All() {
+		path.mu.Lock()
+		status := path.Status()
+		if len(path.servers) > 0 && (status == Lost || (includeSuspected && status == Suspected)) {
+			lost = append(lost, path.Destination)
 		}
-		way.mu.Unlock()
+		path.mu.Unlock()
 	}
-	slices.SortFunc(lost, func(one, other Place) int {
+	slices.SortFunc(lost, func(one, other Destination) int {
 		return cmp.Or(cmp.Compare(one.Service, other.Service), cmp.Compare(one.DataCentre, other.DataCentre))
 	})
 	return lost
 }
 
-// Without says whether a node that has lost the ways to some places reaches no server of a service.
-func (ways *Ways) Without(service string, lost []Place) bool {
+// AllLost reports whether a node that has lost the paths to the given destinations reaches no server of a service.
+func (paths *Paths) AllLost(service string, lost []Destination) bool {
 	if len(lost) == 0 {
 		return false
 	}
 	known := false
-	for _, way := range ways.All() {
-		way.mu.Lock()
-		servers := len(way.servers)
-		way.mu.Unlock()
-		if way.Place.Service != service || servers == 0 {
+	for _, path := range paths.All() {
+		path.mu.Lock()
+		servers := len(path.servers)
+		path.mu.Unlock()
+		if path.Destination.Service != service || servers == 0 {
 			continue
 		}
 		known = true
-		if !slices.Contains(lost, way.Place) {
+		if !slices.Contains(lost, path.Destination) {
 			return false
 		}
 	}
--- a/internal/policy/reach/reach_test.go
+++ b/internal/policy/reach/reach_test.go
@@ -10,176 +10,176 @@
 	"hazelslip/internal/policy/reach"
 )
 
-// rig is a way to some servers of which some are reached.
-type rig struct {
-	at      time.Duration
-	ways    *reach.Ways
-	way     *reach.Way
-	reached map[string]bool
-	probed  int
+// fixture is a path to a number of servers, some of which accept connections.
+type fixture struct {
+	now        time.Duration
+	paths      *reach.Paths
+	path       *reach.Path
+	reachable  map[string]bool
+	probeCount int
 }
 
-func newRig(servers int) *rig {
-	made := &rig{at: time.Hour, reached: map[string]bool{}}
+func newFixture(servers int) *fixture {
+	fixture := &fixture{now: time.Hour, reachable: map[string]bool{}}
 	number := 0
-	made.ways = reach.New(reach.Clock(func() time.Duration { return made.at }), reach.Random(func(n int) int { number++; return number * 7 % n }))
-	made.way = made.ways.Of(reach.Place{Service: "drafts", DataCentre: "east"})
+	fixture.paths = reach.New(reach.Clock(func() time.Duration { return fixture.now }), reach.Random(func(n int) int { number++; return number * 7 % n }))
+	fixture.path = fixture.paths.Get(reach.Destination{Service: "drafts", DataCentre: "east"})
 	names := []string{}
 	for server := range servers {
-		names = append(names, name(server))
-		made.reached[name(server)] = true
+		names = append(names, serverName(server))
+		fixture.reachable[serverName(server)] = true
 	}
-	made.way.List(names)
-	return made
+	fixture.path.SetServers(names)
+	return fixture
 }
 
-func name(server int) string { return fmt.Sprintf("i-%d", server) }
+func serverName(server int) string { return fmt.Sprintf("i-%d", server) }
 
-// cut takes the way to all servers from a number on.
-func (rig *rig) cut(from int) {
-	for server := range rig.reached {
-		rig.reached[server] = false
+// setReachable makes only the first servers, below the given number, accept connections.
+func (fixture *fixture) setReachable(count int) {
+	for server := range fixture.reachable {
+		fixture.reachable[server] = false
 	}
-	for server := range from {
-		rig.reached[name(server)] = true
+	for server := range count {
+		fixture.reachable[serverName(server)] = true
 	}
 }
 
-// probe has the servers tried that are due, after a time.
-func (rig *rig) probe(after time.Duration) {
-	rig.at += after
-	for _, due := range rig.ways.Due() {
-		reached := []string{}
+// runProbes advances the clock and runs the probes that are due.
+func (fixture *fixture) runProbes(after time.Duration) {
+	fixture.now += after
+	for _, due := range fixture.paths.DueProbes() {
+		reachable := []string{}
 		for _, server := range due.Servers {
-			rig.probed++
-			if rig.reached[server] {
-				reached = append(reached, server)
+			fixture.probeCount++
+			if fixture.reachable[server] {
+				reachable = append(reachable, server)
 			}
 		}
-		due.Done(reached)
+		due.Complete(reachable)
 	}
 }
 
-// Guards against a node that needs many failed callers to learn that it reaches no server.
-func TestWayIsLostAfterTwoServersThatAreNotReached(t *testing.T) {
+// Guards against a node that needs many failed calls to detect that it reaches no server.
+func TestPathIsLostAfterTwoUnreachableServers(t *testing.T) {
 	for _, servers := range []int{1, 2, 3, 60, 3060} {
 		expect := gomega.NewWithT(t)
-		rig := newRig(servers)
-		rig.cut(0)
+		fixture := newFixture(servers)
+		fixture.setReachable(0)
 		for server := range min(2, servers) {
-			expect.Expect(rig.way.Standing()).To(gomega.Equal(reach.Open))
-			rig.way.Unopened(name(server), rig.at)
+			expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Healthy))
+			fixture.path.RecordConnectFailure(serverName(server), fixture.now)
 		}
-		expect.Expect(rig.way.Standing()).To(gomega.Equal(reach.Doubted))
-		rig.probe(0)
-		expect.Expect(rig.way.Standing()).To(gomega.Equal(reach.Lost))
-		expect.Expect(rig.probed).To(gomega.BeNumerically("<=", 4))
-		expect.Expect(rig.ways.Lost(false)).To(gomega.Equal([]reach.Place{rig.way.Place}))
-		expect.Expect(rig.ways.Without("drafts", rig.ways.Lost(false))).To(gomega.BeTrue())
-		expect.Expect(rig.ways.Without("bookings", rig.ways.Lost(false))).To(gomega.BeFalse())
-		expect.Expect(rig.way.Blocks(name(0))).To(gomega.BeTrue())
+		expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Suspected))
+		fixture.runProbes(0)
+		expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Lost))
+		expect.Expect(fixture.probeCount).To(gomega.BeNumerically("<=", 4))
+		expect.Expect(fixture.paths.LostDestinations(false)).To(gomega.Equal([]reach.Destination{fixture.path.Destination}))
+		expect.Expect(fixture.paths.AllLost("drafts", fixture.paths.LostDestinations(false))).To(gomega.BeTrue())
+		expect.Expect(fixture.paths.AllLost("bookings", fixture.paths.LostDestinations(false))).To(gomega.BeFalse())
+		expect.Expect(fixture.path.Blocks(serverName(0))).To(gomega.BeTrue())
 	}
 }
 
-// Guards against servers that end, or fall silent, being taken for a way that is lost.
-func TestServersThatFailDoNotMakeAWayLost(t *testing.T) {
-	cases := map[string]func(rig *rig){
-		"one server, again and again": func(rig *rig) {
+// Guards against a path being lost because some servers end or go silent.
+func TestServerFailuresDoNotMarkPathLost(t *testing.T) {
+	cases := map[string]func(fixture *fixture){
+		"one server fails repeatedly": func(fixture *fixture) {
 			for range 10 {
-				rig.way.Unopened(name(0), rig.at)
+				fixture.path.RecordConnectFailure(serverName(0), fixture.now)
 			}
 		},
-		"a few, while others answer": func(rig *rig) {
+		"a few servers fail while others respond": func(fixture *fixture) {
 			for server := range 5 {
-				rig.way.Broke(name(server), rig.at)
-				rig.at += time.Millisecond
-				rig.way.Heard(name(9))
+				fixture.path.RecordBreak(serverName(server), fixture.now)
+				fixture.now += time.Millisecond
+				fixture.path.RecordActivity(serverName(9))
 			}
 		},
-		"a rack": func(rig *rig) {
-			rig.cut(40)
+		"a rack fails": func(fixture *fixture) {
+			fixture.setReachable(40)
 			for server := range 20 {
-				rig.way.Broke(name(40+server), rig.at)
+				fixture.path.RecordBreak(serverName(40+server), fixture.now)
 			}
 		},
-		"silence for a second": func(rig *rig) {
-			rig.at += time.Second
-			rig.way.Silent(300 * time.Millisecond)
+		"silence for a second": func(fixture *fixture) {
+			fixture.now += time.Second
+			fixture.path.RecordSilence(300 * time.Millisecond)
 		},
-		"a time-out of a call sent before others were answered": func(rig *rig) {
-			sent := rig.at
-			rig.at += time.Second
-			rig.way.Heard(name(9))
-			rig.way.Broke(name(0), sent)
-			rig.way.Broke(name(1), sent)
+		"calls sent before another server responded time out": func(fixture *fixture) {
+			sent := fixture.now
+			fixture.now += time.Second
+			fixture.path.RecordActivity(serverName(9))
+			fixture.path.RecordBreak(serverName(0), sent)
+			fixture.path.RecordBreak(serverName(1), sent)
 		},
 	}
-	for called, happen := range cases {
-		t.Run(called, func(t *testing.T) {
+	for name, act := range cases {
+		t.Run(name, func(t *testing.T) {
 			expect := gomega.NewWithT(t)
-			rig := newRig(60)
-			happen(rig)
-			rig.probe(0)
-			expect.Expect(rig.way.Standing()).To(gomega.Equal(reach.Open))
-			expect.Expect(rig.ways.Unsettled()).To(gomega.BeFalse())
+			fixture := newFixture(60)
+			act(fixture)
+			fixture.runProbes(0)
+			expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Healthy))
+			expect.Expect(fixture.paths.AnyUnhealthy()).To(gomega.BeFalse())
 		})
 	}
 }
 
-// Guards against calls that avoid all servers of a way for as long as it is only doubted.
-func TestOnlyServersThatFailedAreBlockedInDoubt(t *testing.T) {
+// Guards against a suspected path on which all servers are blocked.
+func TestOnlyFailedServersAreBlockedWhileSuspected(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	rig := newRig(60)
-	rig.way.Unopened(name(0), rig.at)
-	rig.way.Broke(name(1), rig.at)
-	expect.Expect(rig.way.Standing()).To(gomega.Equal(reach.Doubted))
-	expect.Expect([]bool{rig.way.Blocks(name(0)), rig.way.Blocks(name(1)), rig.way.Blocks(name(2))}).To(gomega.Equal([]bool{true, true, false}))
-	due := rig.ways.Due()
-	expect.Expect([]bool{due[0].Whole(0), due[0].Whole(1), due[0].Whole(2)}).To(gomega.Equal([]bool{false, false, true}))
+	fixture := newFixture(60)
+	fixture.path.RecordConnectFailure(serverName(0), fixture.now)
+	fixture.path.RecordBreak(serverName(1), fixture.now)
+	expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Suspected))
+	expect.Expect([]bool{fixture.path.Blocks(serverName(0)), fixture.path.Blocks(serverName(1)), fixture.path.Blocks(serverName(2))}).To(gomega.Equal([]bool{true, true, false}))
+	due := fixture.paths.DueProbes()
+	expect.Expect([]bool{due[0].ProvesHealthy(0), due[0].ProvesHealthy(1), due[0].ProvesHealthy(2)}).To(gomega.Equal([]bool{false, false, true}))
 }
 
-// Guards against a way that is lost in part: the servers that are reached get calls.
-func TestServersThatAreReachedAreCalledOverALostWay(t *testing.T) {
+// Guards against a partly lost path whose reachable servers get no calls.
+func TestReachableServersOfLostPathStayUsable(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	rig := newRig(63)
-	rig.cut(4)
-	rig.way.Unopened(name(10), rig.at)
-	rig.way.Unopened(name(11), rig.at)
+	fixture := newFixture(63)
+	fixture.setReachable(4)
+	fixture.path.RecordConnectFailure(serverName(10), fixture.now)
+	fixture.path.RecordConnectFailure(serverName(11), fixture.now)
 	for range 400 {
-		rig.probe(250 * time.Millisecond)
-		if rig.way.Standing() == reach.Open {
-			rig.way.Unopened(name(10), rig.at)
-			rig.way.Unopened(name(11), rig.at)
+		fixture.runProbes(250 * time.Millisecond)
+		if fixture.path.Status() == reach.Healthy {
+			fixture.path.RecordConnectFailure(serverName(10), fixture.now)
+			fixture.path.RecordConnectFailure(serverName(11), fixture.now)
 		}
 	}
-	expect.Expect(rig.way.Standing()).To(gomega.Equal(reach.Lost))
-	expect.Expect(rig.probed).To(gomega.BeNumerically("<", 400*4))
-	rig.way.Opened(name(0))
-	expect.Expect(rig.way.Blocks(name(0))).To(gomega.BeFalse())
-	expect.Expect(rig.ways.Lost(false)).To(gomega.Equal([]reach.Place{rig.way.Place}), "other nodes are asked for what these can't take")
-	expect.Expect(rig.way.Blocks(name(20))).To(gomega.BeTrue())
-	rig.way.Unopened(name(0), rig.at)
-	expect.Expect(rig.way.Blocks(name(0))).To(gomega.BeTrue())
+	expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Lost))
+	expect.Expect(fixture.probeCount).To(gomega.BeNumerically("<", 400*4))
+	fixture.path.RecordConnect(serverName(0))
+	expect.Expect(fixture.path.Blocks(serverName(0))).To(gomega.BeFalse())
+	expect.Expect(fixture.paths.LostDestinations(false)).To(gomega.Equal([]reach.Destination{fixture.path.Destination}), "the path stays lost, so that other nodes take the calls that the few reachable servers cannot")
+	expect.Expect(fixture.path.Blocks(serverName(20))).To(gomega.BeTrue())
+	fixture.path.RecordConnectFailure(serverName(0), fixture.now)
+	expect.Expect(fixture.path.Blocks(serverName(0))).To(gomega.BeTrue())
 }
 
-// Guards against a way that is whole again and stays lost, and against one that flaps.
-func TestLostWayIsTriedUntilItIsWhole(t *testing.T) {
+// Guards against a path that stays lost after its servers are reachable again, and against a path that flaps.
+func TestLostPathIsProbedUntilHealthy(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	rig := newRig(60)
-	rig.cut(0)
-	rig.way.Broke(name(0), rig.at)
-	rig.way.Broke(name(1), rig.at)
+	fixture := newFixture(60)
+	fixture.setReachable(0)
+	fixture.path.RecordBreak(serverName(0), fixture.now)
+	fixture.path.RecordBreak(serverName(1), fixture.now)
 	for range 40 {
-		rig.probe(40 * time.Millisecond)
-		expect.Expect(rig.way.Standing()).To(gomega.Equal(reach.Lost))
+		fixture.runProbes(40 * time.Millisecond)
+		expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Lost))
 	}
-	expect.Expect(rig.probed).To(gomega.BeNumerically("<=", 4+2*7))
-	rig.cut(60)
+	expect.Expect(fixture.probeCount).To(gomega.BeNumerically("<=", 4+2*7))
+	fixture.setReachable(60)
 	for range 14 {
-		rig.probe(40 * time.Millisecond)
+		fixture.runProbes(40 * time.Millisecond)
 	}
-	expect.Expect(rig.way.Standing()).To(gomega.Equal(reach.Open))
-	rig.way.Unopened(name(0), rig.at)
-	rig.way.Unopened(name(1), rig.at)
-	expect.Expect(rig.way.Standing()).To(gomega.Equal(reach.Open), "it has just been found whole")
+	expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Healthy))
+	fixture.path.RecordConnectFailure(serverName(0), fixture.now)
+	fixture.path.RecordConnectFailure(serverName(1), fixture.now)
+	expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Healthy), "the path was found healthy just before")
 }
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -39,7 +39,7 @@
 // detours is what a node does about ways to servers that it has lost, and for nodes that have lost theirs.
 type detours struct {
 	node  *Node
-	ways  *reach.Ways
+	ways  *reach.Paths
 	table *detour.Table
 	pool  *backendserver.Pool
 	// served serves the requests of other nodes, nil where no address for them is set.
@@ -50,14 +50,14 @@
 
 	mu sync.Mutex
 	// unsure are the requests under which servers may have ended, by the way on which they were.
-	unsure map[*reach.Way][]unsureEnd
+	unsure map[*reach.Path][]unsureEnd
 	// withheld counts what was not told of servers since the way there is doubted.
 	withheld int
 }
 
 func newDetours(node *Node) *detours {
 	made := &detours{
-		node: node, ways: reach.New(reach.Clock(node.now)), wanted: make(chan struct{}, 1), unsure: map[*reach.Way][]unsureEnd{},
+		node: node, ways: reach.New(reach.Clock(node.now)), wanted: make(chan struct{}, 1), unsure: map[*reach.Path][]unsureEnd{},
 		table: detour.New(node.settings.DataCentre, detour.Clock(node.now)),
 	}
 	codec := backendserver.Codec{
@@ -94,7 +94,7 @@
 	for {
 		// A node of which all ways are open isn't woken for it.
 		var again <-chan time.Time
-		if detours.ways.Unsettled() {
+		if detours.ways.AnyUnhealthy() {
 			again = time.After(askDetoursEvery)
 		}
 		select {
@@ -103,7 +103,7 @@
 		case <-detours.wanted:
 		case <-again:
 		}
-		if detours.ways.Unsettled() && detours.enabled() {
+		if detours.ways.AnyUnhealthy() && detours.enabled() {
 			detours.ask()
 		}
 	}
@@ -113,7 +113,7 @@
 // another if there is one. Once enough are of use only one more is asked: the first nodes of each data centre are those that
 // all others know.
 func (detours *detours) asked() []string {
-	most, useful := askDetoursMost, detours.table.Useful(detours.ways.Lost(true))
+	most, useful := askDetoursMost, detours.table.Useful(detours.ways.LostDestinations(true))
 	rand.Shuffle(len(useful), func(one, other int) { useful[one], useful[other] = useful[other], useful[one] })
 	if len(useful) >= askDetoursAgain {
 		useful, most = useful[:askDetoursAgain], askDetoursAgain+1
@@ -176,7 +176,7 @@
 	}
 	told := []*frame.Detour{{
 		Address: settings.Listen.Detour, Peer: settings.Listen.advertised(), DataCentre: settings.DataCentre,
-		Lost: waysToWire(detours.ways.Lost(true)), Calls: uint32(max(0, detours.node.board.Calls())),
+		Lost: waysToWire(detours.ways.LostDestinations(true)), Calls: uint32(max(0, detours.node.board.Calls())),
 	}}
 	return append(told, detours.node.peers.leavesTaking(detoursTold)...)
 }
@@ -212,7 +212,7 @@
 	probes := detours.node.board.WayProbes()
 	for number := range probes {
 		probe := &probes[number]
-		if probe.Way.Standing() == reach.Doubted {
+		if probe.Path.Status() == reach.Suspected {
 			detours.want()
 		}
 		detours.node.GoAs("probe", func() { detours.probe(probe) })
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -53,7 +53,7 @@
 	storeAway bool
 	// lost are the ways to servers that the other side has lost, detour where it takes
 	// requests of others.
-	lost   []reach.Place
+	lost   []reach.Destination
 	detour string
 	// telling and told are the two sides of a sum of which only the changes are sent.
 	telling tally.Changes
@@ -73,7 +73,7 @@
 	copied        *catalogue.Copy
 	// reported and reportedVersion are what this node reported last as a leaf, leafNews
 	// is a hash of what a leaf was told last.
-	toldLost        []reach.Place
+	toldLost        []reach.Destination
 	toldDetour      bool
 	reported        tally.Shares
 	reportedVersion int64
--- a/internal/run/gateway/ways.go
+++ b/internal/run/gateway/ways.go
@@ -23,15 +23,15 @@
 // probe connects to servers of a way.
 func (detours *detours) probe(probe *dispatch.WayProbe) {
 	opens := func(server string) bool { return detours.node.pool.Opens(probe.Addresses[server], probeTime) }
-	reached := detours.node.tryAll(probe.Servers, opens, probe.Whole)
-	if result := probe.Done(reached); result.Changed() {
-		detours.changed(probe.Way, &result)
+	reached := detours.node.tryAll(probe.Servers, opens, probe.ProvesHealthy)
+	if result := probe.Complete(reached); result.Changed() {
+		detours.changed(probe.Path, &result)
 	}
 }
 
 // changed tells that a way is lost, or whole again.
-func (detours *detours) changed(way *reach.Way, result *reach.Result) {
-	node, place := detours.node, way.Place
+func (detours *detours) changed(way *reach.Path, result *reach.Result) {
+	node, place := detours.node, way.Destination
 	detours.mu.Lock()
 	ends, withheld := detours.unsure[way], detours.withheld
 	delete(detours.unsure, way)
@@ -41,9 +41,9 @@
 	case reach.Lost:
 		node.waysLost.Add(1)
 		node.logger.Warn("gateway: servers of a service are not reached from here.", "Service", place.Service, "DataCentre", place.DataCentre,
-			"Tried", result.Tried, "Reached", result.Reached, "DoubtedMilliseconds", result.For.Milliseconds(),
+			"Tried", result.Tried, "Reached", result.Reached, "DoubtedMilliseconds", result.UnhealthyFor.Milliseconds(),
 			"CallsMoved", node.board.Leave(way), "EndsNotBelieved", len(ends), "ReportsWithheld", withheld)
-	case reach.Open:
+	case reach.Healthy:
 		for _, end := range ends {
 			if _, news := node.quarantine.Ended(end.fingerprint, end.run); news {
 				node.suspected(end.fingerprint)
@@ -51,7 +51,7 @@
 		}
 		if result.Before == reach.Lost {
 			node.logger.Info("gateway: servers of a service are reached again.", "Service", place.Service, "DataCentre", place.DataCentre,
-				"LostMilliseconds", result.For.Milliseconds(), "ReportsWithheld", withheld)
+				"LostMilliseconds", result.UnhealthyFor.Milliseconds(), "ReportsWithheld", withheld)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	way := target.Way()
 	detours.mu.Lock()
 	defer detours.mu.Unlock()
-	if way.Standing() == reach.Doubted && len(detours.unsure[way]) < unsureMost {
+	if way.Status() == reach.Suspected && len(detours.unsure[way]) < unsureMost {
 		detours.unsure[way] = append(detours.unsure[way], unsureEnd{fingerprint: fingerprint, run: target.Run()})
 	}
 }
@@ -80,17 +80,17 @@
 // withoutEngines says whether this node reaches no server of any service whose servers form groups: it can't give
 // orders.
 func (node *Node) withoutEngines() bool {
-	return node.detours.lacksEngines(node.detours.ways.Lost(false))
+	return node.detours.lacksEngines(node.detours.ways.LostDestinations(false))
 }
 
 // lacksEngines says whether a node that has lost some ways reaches no server of any service whose servers form groups.
-func (detours *detours) lacksEngines(lost []reach.Place) bool {
+func (detours *detours) lacksEngines(lost []reach.Destination) bool {
 	if len(lost) == 0 {
 		return false
 	}
 	services := detours.node.engineServices()
 	for number := range services {
-		if !detours.ways.Without(services[number].Name, lost) {
+		if !detours.ways.AllLost(services[number].Name, lost) {
 			return false
 		}
 	}
@@ -117,14 +117,14 @@
 }
 
 // lostFor returns the ways that the other side of a link is told that this node has lost.
-func (peers *peers) lostFor(link *overlay.Link) []reach.Place {
+func (peers *peers) lostFor(link *overlay.Link) []reach.Destination {
 	if downstream(link) {
 		return nil
 	}
-	return peers.node.detours.ways.Lost(false)
+	return peers.node.detours.ways.LostDestinations(false)
 }
 
-func waysToWire(places []reach.Place) []*frame.Way {
+func waysToWire(places []reach.Destination) []*frame.Way {
 	told := make([]*frame.Way, 0, len(places))
 	for _, place := range places {
 		told = append(told, &frame.Way{Service: place.Service, DataCentre: place.DataCentre})
@@ -132,10 +132,10 @@
 	return told
 }
 
-func waysFromWire(told []*frame.Way) []reach.Place {
-	places := make([]reach.Place, 0, len(told))
+func waysFromWire(told []*frame.Way) []reach.Destination {
+	places := make([]reach.Destination, 0, len(told))
 	for _, way := range told {
-		places = append(places, reach.Place{Service: way.Service, DataCentre: way.DataCentre})
+		places = append(places, reach.Destination{Service: way.Service, DataCentre: way.DataCentre})
 	}
 	return places
 }
--- a/internal/run/gateway/work.go
+++ b/internal/run/gateway/work.go
@@ -43,7 +43,7 @@
 }
 
 func (node *Node) watchPause() time.Duration {
-	if node.board.Idle() && !node.limits.Any() && !node.detours.ways.Unsettled() {
+	if node.board.Idle() && !node.limits.Any() && !node.detours.ways.AnyUnhealthy() {
 		return watchIdle
 	}
 	return watchTick
--- a/internal/serve/forward/detour.go
+++ b/internal/serve/forward/detour.go
@@ -115,7 +115,7 @@
 func (exchange *exchange) choosePeer() (*detour.Peer, bool) {
 	until := exchange.forwarder.Now() + min(detourWait, exchange.left()/detourPart)
 	for {
-		lost := exchange.forwarder.Board.Ways().Lost(true)
+		lost := exchange.forwarder.Board.Ways().LostDestinations(true)
 		peer, found := exchange.forwarder.Detours.Choose(exchange.service, lost, exchange.excludePeers)
 		if found || len(exchange.excludePeers) > 0 || len(lost) == 0 || exchange.forwarder.Detours.Knows() || exchange.forwarder.Now() >= until || exchange.gone() {
 			return peer, found
@@ -192,7 +192,7 @@
 		again := leg.Header.Get("Retry-After")
 		exchange.discard(leg)
 		if outcome == Unreached || outcome == NoServer {
-			exchange.forwarder.Detours.Lacks(leg.peer.Address, exchange.service, exchange.forwarder.Board.Ways().Lost(true))
+			exchange.forwarder.Detours.Lacks(leg.peer.Address, exchange.service, exchange.forwarder.Board.Ways().LostDestinations(true))
 		}
 		if exchange.begun || exchange.mayHaveRun || elsewhere(outcome) {
 			return false, exchange.arrivals > before
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -30,7 +30,7 @@
 // pair is two nodes: callers come to the first, which reaches no server; the second may.
 type pair struct {
 	*rig
-	ways *reach.Ways
+	ways *reach.Paths
 	// own is the first node's board, ended how its requests ended.
 	own   *dispatch.Board
 	ended []forward.Outcome
@@ -89,9 +89,9 @@
 
 // lose makes the first node's way to a service count as lost.
 func (pair *pair) lose(service string) {
-	pair.ways.Of(reach.Place{Service: service}).Unopened("s", time.Hour)
-	for _, probe := range pair.ways.Due() {
-		probe.Done(nil)
+	pair.ways.Get(reach.Destination{Service: service}).RecordConnectFailure("s", time.Hour)
+	for _, probe := range pair.ways.DueProbes() {
+		probe.Complete(nil)
 	}
 }
 
@@ -230,7 +230,7 @@
 			{ID: "s", Service: "ledger", Address: "nowhere:1", Slots: 9}, {ID: "near", Service: "ledger", DataCentre: "near", Address: serverAddress},
 		}})
 		pair.own.PeerLoads(map[string]dispatch.Share{"near": {Calls: 100}})
-		pair.peers.Heard(detour.Node{Address: inwardAddress, Lost: []reach.Place{{Service: "ledger"}}})
+		pair.peers.Heard(detour.Node{Address: inwardAddress, Lost: []reach.Destination{{Service: "ledger"}}})
 		pair.peers.Asked()
 		request := pair.request(0, "/book/1", strings.NewReader("body"))
 		request.URL.Host = firstAddress
@@ -248,9 +248,9 @@
 // loseSecond makes the second node's way to a service count as lost.
 func (pair *pair) loseSecond(service string) {
 	ways := pair.board.Ways()
-	ways.Of(reach.Place{Service: service}).Unopened("s", time.Hour)
-	for _, probe := range ways.Due() {
-		probe.Done(nil)
+	ways.Get(reach.Destination{Service: service}).RecordConnectFailure("s", time.Hour)
+	for _, probe := range ways.DueProbes() {
+		probe.Complete(nil)
 	}
 }
 
