--- a/internal/policy/dispatch/pace.go
+++ b/internal/policy/dispatch/pace.go
@@ -103,7 +103,7 @@
 	expected := target.Pass - time.Duration(max(0, target.Slots-target.Taken()))*target.PerCall
 	events = max(1, events)
 	several := time.Duration(events)
-	target.paced.meter.Note(pace.Gap{Took: (now - before) / several, Pass: max(expected, target.Pass/4), Reading: max(reading, readBefore) / several}, now)
+	target.paced.meter.Record(pace.Interval{Elapsed: (now - before) / several, ExpectedPass: max(expected, target.Pass/4), ExpectedPrefill: max(reading, readBefore) / several}, now)
 }
 
 // PassedOn tells how long passing the last event on to the caller took.
@@ -133,40 +133,40 @@
 		filled := pools[name]
 		for number, learnt := range filled.weigh(now) {
 			target := filled.targets[number]
-			found, ended := target.paced.note(learnt.News, target.slower() > 1, now)
+			found, ended := target.paced.note(learnt.Changed, target.slower() > 1, now)
 			switch {
 			case found:
-				board.PaceCounts.Found.Add(1)
+				board.PaceCounts.FoundSlow.Add(1)
 			case ended:
-				board.PaceCounts.Ended.Add(1)
-			case !learnt.News:
+				board.PaceCounts.Recovered.Add(1)
+			case !learnt.Changed:
 				continue
 			}
-			news = append(news, PaceNews{Target: target, Factor: learnt.Factor, Tell: learnt.News, Found: found, Ended: ended})
+			news = append(news, PaceNews{Target: target, Factor: learnt.Factor, Tell: learnt.Changed, Found: found, Ended: ended})
 		}
 	}
 	return news
 }
 
 // weigh puts the paces of a pool's groups in force.
-func (filled *pool) weigh(now time.Duration) []pace.Learnt {
+func (filled *pool) weigh(now time.Duration) []pace.Assessment {
 	if len(filled.targets) == 0 || filled.targets[0].Group == "" {
 		return nil
 	}
-	learnt, factors := make([]pace.Learnt, len(filled.targets)), make([]float64, len(filled.targets))
+	learnt, factors := make([]pace.Assessment, len(filled.targets)), make([]float64, len(filled.targets))
 	measured := []pace.Measurement{}
 	for _, target := range filled.targets {
-		if one, known := target.paced.meter.Measured(now); known {
+		if one, known := target.paced.meter.Measure(now); known {
 			measured = append(measured, one)
 		}
 	}
-	usual := pace.Usual(measured)
+	usual := pace.Baseline(measured)
 	for number, target := range filled.targets {
-		learnt[number] = target.paced.meter.Look(usual, now)
+		learnt[number] = target.paced.meter.Evaluate(usual, now)
 		factors[number] = learnt[number].Factor
 		target.paced.learnt.Store(hundredthsOf(factors[number]))
 	}
-	for number, factor := range pace.Slow(factors) {
+	for number, factor := range pace.EffectiveFactors(factors) {
 		filled.targets[number].paced.used.Store(hundredthsOf(factor))
 	}
 	return learnt
@@ -190,10 +190,10 @@
 func (board *Board) TakePace(told *ToldPace) bool {
 	target := board.knownTarget(told.Run())
 	now := board.now()
-	if target == nil || !target.paced.meter.Take(told.Factor, now-told.Age, now) {
+	if target == nil || !target.paced.meter.ApplyRemote(told.Factor, now-told.Age, now) {
 		return false
 	}
-	board.PaceCounts.Heard.Add(1)
+	board.PaceCounts.Received.Add(1)
 	return true
 }
 
@@ -203,7 +203,7 @@
 	if target == nil {
 		return ToldPace{}, false
 	}
-	factor, age := target.paced.meter.Told(board.now())
+	factor, age := target.paced.meter.Announced(board.now())
 	return ToldPace{Server: target.ID, Group: target.Group, Born: target.Born, Factor: factor, Age: age}, true
 }
 
--- a/internal/policy/dispatch/pace_test.go
+++ b/internal/policy/dispatch/pace_test.go
@@ -329,8 +329,8 @@
 		run(3*time.Second, 40*time.Millisecond, "a")
 		run(2*time.Second, 40*time.Millisecond)
 		expect.Expect([]int{found, ended}).To(gomega.Equal([]int{1, 1}))
-		expect.Expect(board.PaceCounts.Found.Load()).To(gomega.Equal(uint64(1)))
-		expect.Expect(board.PaceCounts.Ended.Load()).To(gomega.Equal(uint64(1)))
+		expect.Expect(board.PaceCounts.FoundSlow.Load()).To(gomega.Equal(uint64(1)))
+		expect.Expect(board.PaceCounts.Recovered.Load()).To(gomega.Equal(uint64(1)))
 	})
 }
 
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/pace/pace.go
@@ -1,29 +1,30 @@
-// Package pace learns how slow a group of servers is, from the time between the events of its
-// streams.
+// Package pace estimates how slow a group of servers is, from the time between the events of its streams.
 //
-// A stream emits one event per forward pass, so the time between two events, divided by the
-// duration that a pass should have at that load, is the group's pace: 1 as expected, 4 where it
-// is four times as slow. Prompts that are read meanwhile lengthen passes, and so does anything
-// between the group and this node; nothing shortens them. So the shortest of some dozens of gaps
-// count. Events that come together are of one pass and count once.
+// A stream emits one event per forward pass. The time between two events, divided by the expected duration of a pass
+// at that load, is the slowdown factor of the group: 1 is as expected, 4 is four times as slow. Prefill of other
+// prompts lengthens passes, and so does any delay between the group and this node. Nothing shortens passes, so the
+// estimate is taken from the shortest of some dozens of intervals. Events that arrive together belong to one pass and
+// count once.
 //
-// How long reading prompts takes is a guess, and a high one. So a pace that was measured while none
-// were read is compared with paces of other groups that were measured so.
+// The expected prefill time is only an estimate, and a high one. So a factor that was measured in decode-only passes,
+// without prefill, is compared with the decode-only factors of other groups.
 //
-// A group that is known to be slow gets few calls, and then nothing is learnt of it. So what is
-// known decays towards 1 within some seconds, and the group is tried again.
+// A group that is known to be slow gets few calls, so that nothing new is learned about it. So a known factor decays
+// towards 1 within a few seconds, and the group is then tried again.
 //
-// Nothing here has a clock: time is passed in. A Meter stands for one run of a server in one
-// group, and may be used from several goroutines.
+// The package has no clock; the caller passes in the time. A Meter belongs to one run of a server in one group, and
+// is safe for concurrent use.
 //
 // # Usage
 //
 //	meter := &pace.Meter{}
-//	meter.Note(pace.Gap{Took: gap, Pass: expected, Reading: prompts}, now) // for each event of each stream
-//	measured, known := meter.Measured(now)     // of each group of a pool
-//	usual := pace.Usual(allMeasured)
-//	if learnt := meter.Look(usual, now); learnt.News { tell(learnt.Factor) }
-//	paces := pace.Slow(factors)                // of all groups of the pool
+//	// For each event of each stream:
+//	meter.Record(pace.Interval{Elapsed: elapsed, ExpectedPass: pass, ExpectedPrefill: prefill}, now)
+//	// For each group of a pool:
+//	measured, known := meter.Measure(now)
+//	baseline := pace.Baseline(allMeasured)
+//	if assessment := meter.Evaluate(baseline, now); assessment.Changed { announce(assessment.Factor) }
+//	effective := pace.EffectiveFactors(factors) // for all groups of the pool
 package pace
 
 import (
@@ -36,300 +37,305 @@
 )
 
 const (
-	// SlowFrom is the pace from which a group is treated as slow. Configured durations are a
-	// few tenths off, and so is a pass that reads a long prompt.
-	SlowFrom = 1.5
-	// fastBelow is the pace below which a slow group is as expected again. It is less than
-	// SlowFrom so that a pace near that isn't told over and over.
-	fastBelow = 1.25
-	// passesNeeded is from how many passes a pace is learnt, passesKept how many are remembered.
-	passesNeeded = 8
-	passesKept   = 24
-	// plainNeeded is how many passes without a prompt show what is usual in them.
-	plainNeeded = 3
-	// passLife is for how long passes are remembered: longer than a slow group is passed by.
-	passLife = 15 * time.Second
-	// pause is after how long without a pass a group counts as tried again, and passesBefore is how many
-	// passes before the pause still count then: with three more there are enough, so that one
-	// that is as slow as before is passed by again soon.
-	pause        = 2 * time.Second
-	passesBefore = 5
-	// halfLife is the time after which half of what a group was slower is forgotten. A group four
-	// times as slow is tried again after five seconds.
+	// SlowThreshold is the factor from which a group is treated as slow. Lower factors are within the error of the
+	// configured durations, which are a few tenths off, and of passes that include prefill of a long prompt.
+	SlowThreshold = 1.5
+	// recoveredThreshold is the factor below which a slow group is healthy again. It is less than SlowThreshold so
+	// that a factor close to that threshold is not announced over and over.
+	recoveredThreshold = 1.25
+	// minPasses is how many passes a measurement needs, and maxPasses is how many passes are kept.
+	minPasses = 8
+	maxPasses = 24
+	// minDecodeOnlyPasses is how many passes a decode-only measurement needs.
+	minDecodeOnlyPasses = 3
+	// passTTL is how long passes are kept. It is longer than the time for which a slow group is avoided.
+	passTTL = 15 * time.Second
+	// idlePause is the time without a pass after which a group counts as tried again. passesKeptAfterPause is how
+	// many passes from before the pause still count. Three more passes then make a measurement, so that a group that
+	// is still slow is avoided again soon.
+	idlePause            = 2 * time.Second
+	passesKeptAfterPause = 5
+	// halfLife is the time in which the excess of a factor over 1 halves. A group four times as slow is tried again
+	// after five seconds.
 	halfLife = 2 * time.Second
-	// tellRatio is by which ratio a pace must have changed to be told to other nodes, and tellEvery how
-	// often that may be.
-	tellRatio = 1.25
-	tellEvery = 200 * time.Millisecond
-	// measuredKept is for how long a measurement counts towards what is usual in a pool.
-	measuredKept = 2 * time.Minute
-	// highest bounds a pace.
-	highest = 100
+	// announceRatio is the ratio by which a factor must have changed to be announced to other nodes, and
+	// announceInterval is the least time between two announcements.
+	announceRatio    = 1.25
+	announceInterval = 200 * time.Millisecond
+	// measurementTTL is how long a measurement counts towards the baseline of a pool.
+	measurementTTL = 2 * time.Minute
+	// maxFactor bounds a factor.
+	maxFactor = 100
 )
 
-// Counts are counters; they only grow.
+// Counts are monotonic counters.
 type Counts struct {
-	// Found are the groups that this node found slow, Ended those of them that aren't any more.
-	Found atomic.Uint64
-	Ended atomic.Uint64
-	// Heard are the paces that other nodes told and this one did not know.
-	Heard atomic.Uint64
+	// FoundSlow counts the groups that this node found slow, and Recovered counts those of them that are no longer
+	// slow.
+	FoundSlow atomic.Uint64
+	Recovered atomic.Uint64
+	// Received counts the factors that were received from other nodes and were new to this node.
+	Received atomic.Uint64
 }
 
-// finding is a pace at a time.
-type finding struct {
+// estimate is a slowdown factor and the time at which it was measured.
+type estimate struct {
 	factor float64
 	at     time.Duration
 }
 
-// decayed is what is left of a finding.
-func (finding finding) decayed(now time.Duration) float64 {
-	if finding.factor <= 1 {
+// decayedFactor returns the factor after its decay up to now.
+func (estimate estimate) decayedFactor(now time.Duration) float64 {
+	if estimate.factor <= 1 {
 		return 1
 	}
-	return 1 + (finding.factor-1)*math.Exp2(-float64(max(0, now-finding.at))/float64(halfLife))
+	return 1 + (estimate.factor-1)*math.Exp2(-float64(max(0, now-estimate.at))/float64(halfLife))
 }
 
-// effective is the same as far as it takes effect.
-func (finding finding) effective(now time.Duration) float64 {
-	if factor := finding.decayed(now); factor >= SlowFrom {
+// effectiveFactor returns the decayed factor, or 1 if it is below SlowThreshold.
+func (estimate estimate) effectiveFactor(now time.Duration) float64 {
+	if factor := estimate.decayedFactor(now); factor >= SlowThreshold {
 		return factor
 	}
 	return 1
 }
 
-// round is a pass: the shortest of the gaps that ended with it.
-type round struct {
+// passSample is one pass, represented by the shortest of the intervals that ended with it.
+type passSample struct {
 	ratio float64
 	at    time.Duration
-	// plain says that no prompt was read in that gap.
-	plain bool
+	// decodeOnly is set if no prompt was read during that interval.
+	decodeOnly bool
 }
 
-// rounds are the newest passes of a group.
-type rounds struct {
-	kept [passesKept]round
-	// last is the place of the newest pass, count how many there are.
-	last, count int
+// passWindow is a ring buffer of the newest passes of a group.
+type passWindow struct {
+	samples [maxPasses]passSample
+	// newestIndex is the index of the newest pass, and count is the number of passes.
+	newestIndex, count int
 }
 
-// note takes a gap of a pass that should take so long.
-func (rounds *rounds) note(noted round, expected time.Duration) {
-	newest := &rounds.kept[rounds.last]
-	if rounds.count > 0 {
-		since := noted.at - newest.at
+// add adds an interval whose pass has the given expected duration. An interval that ends within half of that duration
+// after the newest pass belongs to the same pass.
+func (passWindow *passWindow) add(sample passSample, expected time.Duration) {
+	newest := &passWindow.samples[passWindow.newestIndex]
+	if passWindow.count > 0 {
+		since := sample.at - newest.at
 		if since < expected/2 {
-			if noted.ratio < newest.ratio {
-				newest.ratio, newest.plain = noted.ratio, noted.plain
+			if sample.ratio < newest.ratio {
+				newest.ratio, newest.decodeOnly = sample.ratio, sample.decodeOnly
 			}
 			return
 		}
-		if since > pause {
-			rounds.count = min(rounds.count, passesBefore)
+		if since > idlePause {
+			passWindow.count = min(passWindow.count, passesKeptAfterPause)
 		}
 	}
-	rounds.last = (rounds.last + 1) % passesKept
-	rounds.kept[rounds.last] = noted
-	rounds.count = min(rounds.count+1, passesKept)
+	passWindow.newestIndex = (passWindow.newestIndex + 1) % maxPasses
+	passWindow.samples[passWindow.newestIndex] = sample
+	passWindow.count = min(passWindow.count+1, maxPasses)
 }
 
-// latest returns the passes that aren't older than passLife, the newest first. They are in the array.
-func (rounds *rounds) latest(now time.Duration, held *[passesKept]round) []round {
-	found := held[:0]
-	for number := range rounds.count {
-		one := rounds.kept[(rounds.last-number+passesKept)%passesKept]
-		if now-one.at > passLife {
+// recent returns the passes that are not older than passTTL, newest first. The result is stored in buffer.
+func (passWindow *passWindow) recent(now time.Duration, buffer *[maxPasses]passSample) []passSample {
+	selected := buffer[:0]
+	for index := range passWindow.count {
+		sample := passWindow.samples[(passWindow.newestIndex-index+maxPasses)%maxPasses]
+		if now-sample.at > passTTL {
 			break
 		}
-		found = append(found, one)
+		selected = append(selected, sample)
 	}
-	return found
+	return selected
 }
 
-func byRatio(one, other round) int { return cmp.Compare(one.ratio, other.ratio) }
+func compareRatios(one, other passSample) int { return cmp.Compare(one.ratio, other.ratio) }
 
-// quarter returns the lower quartile by ratio, and sorts the passes.
-func quarter(passes []round) round {
-	slices.SortFunc(passes, byRatio)
+// lowerQuartile sorts the passes by ratio and returns their lower quartile.
+func lowerQuartile(passes []passSample) passSample {
+	slices.SortFunc(passes, compareRatios)
 	return passes[(len(passes)-1)/4]
 }
 
-// bounded keeps a pace within what is believed.
-func bounded(factor float64) float64 { return min(max(1, factor), highest) }
+// clampFactor limits a factor to the range from 1 to maxFactor.
+func clampFactor(factor float64) float64 { return min(max(1, factor), maxFactor) }
 
-// Gap is the time between two events of a stream: how long it took, how long a pass that reads nothing
-// should take, and how long the prompts should that may have been read meanwhile.
-type Gap struct {
-	Took, Pass, Reading time.Duration
+// Interval is the time between two events of a stream. ExpectedPass is the expected duration of a decode-only pass,
+// and ExpectedPrefill is the expected time for the prompts that may have been read during the interval.
+type Interval struct {
+	Elapsed, ExpectedPass, ExpectedPrefill time.Duration
 }
 
-// Measurement is a group's pace by the events that came at this node.
+// Measurement is the slowdown factor of a group, measured from the events that arrived at this node.
 type Measurement struct {
-	// Factor is the pace by all passes, Plain that by passes that read no prompt, or Factor if those were too few.
-	Factor, Plain float64
+	// Factor is measured from all passes. DecodeOnly is measured from decode-only passes, and equals Factor if there
+	// were too few of them.
+	Factor, DecodeOnly float64
 }
 
-// Meter learns the pace of one run of a server in one group.
+// Meter estimates the slowdown factor of one run of a server in one group.
 type Meter struct {
 	mu sync.Mutex
-	// all are the newest passes, plain the newest that read no prompt.
-	all, plain rounds
-	// fresh says that there were events since the last measurement, anew that there was a measurement
-	// since the last look.
-	fresh, anew bool
-	// measured is the last measurement, newest what is known, compared with what is usual, and told what
-	// the other nodes know.
-	measured, newest, told finding
-	// plainFactor is the last measurement by plain passes, or by all where those were too few. isPlain says
-	// that a plain pass decided measured.
-	plainFactor float64
-	isPlain     bool
+	// all holds the newest passes, and decodeOnly holds the newest decode-only passes.
+	all, decodeOnly passWindow
+	// hasNewEvents is set if there were events since the last measurement. hasNewMeasurement is set if there was a
+	// measurement since the last call of Evaluate.
+	hasNewEvents, hasNewMeasurement bool
+	// measured is the last measurement. current is the known factor, relative to the baseline. announced is the
+	// factor that the other nodes know.
+	measured, current, announced estimate
+	// decodeOnlyFactor is the last measurement from decode-only passes, or from all passes if there were too few of
+	// them. isDecodeOnly is set if measured was taken from a decode-only pass.
+	decodeOnlyFactor float64
+	isDecodeOnly     bool
 }
 
-// Note takes a gap that ended now.
-func (meter *Meter) Note(gap Gap, now time.Duration) {
-	expected := gap.Pass + gap.Reading
-	if gap.Pass <= 0 {
+// Record adds an interval that ended now.
+func (meter *Meter) Record(interval Interval, now time.Duration) {
+	expected := interval.ExpectedPass + interval.ExpectedPrefill
+	if interval.ExpectedPass <= 0 {
 		return
 	}
-	noted := round{ratio: float64(gap.Took) / float64(expected), at: now, plain: gap.Reading <= 0}
+	sample := passSample{ratio: float64(interval.Elapsed) / float64(expected), at: now, decodeOnly: interval.ExpectedPrefill <= 0}
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
-	meter.fresh = true
-	meter.all.note(noted, expected)
-	if noted.plain {
-		meter.plain.note(noted, expected)
+	meter.hasNewEvents = true
+	meter.all.add(sample, expected)
+	if sample.decodeOnly {
+		meter.decodeOnly.add(sample, expected)
 	}
 }
 
-// measureLocked measures the pace by the passes that are remembered.
+// measureLocked measures the factor from the passes that are kept.
 func (meter *Meter) measureLocked(now time.Duration) {
-	held := [passesKept]round{}
-	passes := meter.all.latest(now, &held)
-	if len(passes) < passesNeeded {
+	buffer := [maxPasses]passSample{}
+	passes := meter.all.recent(now, &buffer)
+	if len(passes) < minPasses {
 		return
 	}
 	at := passes[0].at
-	// A group that becomes slow shows it in its last passes long before it does in most of those
-	// that are remembered.
-	found := slices.MinFunc(passes[:passesNeeded], byRatio)
-	if usual := quarter(passes); usual.ratio > found.ratio {
-		found = usual
+	// A group that becomes slow shows it in its last passes long before most of the kept passes are slow. So the
+	// larger of the minimum of the last passes and the quartile of all passes is used.
+	selected := slices.MinFunc(passes[:minPasses], compareRatios)
+	if quartile := lowerQuartile(passes); quartile.ratio > selected.ratio {
+		selected = quartile
 	}
-	meter.measured = finding{factor: bounded(found.ratio), at: at}
-	meter.plainFactor, meter.isPlain, meter.anew = meter.measured.factor, found.plain, true
-	if plain := meter.plain.latest(now, &held); len(plain) >= plainNeeded {
-		meter.plainFactor = bounded(quarter(plain).ratio)
+	meter.measured = estimate{factor: clampFactor(selected.ratio), at: at}
+	meter.decodeOnlyFactor, meter.isDecodeOnly, meter.hasNewMeasurement = meter.measured.factor, selected.decodeOnly, true
+	if decodeOnly := meter.decodeOnly.recent(now, &buffer); len(decodeOnly) >= minDecodeOnlyPasses {
+		meter.decodeOnlyFactor = clampFactor(lowerQuartile(decodeOnly).ratio)
 	}
 }
 
-// Measured returns the last measurement, if there is one that counts.
-func (meter *Meter) Measured(now time.Duration) (measured Measurement, known bool) {
+// Measure updates the measurement if there were new events, and returns it. known is false if there is no measurement
+// or it is too old.
+func (meter *Meter) Measure(now time.Duration) (measured Measurement, known bool) {
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
-	if meter.fresh {
-		meter.fresh = false
+	if meter.hasNewEvents {
+		meter.hasNewEvents = false
 		meter.measureLocked(now)
 	}
-	measured = Measurement{Factor: meter.measured.factor, Plain: meter.plainFactor}
-	return measured, measured.Factor > 0 && now-meter.measured.at < measuredKept
+	measured = Measurement{Factor: meter.measured.factor, DecodeOnly: meter.decodeOnlyFactor}
+	return measured, measured.Factor > 0 && now-meter.measured.at < measurementTTL
 }
 
-// Usual returns what is usual in a pool, by what was measured of its groups. It is above 1 where passes are
-// longer than configured, or this node or its network lengthens all gaps; that makes no group slow. So a
-// group is found slow only by a node that has measured another one.
-func Usual(measured []Measurement) Measurement {
-	factors, plain := make([]float64, 0, len(measured)), make([]float64, 0, len(measured))
+// Baseline returns the typical measurement of the groups of a pool. It is above 1 if passes take longer than
+// configured, or if this node or its network delays all events; neither makes a single group slow. As a consequence,
+// a node finds a group slow only if it has also measured another group of the pool.
+func Baseline(measured []Measurement) Measurement {
+	factors, decodeOnly := make([]float64, 0, len(measured)), make([]float64, 0, len(measured))
 	for _, one := range measured {
-		factors, plain = append(factors, one.Factor), append(plain, one.Plain)
+		factors, decodeOnly = append(factors, one.Factor), append(decodeOnly, one.DecodeOnly)
 	}
-	return Measurement{Factor: middle(factors), Plain: middle(plain)}
+	return Measurement{Factor: lowerMedian(factors), DecodeOnly: lowerMedian(decodeOnly)}
 }
 
-// middle is the lower median of paces, 1 at least.
-func middle(paces []float64) float64 {
-	if len(paces) == 0 {
+// lowerMedian returns the lower median of the factors, but at least 1.
+func lowerMedian(factors []float64) float64 {
+	if len(factors) == 0 {
 		return 1
 	}
-	slices.Sort(paces)
-	return max(1, paces[(len(paces)-1)/2])
+	slices.Sort(factors)
+	return max(1, factors[(len(factors)-1)/2])
 }
 
-// Learnt is what a look at a meter shows.
-type Learnt struct {
-	// Factor is the pace as far as it takes effect.
+// Assessment is the result of Evaluate.
+type Assessment struct {
+	// Factor is the effective factor: 1 unless the group counts as slow.
 	Factor float64
-	// News says that this node has just measured what other nodes are to be told.
-	News bool
+	// Changed is set if this node has just measured a factor that has to be announced to other nodes.
+	Changed bool
 }
 
-// Look returns what is known now, where a pace is usual in the pool.
-func (meter *Meter) Look(usual Measurement, now time.Duration) Learnt {
+// Evaluate compares the latest measurement with the baseline of the pool and returns the factor known now.
+func (meter *Meter) Evaluate(baseline Measurement, now time.Duration) Assessment {
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
-	learnt := Learnt{}
-	if meter.anew {
-		meter.anew = false
-		compared := usual.Factor
-		if meter.isPlain {
-			compared = usual.Plain
+	assessment := Assessment{}
+	if meter.hasNewMeasurement {
+		meter.hasNewMeasurement = false
+		reference := baseline.Factor
+		if meter.isDecodeOnly {
+			reference = baseline.DecodeOnly
 		}
-		learnt.News = meter.learnLocked(finding{factor: max(1, meter.measured.factor/compared), at: meter.measured.at}, now)
+		assessment.Changed = meter.updateLocked(estimate{factor: max(1, meter.measured.factor/reference), at: meter.measured.at}, now)
 	}
-	learnt.Factor = meter.newest.effective(now)
-	return learnt
+	assessment.Factor = meter.current.effectiveFactor(now)
+	return assessment
 }
 
-// learnLocked takes what was measured, and says whether that is news to other nodes.
-func (meter *Meter) learnLocked(measured finding, now time.Duration) bool {
-	before := meter.newest.decayed(now)
-	if measured.factor < fastBelow || (measured.factor < SlowFrom && before < SlowFrom) {
+// updateLocked stores a new estimate, and reports whether it has to be announced to other nodes.
+func (meter *Meter) updateLocked(measured estimate, now time.Duration) bool {
+	before := meter.current.decayedFactor(now)
+	if measured.factor < recoveredThreshold || (measured.factor < SlowThreshold && before < SlowThreshold) {
 		measured.factor = 1
 	}
-	meter.newest = measured
-	if !differs(measured.factor, meter.told.effective(now)) || (meter.told.at != 0 && now-meter.told.at < tellEvery) {
+	meter.current = measured
+	if !differsNotably(measured.factor, meter.announced.effectiveFactor(now)) || (meter.announced.at != 0 && now-meter.announced.at < announceInterval) {
 		return false
 	}
-	meter.told = measured
+	meter.announced = measured
 	return true
 }
 
-func differs(one, other float64) bool {
-	return one >= tellRatio*other || other >= tellRatio*one
+func differsNotably(one, other float64) bool {
+	return one >= announceRatio*other || other >= announceRatio*one
 }
 
-// Told returns what other nodes are to know, and how old that is.
-func (meter *Meter) Told(now time.Duration) (factor float64, age time.Duration) {
+// Announced returns the factor that other nodes should know, and its age.
+func (meter *Meter) Announced(now time.Duration) (factor float64, age time.Duration) {
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
-	return max(1, meter.told.factor), max(0, now-meter.told.at)
+	return max(1, meter.announced.factor), max(0, now-meter.announced.at)
 }
 
-// Take takes a pace that another node measured at a time, and says whether that is news. What
-// this node measured before that counts no more: its passes may be of before the group became slow.
-func (meter *Meter) Take(factor float64, at, now time.Duration) bool {
+// ApplyRemote applies a factor that another node measured at the given time, and reports whether it was news. This
+// node's own earlier passes are discarded if they disagree, since they may be from before the group became slow.
+func (meter *Meter) ApplyRemote(factor float64, at, now time.Duration) bool {
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
-	told := finding{factor: bounded(factor), at: min(at, now)}
-	if told.at <= meter.told.at || !differs(told.effective(now), meter.told.effective(now)) {
+	remote := estimate{factor: clampFactor(factor), at: min(at, now)}
+	if remote.at <= meter.announced.at || !differsNotably(remote.effectiveFactor(now), meter.announced.effectiveFactor(now)) {
 		return false
 	}
-	if differs(told.effective(now), meter.newest.effective(now)) {
-		meter.all.count, meter.plain.count, meter.anew = 0, 0, false
-		meter.newest = told
+	if differsNotably(remote.effectiveFactor(now), meter.current.effectiveFactor(now)) {
+		meter.all.count, meter.decodeOnly.count, meter.hasNewMeasurement = 0, 0, false
+		meter.current = remote
 	}
-	meter.told = told
+	meter.announced = remote
 	return true
 }
 
-// Slow returns the paces of a pool's groups as they take effect. At most a third is slow, the slowest:
-// where more seem so the fault lies with what was expected, or with this node. For the same reason a
-// pace, which may have been told by a node that has measured few groups, is compared with the median.
-func Slow(factors []float64) []float64 {
+// EffectiveFactors returns the factors of the groups of a pool as they take effect. At most a third of the groups,
+// the slowest ones, counts as slow: if more of them appear slow, the expected durations or this node are at fault.
+// For the same reason each factor is divided by the median of the pool: it may come from a node that has measured
+// only a few groups.
+func EffectiveFactors(factors []float64) []float64 {
 	order := make([]int, len(factors))
-	paces := make([]float64, len(factors))
-	for number := range factors {
-		order[number], paces[number] = number, 1
+	effective := make([]float64, len(factors))
+	for index := range factors {
+		order[index], effective[index] = index, 1
 	}
 	slices.SortStableFunc(order, func(one, other int) int {
 		switch {
@@ -341,13 +347,13 @@
 		return 0
 	})
 	if len(order) == 0 {
-		return paces
+		return effective
 	}
 	median := max(1, factors[order[len(order)/2]])
-	for _, number := range order[:len(order)/3] {
-		if factor := factors[number] / median; factor >= SlowFrom {
-			paces[number] = factor
+	for _, index := range order[:len(order)/3] {
+		if factor := factors[index] / median; factor >= SlowThreshold {
+			effective[index] = factor
 		}
 	}
-	return paces
+	return effective
 }
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -141,7 +141,7 @@
 		"Limited": node.forwarder.Counts.Limited.Load(), "BackedOff": node.forwarder.Counts.BackedOff.Load(), "Shed": node.forwarder.Counts.Shed.Load(), "Unanswered": node.forwarder.Counts.Unanswered.Load(), "LimitsLearnt": node.limits.Counts.Learnt.Load(), "LimitsUnreadable": node.limits.Counts.Unreadable.Load(),
 		"BackoffsLearnt": node.notices.Counts.Backoffs.Load(), "BackoffsHinted": node.notices.Counts.Hints.Load(), "BackoffsUnreadable": node.notices.Counts.Unreadable.Load(),
 		"DrainsLearnt": node.notices.Counts.Drains.Load(), "CallsWithheld": node.notices.Counts.Withheld.Load(),
-		"GroupsFoundSlow": paces.Found.Load(), "GroupsNotSlowAnyMore": paces.Ended.Load(), "PacesHeard": paces.Heard.Load(),
+		"GroupsFoundSlow": paces.FoundSlow.Load(), "GroupsNotSlowAnyMore": paces.Recovered.Load(), "PacesHeard": paces.Received.Load(),
 		"GroupsFormed": formed.Formed.Load(), "GroupsAbandoned": formed.Abandoned.Load(), "GroupsLost": formed.Lost.Load(),
 		"GroupsRetired": formed.Retired.Load(), "ServersStaged": formed.Staged.Load(), "Orders": formed.Orders.Load(),
 		"GroupsLent": formed.Lent.Load(), "Reports": formed.Reports.Load(), "SilentButWhole": formed.WholeSeen.Load(),
