--- a/internal/policy/dispatch/admit.go
+++ b/internal/policy/dispatch/admit.go
@@ -35,7 +35,7 @@
 // cold says whether the server bears few calls as yet: it says so, or it may have become
 // cold while its data centre was drained.
 func (target *Target) cold(now time.Duration) bool {
-	return target.ColdBound.Bounded() && (target.Cold || target.drain.EndedWithin(target.ColdTime, now))
+	return target.ColdBound.Enabled() && (target.Cold || target.drain.EndedWithin(target.ColdTime, now))
 }
 
 // Avoided says whether new calls are kept off the target.
@@ -45,11 +45,11 @@
 
 // coldPart is how many calls a second this node may send a target while that is cold.
 func (board *Board) coldPart(target *Target) int {
-	return target.ColdBound.Part(board.nodes(), target.lot)
+	return target.ColdBound.NodeLimit(board.nodes(), target.lot)
 }
 
 // warms lets a call through to a target, unless that is cold and has had this node's part.
 func (board *Board) warms(target *Target) bool {
 	now := board.now()
-	return !target.cold(now) || target.warmup.Take(now, board.coldPart(target))
+	return !target.cold(now) || target.warmup.Allow(now, board.coldPart(target))
 }
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -102,7 +102,7 @@
 	// record is what the server said of itself, whatever groups it heads.
 	record *notice.Record
 	// warmup counts this node's calls while the server is cold, lot is the node's for these.
-	warmup warmup.Gate
+	warmup warmup.Limiter
 	lot    float64
 	// mine and peers count the calls under way.
 	mine  atomic.Int32
--- a/internal/policy/dispatch/pick.go
+++ b/internal/policy/dispatch/pick.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		usable++
-		if target.Taken() >= target.Slots+wish.Beyond || (target.cold(now) && !target.warmup.Open(now, board.coldPart(target))) {
+		if target.Taken() >= target.Slots+wish.Beyond || (target.cold(now) && !target.warmup.WouldAllow(now, board.coldPart(target))) {
 			continue
 		}
 		costs[number] = wish.cost(target) + target.risk(now)
--- a/internal/policy/warmup/warmup.go
+++ b/internal/policy/warmup/warmup.go
@@ -1,19 +1,18 @@
-// Package warmup bounds what all nodes together send a backend server that is cold.
+// Package warmup limits the requests that all nodes together send to a cold backend server.
 //
-// A server that has just started, or come out of a drain, bears some requests a second and
-// crashes of many more. It is cold for seconds, so there is no time to lend and return
-// permits for it: each node keeps a part of the bound by the number of nodes. In a
-// small fleet that is some requests a second. In a large one it is less than one, so a node
-// is drawn to have one or none: the parts of all nodes add up to the bound on average, and
-// what is kept back of it is many times by how much the draws differ.
+// A server that has just started, or has come out of a drain, handles only some requests per second and crashes under
+// many more. It stays cold only for seconds, which is too short to lend and return permits for it. So each node takes
+// a share of the bound by the number of nodes. In a small fleet a share is some requests per second. In a large fleet
+// it is less than one, so a random draw gives each node either one request or none: the shares of all nodes add up to
+// the bound on average, and the part of the bound that is held back is many times the spread of the draws.
 //
-// Table notes which servers are cold, by what they say of themselves.
+// ColdTable records which servers are cold, as reported by the servers themselves.
 //
 // # Usage
 //
 //	bound := warmup.Bound{PerSecond: 26, Overshoot: 1.5, Tolerance: 5}
-//	part := bound.Part(nodes, rendezvous.Draw(server, incarnation))
-//	if gate.Take(now, part) { ... }
+//	limit := bound.NodeLimit(nodes, rendezvous.Draw(server, incarnation))
+//	if limiter.Allow(now, limit) { ... }
 package warmup
 
 import (
@@ -24,117 +23,118 @@
 	"hazelslip/internal/policy/ratelimit"
 )
 
-// Bound is what one cold server may be sent in a second: PerSecond times Overshoot, plus
-// Tolerance, in requests. The zero value bounds nothing.
+// Bound limits the requests per second that one cold server may receive: PerSecond times Overshoot, plus Tolerance.
+// The zero value is no limit.
 type Bound struct {
 	PerSecond, Overshoot, Tolerance float64
 }
 
 const (
-	// used is the part of a bound that the nodes use together: calls that are written late
-	// arrive with later ones.
-	used = 0.6
-	// drawn is the same where each node's part is drawn: more may win than should.
-	drawn = 0.4
+	// usedShare is the fraction of a bound that all nodes use together. The rest is held back because requests that
+	// are written late arrive together with later ones.
+	usedShare = 0.6
+	// drawnShare replaces usedShare where nodes draw their share. It is smaller because more nodes may win the draw
+	// than expected.
+	drawnShare = 0.4
 )
 
-// Bounded says whether cold servers are to be spared at all.
-func (bound Bound) Bounded() bool {
+// Enabled reports whether requests to cold servers are limited at all.
+func (bound Bound) Enabled() bool {
 	return bound.PerSecond > 0
 }
 
-// Part is how many requests a second one of some nodes may send a cold server. Draw is the
-// node's lot for it, from 0 up to 1.
-func (bound Bound) Part(nodes int, draw float64) int {
-	most := max(bound.PerSecond, bound.PerSecond*bound.Overshoot+bound.Tolerance)
-	each := most / float64(max(1, nodes))
-	if part := used * each; part >= 1 {
-		return int(part)
+// NodeLimit returns how many requests per second one of the given number of nodes may send to a cold server. The draw
+// is the node's random number for that server, in [0, 1).
+func (bound Bound) NodeLimit(nodes int, draw float64) int {
+	total := max(bound.PerSecond, bound.PerSecond*bound.Overshoot+bound.Tolerance)
+	perNode := total / float64(max(1, nodes))
+	if share := usedShare * perNode; share >= 1 {
+		return int(share)
 	}
-	if draw < drawn*each {
+	if draw < drawnShare*perNode {
 		return 1
 	}
 	return 0
 }
 
-// window is over which requests are counted: the second of the bound, and what calls of one
-// node may be held up by more than others.
+// window is the span over which requests are counted: the second of the bound, plus the difference in delay between
+// calls of one node.
 const window = 1050 * time.Millisecond
 
-// Gate counts one node's requests to one run of a server.
-type Gate struct {
-	mu   sync.Mutex
-	sent []time.Duration
+// Limiter limits the requests of one node to one run of a server.
+type Limiter struct {
+	mu     sync.Mutex
+	sentAt []time.Duration
 }
 
-// Take lets a request through if fewer than the most were sent within the window.
-func (gate *Gate) Take(now time.Duration, most int) bool {
-	gate.mu.Lock()
-	defer gate.mu.Unlock()
-	if gate.countLocked(now) >= most {
+// Allow lets a request through, and counts it, if fewer than limit requests were sent within the window.
+func (limiter *Limiter) Allow(now time.Duration, limit int) bool {
+	limiter.mu.Lock()
+	defer limiter.mu.Unlock()
+	if limiter.countLocked(now) >= limit {
 		return false
 	}
-	gate.sent = append(gate.sent, now)
+	limiter.sentAt = append(limiter.sentAt, now)
 	return true
 }
 
-// Open says whether Take would let a request through.
-func (gate *Gate) Open(now time.Duration, most int) bool {
-	gate.mu.Lock()
-	defer gate.mu.Unlock()
-	return gate.countLocked(now) < most
+// WouldAllow reports whether Allow would let a request through.
+func (limiter *Limiter) WouldAllow(now time.Duration, limit int) bool {
+	limiter.mu.Lock()
+	defer limiter.mu.Unlock()
+	return limiter.countLocked(now) < limit
 }
 
-func (gate *Gate) countLocked(now time.Duration) int {
-	past := 0
-	for past < len(gate.sent) && now-gate.sent[past] >= window {
-		past++
+func (limiter *Limiter) countLocked(now time.Duration) int {
+	expired := 0
+	for expired < len(limiter.sentAt) && now-limiter.sentAt[expired] >= window {
+		expired++
 	}
-	gate.sent = gate.sent[past:]
-	return len(gate.sent)
+	limiter.sentAt = limiter.sentAt[expired:]
+	return len(limiter.sentAt)
 }
 
-// Table is which runs of servers are cold.
-type Table struct {
+// ColdTable records which runs of servers are cold.
+type ColdTable struct {
 	now clock.Now
 
-	mu    sync.Mutex
-	until map[ratelimit.Run]time.Duration
+	mu        sync.Mutex
+	coldUntil map[ratelimit.Run]time.Duration
 }
 
-// NewTable returns a table of no cold servers.
-func NewTable(now clock.Now) *Table {
-	return &Table{now: now, until: map[ratelimit.Run]time.Duration{}}
+// NewColdTable returns an empty table.
+func NewColdTable(now clock.Now) *ColdTable {
+	return &ColdTable{now: now, coldUntil: map[ratelimit.Run]time.Duration{}}
 }
 
-// Heard takes for how long a server says that it stays cold, 0 for not at all.
-func (table *Table) Heard(run ratelimit.Run, left time.Duration) {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	if left <= 0 {
-		delete(table.until, run)
+// Update records how long a server reports that it stays cold; 0 means that it is warm.
+func (coldTable *ColdTable) Update(run ratelimit.Run, remaining time.Duration) {
+	coldTable.mu.Lock()
+	defer coldTable.mu.Unlock()
+	if remaining <= 0 {
+		delete(coldTable.coldUntil, run)
 		return
 	}
-	table.until[run] = table.now() + left
+	coldTable.coldUntil[run] = coldTable.now() + remaining
 }
 
-// Cold says whether a server is cold.
-func (table *Table) Cold(run ratelimit.Run) bool {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	until, known := table.until[run]
-	return known && table.now() < until
+// IsCold reports whether a server run is cold.
+func (coldTable *ColdTable) IsCold(run ratelimit.Run) bool {
+	coldTable.mu.Lock()
+	defer coldTable.mu.Unlock()
+	coldUntil, known := coldTable.coldUntil[run]
+	return known && coldTable.now() < coldUntil
 }
 
-// Sweep forgets the servers that are warm by now, and says whether there was one.
-func (table *Table) Sweep() bool {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	now, before := table.now(), len(table.until)
-	for run, until := range table.until {
-		if now >= until {
-			delete(table.until, run)
+// Sweep removes the servers that have become warm, and reports whether there were any.
+func (coldTable *ColdTable) Sweep() bool {
+	coldTable.mu.Lock()
+	defer coldTable.mu.Unlock()
+	now, before := coldTable.now(), len(coldTable.coldUntil)
+	for run, coldUntil := range coldTable.coldUntil {
+		if now >= coldUntil {
+			delete(coldTable.coldUntil, run)
 		}
 	}
-	return len(table.until) < before
+	return len(coldTable.coldUntil) < before
 }
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -86,7 +86,7 @@
 	rawVersion    atomic.Pointer[rawConfiguration]
 	drained       *drain.Table
 	servers       *roster.List
-	cold          *warmup.Table
+	cold          *warmup.ColdTable
 	view          *formation.View
 	former        *formation.Former
 	keeper        *tenure.Keeper
@@ -181,7 +181,7 @@
 		option(node)
 	}
 	node.storeCalls = store.NewCalls(store.Clock(node.now), store.Lost(node.storeLost), store.Returned(node.storeReturned), store.Hung(node.storeHung))
-	node.drained, node.cold = drain.New(drain.Clock(node.now)), warmup.NewTable(node.now)
+	node.drained, node.cold = drain.New(drain.Clock(node.now)), warmup.NewColdTable(node.now)
 	node.servers = roster.New(roster.Draining(func(id string, born int64) bool {
 		return node.notices.Draining(ratelimit.Run{Server: id, Born: born})
 	}))
--- a/internal/run/gateway/work.go
+++ b/internal/run/gateway/work.go
@@ -125,7 +125,7 @@
 
 // isCold says whether a server bears few requests as yet.
 func (node *Node) isCold(server *roster.Server) bool {
-	return node.cold.Cold(ratelimit.Run{Server: server.ID, Born: server.Born})
+	return node.cold.IsCold(ratelimit.Run{Server: server.ID, Born: server.Born})
 }
 
 func (node *Node) plainRows(servers []*roster.Server) []catalogue.Row {
