--- a/internal/policy/demand/demand.go
+++ b/internal/policy/demand/demand.go
@@ -1,19 +1,18 @@
-// Package demand counts what is asked of each pool: the streams requested, by rank of
-// urgency, and those refused for lack of a slot, as rates in requests a second.
+// Package demand measures the demand for each pool, in requests per second: the streams requested, by priority rank,
+// and the streams refused because no slot was free.
 //
-// A node counts its own streams. Sums over other nodes come over the tree of nodes, and the
-// rates of all nodes are those sums and the node's own rates, which are newer than what it
-// reported. Rates are averages that fade exponentially, so a node that stops asking is forgotten
-// without a message.
+// A node counts its own streams. The sums over other nodes arrive over the tree of nodes. The rates of all nodes are
+// these sums plus the node's own rates, which are newer than what the node reported. Rates are exponentially decaying
+// averages, so a node that stops sending requests drops out of the sums without a message.
 //
 // # Usage
 //
-//	held := demand.New(demand.Clock(clock.Boot))
-//	held.Asked("draft/large", rank)
-//	held.Refused("draft/large")
-//	report(held.Own())
-//	held.Take(others)
-//	rates, known := held.Rates("draft/large")
+//	tracker := demand.New(demand.Clock(clock.Boot))
+//	tracker.RecordRequest("draft/large", rank)
+//	tracker.RecordRefusal("draft/large")
+//	report(tracker.Local())
+//	tracker.SetRemote(others)
+//	rates, known := tracker.Rates("draft/large")
 package demand
 
 import (
@@ -26,114 +25,116 @@
 )
 
 const (
-	// Ranks is how many ranks of urgency are told apart, 0 for the most urgent.
+	// Ranks is the number of priority ranks; rank 0 is the most urgent.
 	Ranks = 12
-	// averagedOver is the time constant of the averages.
-	averagedOver = 250 * time.Millisecond
-	// least is the rate below which a pool's demand counts as none. One stream fades to it within two seconds.
-	least = 0.05
-	// step is what rates that are told are multiples of. As a power of two it keeps sums the same in
-	// whatever order they are added up.
-	step = 1.0 / 64
+	// timeConstant is the time constant of the averages.
+	timeConstant = 250 * time.Millisecond
+	// minRate is the rate below which a pool counts as having no demand. The rate of a single stream decays to it
+	// within two seconds.
+	minRate = 0.05
+	// rateStep is the unit to which reported rates are rounded. It is a power of two, so that a sum does not depend
+	// on the order of its addends.
+	rateStep = 1.0 / 64
 )
 
-// Rates is what is asked of a pool, in requests a second.
+// Rates is the demand for one pool, in requests per second.
 type Rates struct {
-	// Asked are the streams requested, by rank.
-	Asked [Ranks]float64
-	// Refused are the streams that were refused for lack of a slot.
+	// Requested is the rate of streams requested, by rank.
+	Requested [Ranks]float64
+	// Refused is the rate of streams that were refused because no slot was free.
 	Refused float64
 }
 
-// Sums are rates by pool.
-type Sums map[string]Rates
+// PoolRates holds rates by pool.
+type PoolRates map[string]Rates
 
-// Plus returns the sum of two rates.
+// Plus returns the sum of the rates and other.
 func (rates Rates) Plus(other Rates) Rates {
-	for rank := range rates.Asked {
-		rates.Asked[rank] += other.Asked[rank]
+	for rank := range rates.Requested {
+		rates.Requested[rank] += other.Requested[rank]
 	}
 	rates.Refused += other.Refused
 	return rates
 }
 
-// Minus returns the rates without a part of them, none below zero.
-func (rates Rates) Minus(part Rates) Rates {
-	for rank := range rates.Asked {
-		rates.Asked[rank] = max(0, rates.Asked[rank]-part.Asked[rank])
+// Minus returns the rates minus other, with no rate below zero.
+func (rates Rates) Minus(other Rates) Rates {
+	for rank := range rates.Requested {
+		rates.Requested[rank] = max(0, rates.Requested[rank]-other.Requested[rank])
 	}
-	rates.Refused = max(0, rates.Refused-part.Refused)
+	rates.Refused = max(0, rates.Refused-other.Refused)
 	return rates
 }
 
 // Times returns the rates multiplied by a factor.
 func (rates Rates) Times(factor float64) Rates {
-	for rank := range rates.Asked {
-		rates.Asked[rank] *= factor
+	for rank := range rates.Requested {
+		rates.Requested[rank] *= factor
 	}
 	rates.Refused *= factor
 	return rates
 }
 
-// rounded rounds the rates, and leaves out those that are too small to tell.
+// rounded returns the rates rounded to rateStep. Rates below minRate become zero.
 func (rates Rates) rounded() Rates {
-	for rank, asked := range rates.Asked {
-		rates.Asked[rank] = rounded(asked)
+	for rank, requested := range rates.Requested {
+		rates.Requested[rank] = roundRate(requested)
 	}
-	rates.Refused = rounded(rates.Refused)
+	rates.Refused = roundRate(rates.Refused)
 	return rates
 }
 
-func rounded(rate float64) float64 {
-	if rate < least {
+func roundRate(rate float64) float64 {
+	if rate < minRate {
 		return 0
 	}
-	return math.Round(rate/step) * step
+	return math.Round(rate/rateStep) * rateStep
 }
 
-// Hundredths encodes a rate that was told, without loss.
-func Hundredths(rate float64) uint32 {
+// EncodeRate encodes a rounded rate in hundredths, without loss.
+func EncodeRate(rate float64) uint32 {
 	return uint32(min(math.MaxUint32, math.Round(100*max(0, rate))))
 }
 
-// FromHundredths decodes a rate.
-func FromHundredths(told uint32) float64 {
-	return math.Round(float64(told)/100/step) * step
+// DecodeRate decodes a rate that was encoded by EncodeRate.
+func DecodeRate(encoded uint32) float64 {
+	return math.Round(float64(encoded)/100/rateStep) * rateStep
 }
 
-// counted is the average of one pool as of a time.
-type counted struct {
+// average holds the average rates of one pool at a point in time.
+type average struct {
 	rates Rates
 	at    time.Duration
 }
 
-// fade brings the average to a time.
-func (counted *counted) fade(now time.Duration) {
-	if now > counted.at {
-		counted.rates = counted.rates.Times(math.Exp(-float64(now-counted.at) / float64(averagedOver)))
-		counted.at = now
+// decayTo advances the average to the given time.
+func (average *average) decayTo(now time.Duration) {
+	if now > average.at {
+		average.rates = average.rates.Times(math.Exp(-float64(now-average.at) / float64(timeConstant)))
+		average.at = now
 	}
 }
 
-// Counts are counters that only grow.
+// Counts are monotonic counters.
 type Counts struct {
-	// Asked and Refused are this node's streams, Taken the sums of other nodes that were taken.
-	Asked, Refused, Taken atomic.Uint64
+	// Requested and Refused count streams of this node. RemoteUpdates counts the sums of other nodes that were
+	// received.
+	Requested, Refused, RemoteUpdates atomic.Uint64
 }
 
-// Demand holds what is asked of each pool.
+// Demand tracks the demand for each pool.
 type Demand struct {
 	Counts Counts
 
 	now clock.Now
 
-	mu  sync.Mutex
-	own map[string]*counted
-	// others is what other nodes are asked for, nil while that is not known.
-	others Sums
+	mu    sync.Mutex
+	local map[string]*average
+	// remote is the demand seen by all other nodes, or nil while it is unknown.
+	remote PoolRates
 }
 
-// Option changes how a Demand is built.
+// Option configures a Demand.
 type Option func(*Demand)
 
 // Clock sets the clock.
@@ -141,82 +142,82 @@
 	return func(demand *Demand) { demand.now = now }
 }
 
-// New returns a Demand that has counted nothing.
+// New returns a Demand without any recorded streams.
 func New(options ...Option) *Demand {
-	demand := &Demand{now: clock.Boot, own: map[string]*counted{}}
+	demand := &Demand{now: clock.Boot, local: map[string]*average{}}
 	for _, option := range options {
 		option(demand)
 	}
 	return demand
 }
 
-// each is what one stream adds to an average.
-const each = float64(time.Second) / float64(averagedOver)
+// perRequest is what one stream adds to an average.
+const perRequest = float64(time.Second) / float64(timeConstant)
 
-// Asked counts a stream that was requested of a pool. It is called once for each request.
-func (demand *Demand) Asked(pool string, rank int) {
-	demand.Counts.Asked.Add(1)
+// RecordRequest counts a stream that was requested from a pool. It is called once for each request.
+func (demand *Demand) RecordRequest(pool string, rank int) {
+	demand.Counts.Requested.Add(1)
 	demand.mu.Lock()
 	defer demand.mu.Unlock()
-	demand.fadedLocked(pool).rates.Asked[min(max(0, rank), Ranks-1)] += each
+	demand.decayedLocked(pool).rates.Requested[min(max(0, rank), Ranks-1)] += perRequest
 }
 
-// Refused counts a stream that was refused since its pool had no slot for it.
-func (demand *Demand) Refused(pool string) {
+// RecordRefusal counts a stream that was refused because its pool had no free slot.
+func (demand *Demand) RecordRefusal(pool string) {
 	demand.Counts.Refused.Add(1)
 	demand.mu.Lock()
 	defer demand.mu.Unlock()
-	demand.fadedLocked(pool).rates.Refused += each
+	demand.decayedLocked(pool).rates.Refused += perRequest
 }
 
-func (demand *Demand) fadedLocked(pool string) *counted {
+func (demand *Demand) decayedLocked(pool string) *average {
 	now := demand.now()
-	held := demand.own[pool]
-	if held == nil {
-		held = &counted{at: now}
-		demand.own[pool] = held
+	entry := demand.local[pool]
+	if entry == nil {
+		entry = &average{at: now}
+		demand.local[pool] = entry
 	}
-	held.fade(now)
-	return held
+	entry.decayTo(now)
+	return entry
 }
 
-// Own returns what this node is asked for, without rates that are too small to tell, and
-// forgets pools that nothing is asked of any more.
-func (demand *Demand) Own() Sums {
+// Local returns the demand seen by this node, without rates below minRate. It forgets the pools that have no demand
+// left.
+func (demand *Demand) Local() PoolRates {
 	demand.mu.Lock()
 	defer demand.mu.Unlock()
 	now := demand.now()
-	sums := Sums{}
-	for pool, held := range demand.own {
-		held.fade(now)
-		if rates := held.rates.rounded(); rates != (Rates{}) {
-			sums[pool] = rates
+	poolRates := PoolRates{}
+	for pool, entry := range demand.local {
+		entry.decayTo(now)
+		if rates := entry.rates.rounded(); rates != (Rates{}) {
+			poolRates[pool] = rates
 			continue
 		}
-		delete(demand.own, pool)
+		delete(demand.local, pool)
 	}
-	return sums
+	return poolRates
 }
 
-// Take takes what all other nodes together are asked for, which replaces what was taken
-// before; nil means that it is not known. The sums must not be changed afterwards.
-func (demand *Demand) Take(others Sums) {
-	if others != nil {
-		demand.Counts.Taken.Add(1)
+// SetRemote sets the demand seen by all other nodes together, which replaces the previous value; nil means unknown.
+// The caller must not modify remote afterwards.
+func (demand *Demand) SetRemote(remote PoolRates) {
+	if remote != nil {
+		demand.Counts.RemoteUpdates.Add(1)
 	}
 	demand.mu.Lock()
 	defer demand.mu.Unlock()
-	demand.others = others
+	demand.remote = remote
 }
 
-// Rates returns what all nodes together are asked for of a pool. While that of other nodes
-// is not known, it is this node's own.
+// Rates returns the demand for a pool seen by all nodes. While the demand seen by other nodes is unknown, it returns
+// that of this node only.
 func (demand *Demand) Rates(pool string) (rates Rates, known bool) {
 	demand.mu.Lock()
 	defer demand.mu.Unlock()
-	if held := demand.own[pool]; held != nil {
-		held.fade(demand.now())
-		rates = held.rates
+	if entry := demand.local[pool]; entry != nil {
+		entry.decayTo(demand.now())
+		rates = entry.rates
 	}
-	return rates.Plus(demand.others[pool]), demand.others != nil
+	return rates.Plus(demand.remote[pool]), demand.remote != nil
 }
--- a/internal/policy/dispatch/burst_test.go
+++ b/internal/policy/dispatch/burst_test.go
@@ -163,14 +163,14 @@
 	if !model.told {
 		return
 	}
-	owns, sum := make([]demand.Sums, len(model.demands)), demand.Sums{}
+	owns, sum := make([]demand.PoolRates, len(model.demands)), demand.PoolRates{}
 	for number, held := range model.demands {
-		owns[number] = held.Own()
+		owns[number] = held.Local()
 		sum.Add(owns[number])
 	}
 	model.after(model.delay, func() {
 		for number, held := range model.demands {
-			held.Take(sum.Less(owns[number]))
+			held.SetRemote(sum.Subtract(owns[number]))
 		}
 	})
 }
--- a/internal/policy/dispatch/shedding.go
+++ b/internal/policy/dispatch/shedding.go
@@ -85,13 +85,13 @@
 		rates = rates.Times(float64(max(1, board.counted())))
 	}
 	overload := Overload{Capacity: board.capacity(filled.targets, board.now(), &wish)}
-	for number, rate := range rates.Asked {
+	for number, rate := range rates.Requested {
 		overload.Asked += rate
 		if number < rank {
 			overload.Before += rate
 		}
 	}
-	part := admitted(rates.Asked, rank, overload.Capacity)
+	part := admitted(rates.Requested, rank, overload.Capacity)
 	return overload, part < 1 && float64(board.random(draws))/draws >= part
 }
 
@@ -100,10 +100,10 @@
 
 // Asked counts a call of a rank that a pool is asked for.
 func (board *Board) Asked(name string, rank int) {
-	board.demand.Asked(name, rank)
+	board.demand.RecordRequest(name, rank)
 }
 
 // Refused counts a call that was refused since its pool had no slot for it.
 func (board *Board) Refused(name string) {
-	board.demand.Refused(name)
+	board.demand.RecordRefusal(name)
 }
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -120,10 +120,10 @@
 	told := &frame.Frame{}
 	permits := peers.addPermits(told, channel)
 	paces := peers.addPaces(told, channel)
-	asked := peers.node.demand.Own()
+	asked := peers.node.demand.Local()
 	lost := peers.lostFor(channel.link)
 	same = same && slices.Equal(lost, channel.toldLost)
-	news := len(channel.silences)+len(channel.suspects)+len(channel.notices) > 0 || asked.News(channel.demands.reported)
+	news := len(channel.silences)+len(channel.suspects)+len(channel.notices) > 0 || asked.DiffersFrom(channel.demands.reported)
 	if optional && same && !permits && !paces && !news {
 		return nil
 	}
--- a/internal/run/gateway/demands.go
+++ b/internal/run/gateway/demands.go
@@ -10,27 +10,27 @@
 	// reports are what this node reported, by the sequence numbers of its frames, and
 	// reported is the last of them.
 	reports  demand.Reports
-	reported demand.Sums
+	reported demand.PoolRates
 	// sums are what the other side speaks for; from the node above they are those of all
 	// other nodes.
-	sums demand.Sums
+	sums demand.PoolRates
 }
 
 // demandSums are added up over nodes as the sums of loads are.
 type demandSums struct {
-	own, inside, others demand.Sums
+	own, inside, others demand.PoolRates
 }
 
 // everywhere is the demand of all nodes.
-func (sums *demandSums) everywhere() demand.Sums {
-	all := demand.Sums{}
+func (sums *demandSums) everywhere() demand.PoolRates {
+	all := demand.PoolRates{}
 	all.Add(sums.own)
 	all.Add(sums.others)
 	return all
 }
 
 func (peers *peers) demandSumsLocked() demandSums {
-	added := demandSums{own: peers.node.demand.Own(), inside: demand.Sums{}, others: demand.Sums{}}
+	added := demandSums{own: peers.node.demand.Local(), inside: demand.PoolRates{}, others: demand.PoolRates{}}
 	added.inside.Add(added.own)
 	for link, channel := range peers.channels {
 		added.others.Add(channel.demands.sums)
@@ -53,7 +53,7 @@
 }
 
 // reportDemands tells the node above what this leaf is asked for.
-func (peers *peers) reportDemands(told *frame.Frame, channel *channel, own demand.Sums) {
+func (peers *peers) reportDemands(told *frame.Frame, channel *channel, own demand.PoolRates) {
 	channel.demands.reported = own
 	channel.demands.reports.Add(told.Sequence, own)
 	told.Demands = demandsToWire(own)
@@ -63,7 +63,7 @@
 // changes with it when it has changed enough to be told on its own.
 func (peers *peers) leafDemands(sums *demandSums) (told []*frame.PoolDemand, news uint64) {
 	all := sums.everywhere()
-	if all.News(peers.toldDemands) {
+	if all.DiffersFrom(peers.toldDemands) {
 		peers.toldDemands = all
 		peers.leafDemandNews++
 	}
@@ -78,12 +78,12 @@
 		channel.demands.sums = sums
 		return
 	}
-	own, remembered := channel.demands.reports.At(received.Included)
+	own, remembered := channel.demands.reports.Get(received.Included)
 	if !remembered {
 		// The part of this node in the sums is not known, so the sums of an earlier frame stay.
 		return
 	}
-	channel.demands.sums = sums.Less(own)
+	channel.demands.sums = sums.Subtract(own)
 	if !core(channel.link) && peers.overlay.Upstream() == channel.link {
 		// A leaf that is told of no demand at all is attached to a node that has only just started: its own
 		// rates and the number of nodes are the better guess.
@@ -91,7 +91,7 @@
 		if len(sums) == 0 {
 			others = nil
 		}
-		peers.node.demand.Take(others)
+		peers.node.demand.SetRemote(others)
 	}
 }
 
@@ -101,28 +101,28 @@
 	peers.mu.Lock()
 	others := peers.sumsLocked().demands.others
 	peers.mu.Unlock()
-	peers.node.demand.Take(others)
+	peers.node.demand.SetRemote(others)
 }
 
-func demandsToWire(sums demand.Sums) []*frame.PoolDemand {
+func demandsToWire(sums demand.PoolRates) []*frame.PoolDemand {
 	told := make([]*frame.PoolDemand, 0, len(sums))
 	for _, pool := range sums.Pools() {
 		rates := sums[pool]
-		one := &frame.PoolDemand{Pool: pool, Refused: demand.Hundredths(rates.Refused)}
-		for _, asked := range rates.Trimmed() {
-			one.Asked = append(one.Asked, demand.Hundredths(asked))
+		one := &frame.PoolDemand{Pool: pool, Refused: demand.EncodeRate(rates.Refused)}
+		for _, asked := range rates.RequestedByRank() {
+			one.Asked = append(one.Asked, demand.EncodeRate(asked))
 		}
 		told = append(told, one)
 	}
 	return told
 }
 
-func demandsFromWire(told []*frame.PoolDemand) demand.Sums {
-	sums := make(demand.Sums, len(told))
+func demandsFromWire(told []*frame.PoolDemand) demand.PoolRates {
+	sums := make(demand.PoolRates, len(told))
 	for _, one := range told {
-		rates := demand.Rates{Refused: demand.FromHundredths(one.Refused)}
+		rates := demand.Rates{Refused: demand.DecodeRate(one.Refused)}
 		for rank, asked := range one.Asked {
-			rates.Asked[min(rank, demand.Ranks-1)] += demand.FromHundredths(asked)
+			rates.Requested[min(rank, demand.Ranks-1)] += demand.DecodeRate(asked)
 		}
 		sums[one.Pool] = rates
 	}
--- a/internal/run/gateway/demands_test.go
+++ b/internal/run/gateway/demands_test.go
@@ -112,7 +112,7 @@
 func (tree *demandTree) knows(node int) float64 {
 	peers := tree.nodes[node].peers
 	sums := peers.demandSumsLocked()
-	return sums.everywhere()[demandPool].Asked[0]
+	return sums.everywhere()[demandPool].Requested[0]
 }
 
 // asked is what one stream adds to a rate that is averaged over a quarter of a second.
@@ -129,7 +129,7 @@
 			from := rapid.IntRange(0, 1).Draw(check, "from")
 			switch rapid.SampledFrom([]string{"ask", "send", "send", "deliver", "deliver"}).Draw(check, "step") {
 			case "ask":
-				link[from].peers.node.demand.Asked(demandPool, 0)
+				link[from].peers.node.demand.RecordRequest(demandPool, 0)
 				total += asked
 			case "send":
 				link[from].send()
@@ -164,7 +164,7 @@
 	tree := newDemandTree(t)
 	for node := range tree.nodes {
 		for range node + 1 {
-			tree.nodes[node].demand.Asked(demandPool, 0)
+			tree.nodes[node].demand.RecordRequest(demandPool, 0)
 		}
 	}
 	tree.settle()
@@ -194,7 +194,7 @@
 	expect.Expect(node.peers.reportFrame(channel, false)).NotTo(gomega.BeNil())
 	expect.Expect(node.peers.reportFrame(channel, true)).To(gomega.BeNil())
 	for range 10 {
-		node.demand.Asked(demandPool, 0)
+		node.demand.RecordRequest(demandPool, 0)
 	}
 	told := node.peers.reportFrame(channel, true)
 	expect.Expect(told.GetDemands()).To(gomega.HaveLen(1))
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -152,7 +152,7 @@
 		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesTaken.Load(), "FrameBytesSent": links.BytesSent.Load(),
 		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.newsLearnt.Load(),
 		"MemoryHeld": uint64(held), "MemoryMost": uint64(most), "MemoryRefused": refused,
-		"DemandAsked": node.demand.Counts.Asked.Load(), "DemandRefused": node.demand.Counts.Refused.Load(), "DemandTaken": node.demand.Counts.Taken.Load(),
+		"DemandAsked": node.demand.Counts.Requested.Load(), "DemandRefused": node.demand.Counts.Refused.Load(), "DemandTaken": node.demand.Counts.RemoteUpdates.Load(),
 		"WaysLost": node.waysLost.Load(), "DetoursSent": node.forwarder.Counts.DetoursSent.Load(),
 		"DetoursTaken": node.forwarder.Counts.DetoursTaken.Load(), "DetoursRefused": node.forwarder.Counts.DetoursRefused.Load(),
 		"Goroutines": uint64(runtime.NumGoroutine()),
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -155,7 +155,7 @@
 	encoded       *leafFrame
 	// toldDemands are those of all nodes when they were last news to leaves, leafDemandNews counts
 	// how often they were.
-	toldDemands    demand.Sums
+	toldDemands    demand.PoolRates
 	leafDemandNews uint64
 	holder         holder
 	// ownTerm is the last under which this node gave orders.
--- a/internal/serve/forward/demand_test.go
+++ b/internal/serve/forward/demand_test.go
@@ -32,11 +32,11 @@
 	_, shed := exchange.sheds()
 	expect.Expect(shed).To(gomega.BeFalse())
 	exchange.noSlot(nil, dispatch.None)
-	expect.Expect(held.Counts.Asked.Load()).To(gomega.BeNumerically("==", 1))
+	expect.Expect(held.Counts.Requested.Load()).To(gomega.BeNumerically("==", 1))
 	expect.Expect(held.Counts.Refused.Load()).To(gomega.BeNumerically("==", 1))
 	rates, _ := held.Rates("drafts/large")
 	expect.Expect(rates.Refused).To(gomega.BeNumerically(">", 0))
-	expect.Expect(rates.Asked[rankFresh]).To(gomega.BeNumerically(">", 0))
+	expect.Expect(rates.Requested[rankFresh]).To(gomega.BeNumerically(">", 0))
 }
 
 // Guards against memory and frames that grow with the names of models that callers make up.
@@ -46,5 +46,5 @@
 	_, shed := exchange.sheds()
 	expect.Expect(shed).To(gomega.BeFalse())
 	exchange.noSlot(nil, dispatch.None)
-	expect.Expect(held.Own()).To(gomega.BeEmpty())
+	expect.Expect(held.Local()).To(gomega.BeEmpty())
 }
