--- a/internal/policy/memory/memory.go
+++ b/internal/policy/memory/memory.go
@@ -1,23 +1,23 @@
-// Package memory is a node's budget of bytes for what it buffers between callers and
-// servers: request bodies, plain answers, and events that are not whole yet.
+// Package memory implements a node's byte budget for data buffered between callers and servers: request bodies, plain
+// responses, and incomplete events.
 //
-// The budget is shared by workspaces with a dynamic threshold: a workspace may be granted
-// bytes as long as it then holds no more than what is left free. One workspace alone gets
-// half of the budget at the most, k greedy ones get 1/(k+1) each, and as much stays free
-// for the small requests of all others. Nothing that was granted is taken back.
+// Workspaces share the budget with a dynamic threshold: a workspace is granted more bytes as long as its total does
+// not exceed what is then left free. A single workspace gets at most half of the budget. With k workspaces that
+// request as much as they can, each gets 1/(k+1), and the same amount stays free for small requests of all others.
+// Granted bytes are never revoked.
 //
-// Bytes of a stream that was begun are counted with Take whether they fit or not, since
-// such a stream is never given up; they leave less for what can still be refused.
+// Bytes of a stream that has begun are counted with ForceGrow whether they fit or not, since such a stream is never
+// aborted. They reduce what is left for requests that can still be refused.
 //
 // The package starts no goroutines and reads no clock.
 //
 // # Usage
 //
-//	budget := memory.New(memory.Part(limit))
-//	hold := budget.Hold("acme", false)
-//	defer hold.Release()
-//	if !hold.Grow(int64(len(body))) {
-//		hold.Refuse()
+//	budget := memory.New(memory.BudgetFor(limit))
+//	reservation := budget.NewReservation("acme", false)
+//	defer reservation.Release()
+//	if !reservation.Grow(int64(len(body))) {
+//		reservation.RecordRefusal()
 //	}
 package memory
 
@@ -28,224 +28,222 @@
 	"time"
 )
 
-// part is the part of the process's memory limit that the budget is, as a divisor. The
-// rest is for the heap's garbage, which may be half as much as what is live, for stacks,
-// connections, and what the node knows of the fleet.
-const part = 4
+// budgetDivisor is the ratio of the process's memory limit to the budget. The rest is for heap garbage, which may be
+// half as large as the live heap, for stacks and connections, and for the node's data about the fleet.
+const budgetDivisor = 4
 
-// Part returns the budget of a process with a memory limit; 0 is no bound.
-func Part(limit int64) int64 {
-	return max(0, limit) / part
+// BudgetFor returns the budget of a process with the given memory limit; 0 means unlimited.
+func BudgetFor(limit int64) int64 {
+	return max(0, limit) / budgetDivisor
 }
 
 const (
-	// accountsKept bounds the workspaces of which refusals are remembered while they hold
-	// nothing.
-	accountsKept = 256
-	// statesShown bounds the workspaces in the state dump.
-	statesShown = 16
-	// tellPause is the least time between two log lines on refusals.
-	tellPause = 10 * time.Second
+	// maxAccounts bounds the workspaces whose refusals are remembered while they hold no bytes.
+	maxAccounts = 256
+	// maxStateWorkspaces bounds the workspaces in the state dump.
+	maxStateWorkspaces = 16
+	// logInterval is the least time between two log lines about refusals.
+	logInterval = 10 * time.Second
 )
 
-// account is what one workspace holds.
+// account holds the reserved bytes and the refusals of one workspace.
 type account struct {
-	held    int64
-	refused uint64
+	reserved int64
+	refused  uint64
 }
 
-// Budget counts bytes. Use New.
+// Budget tracks the reserved bytes of all workspaces. Use New to create one.
 type Budget struct {
-	bytes int64
+	size int64
 
-	mu       sync.Mutex
-	held     int64
-	most     int64
-	refused  uint64
-	accounts map[string]account
-	told     uint64
-	toldAt   time.Duration
+	mu             sync.Mutex
+	reserved       int64
+	peak           int64
+	refused        uint64
+	accounts       map[string]account
+	refusalsLogged uint64
+	loggedAt       time.Duration
 }
 
-// New returns a budget of so many bytes; 0 is without bound.
+// New returns a budget of the given number of bytes; 0 means unlimited.
 func New(bytes int64) *Budget {
-	return &Budget{bytes: max(0, bytes), accounts: map[string]account{}}
+	return &Budget{size: max(0, bytes), accounts: map[string]account{}}
 }
 
-// Bounded says whether anything can be refused.
-func (budget *Budget) Bounded() bool {
-	return budget.bytes > 0
+// Limited reports whether the budget has a limit, so that requests can be refused.
+func (budget *Budget) Limited() bool {
+	return budget.size > 0
 }
 
-// Hold returns a hold of nothing yet. Alone says that no other workspace can ask this node
-// for anything, so that the whole budget may be granted to the one.
-func (budget *Budget) Hold(workspace string, alone bool) Hold {
-	return Hold{budget: budget, workspace: workspace, alone: alone}
+// NewReservation returns an empty reservation. Set exclusive if no other workspace can send requests to this node;
+// the whole budget may then be granted to this one.
+func (budget *Budget) NewReservation(workspace string, exclusive bool) Reservation {
+	return Reservation{budget: budget, workspace: workspace, exclusive: exclusive}
 }
 
-// Hold is what one request holds. It is used by one goroutine at a time.
-type Hold struct {
+// Reservation holds the reserved bytes of one request. It is not safe for concurrent use.
+type Reservation struct {
 	budget    *Budget
 	workspace string
-	alone     bool
+	exclusive bool
 	bytes     int64
 }
 
-// Bytes returns how many bytes are held.
-func (hold *Hold) Bytes() int64 {
-	return hold.bytes
+// Bytes returns the number of reserved bytes.
+func (reservation *Reservation) Bytes() int64 {
+	return reservation.bytes
 }
 
-// Grow asks for more bytes and says whether they were granted.
-func (hold *Hold) Grow(bytes int64) bool {
-	budget := hold.budget
+// Grow tries to reserve more bytes, and reports whether they were granted.
+func (reservation *Reservation) Grow(bytes int64) bool {
+	budget := reservation.budget
 	if budget == nil || bytes <= 0 {
 		return true
 	}
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
-	if !budget.fitsLocked(hold, bytes) {
+	if !budget.fitsLocked(reservation, bytes) {
 		return false
 	}
-	budget.addLocked(hold, bytes)
+	budget.addLocked(reservation, bytes)
 	return true
 }
 
-// fitsLocked says whether the workspace would hold no more than what is left free.
-func (budget *Budget) fitsLocked(hold *Hold, bytes int64) bool {
-	if budget.bytes == 0 {
+// fitsLocked reports whether the workspace would hold no more bytes than would be left free.
+func (budget *Budget) fitsLocked(reservation *Reservation, bytes int64) bool {
+	if budget.size == 0 {
 		return true
 	}
-	free := budget.bytes - budget.held - bytes
-	if hold.alone {
+	free := budget.size - budget.reserved - bytes
+	if reservation.exclusive {
 		return free >= 0
 	}
-	return budget.accounts[hold.workspace].held+bytes <= free
+	return budget.accounts[reservation.workspace].reserved+bytes <= free
 }
 
-// Take counts more bytes whether they fit or not.
-func (hold *Hold) Take(bytes int64) {
-	budget := hold.budget
+// ForceGrow reserves more bytes whether they fit or not.
+func (reservation *Reservation) ForceGrow(bytes int64) {
+	budget := reservation.budget
 	if budget == nil || bytes <= 0 {
 		return
 	}
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
-	budget.addLocked(hold, bytes)
+	budget.addLocked(reservation, bytes)
 }
 
-func (budget *Budget) addLocked(hold *Hold, bytes int64) {
-	account := budget.accounts[hold.workspace]
-	account.held += bytes
-	budget.accounts[hold.workspace] = account
-	hold.bytes += bytes
-	budget.held += bytes
-	budget.most = max(budget.most, budget.held)
+func (budget *Budget) addLocked(reservation *Reservation, bytes int64) {
+	account := budget.accounts[reservation.workspace]
+	account.reserved += bytes
+	budget.accounts[reservation.workspace] = account
+	reservation.bytes += bytes
+	budget.reserved += bytes
+	budget.peak = max(budget.peak, budget.reserved)
 }
 
-// Shrink gives some bytes back, at the most those that are held.
-func (hold *Hold) Shrink(bytes int64) {
-	budget := hold.budget
-	bytes = min(bytes, hold.bytes)
+// Shrink returns bytes to the budget, at most as many as are reserved.
+func (reservation *Reservation) Shrink(bytes int64) {
+	budget := reservation.budget
+	bytes = min(bytes, reservation.bytes)
 	if budget == nil || bytes <= 0 {
 		return
 	}
-	hold.bytes -= bytes
+	reservation.bytes -= bytes
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
-	budget.held -= bytes
-	account := budget.accounts[hold.workspace]
-	account.held -= bytes
-	if account.held == 0 && (account.refused == 0 || len(budget.accounts) > accountsKept) {
-		delete(budget.accounts, hold.workspace)
+	budget.reserved -= bytes
+	account := budget.accounts[reservation.workspace]
+	account.reserved -= bytes
+	if account.reserved == 0 && (account.refused == 0 || len(budget.accounts) > maxAccounts) {
+		delete(budget.accounts, reservation.workspace)
 		return
 	}
-	budget.accounts[hold.workspace] = account
+	budget.accounts[reservation.workspace] = account
 }
 
-// Release gives everything back.
-func (hold *Hold) Release() {
-	hold.Shrink(hold.bytes)
+// Release returns all reserved bytes to the budget.
+func (reservation *Reservation) Release() {
+	reservation.Shrink(reservation.bytes)
 }
 
-// Refuse counts a request that was refused since it did not fit.
-func (hold *Hold) Refuse() {
-	budget := hold.budget
+// RecordRefusal counts a request that was refused because it did not fit.
+func (reservation *Reservation) RecordRefusal() {
+	budget := reservation.budget
 	if budget == nil {
 		return
 	}
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
 	budget.refused++
-	account, known := budget.accounts[hold.workspace]
-	if !known && len(budget.accounts) >= accountsKept {
+	account, known := budget.accounts[reservation.workspace]
+	if !known && len(budget.accounts) >= maxAccounts {
 		return
 	}
 	account.refused++
-	budget.accounts[hold.workspace] = account
+	budget.accounts[reservation.workspace] = account
 }
 
-// Refusals is what the log tells of requests that were refused.
-type Refusals struct {
-	// Refused is how many were since the last line.
-	Refused uint64
-	Held    int64
-	Bytes   int64
+// RefusalSummary summarizes refused requests for the log.
+type RefusalSummary struct {
+	// Refused is the number of refusals since the last log line.
+	Refused     uint64
+	Reserved    int64
+	BudgetBytes int64
 }
 
-// Tell returns what the log should tell at a time, and whether a line is due: one for all
-// refusals of some seconds.
-func (budget *Budget) Tell(now time.Duration) (Refusals, bool) {
+// RefusalsToLog returns the summary to log, and whether a log line is due. One line covers all refusals within
+// logInterval.
+func (budget *Budget) RefusalsToLog(now time.Duration) (RefusalSummary, bool) {
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
-	if budget.refused == budget.told || (budget.told > 0 && now-budget.toldAt < tellPause) {
-		return Refusals{}, false
+	if budget.refused == budget.refusalsLogged || (budget.refusalsLogged > 0 && now-budget.loggedAt < logInterval) {
+		return RefusalSummary{}, false
 	}
-	refusals := Refusals{Refused: budget.refused - budget.told, Held: budget.held, Bytes: budget.bytes}
-	budget.told, budget.toldAt = budget.refused, now
-	return refusals, true
+	summary := RefusalSummary{Refused: budget.refused - budget.refusalsLogged, Reserved: budget.reserved, BudgetBytes: budget.size}
+	budget.refusalsLogged, budget.loggedAt = budget.refused, now
+	return summary, true
 }
 
-// State is the budget for the state dump.
+// State is the state of the budget in the state dump.
 type State struct {
-	// Bytes is the budget, 0 without bound.
+	// Bytes is the size of the budget, 0 if unlimited.
 	Bytes int64
 	Held  int64
-	// Most is the most that was held at once.
+	// Most is the highest number of bytes reserved at any time.
 	Most    int64
 	Refused uint64
-	// Workspaces are those that hold most; Others is how many more hold something or were
-	// refused.
+	// Workspaces lists the workspaces with the most reserved bytes. Others is how many more workspaces have reserved
+	// bytes or refusals.
 	Workspaces []WorkspaceState
 	Others     int
 }
 
-// WorkspaceState is what one workspace holds.
+// WorkspaceState is the state of one workspace.
 type WorkspaceState struct {
 	Workspace string
 	Held      int64
 	Refused   uint64
 }
 
-// Sums returns what is held, the most that was, and how many requests were refused.
-func (budget *Budget) Sums() (held, most int64, refused uint64) {
+// Totals returns the bytes reserved now, their peak, and the number of refused requests.
+func (budget *Budget) Totals() (reserved, peak int64, refused uint64) {
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
-	return budget.held, budget.most, budget.refused
+	return budget.reserved, budget.peak, budget.refused
 }
 
-// State returns the budget's state.
+// State returns the state of the budget.
 func (budget *Budget) State() State {
 	budget.mu.Lock()
-	state := State{Bytes: budget.bytes, Held: budget.held, Most: budget.most, Refused: budget.refused, Workspaces: make([]WorkspaceState, 0, len(budget.accounts))}
+	state := State{Bytes: budget.size, Held: budget.reserved, Most: budget.peak, Refused: budget.refused, Workspaces: make([]WorkspaceState, 0, len(budget.accounts))}
 	for workspace, account := range budget.accounts {
-		state.Workspaces = append(state.Workspaces, WorkspaceState{Workspace: workspace, Held: account.held, Refused: account.refused})
+		state.Workspaces = append(state.Workspaces, WorkspaceState{Workspace: workspace, Held: account.reserved, Refused: account.refused})
 	}
 	budget.mu.Unlock()
 	slices.SortFunc(state.Workspaces, func(one, other WorkspaceState) int {
 		return cmp.Or(cmp.Compare(other.Held, one.Held), cmp.Compare(other.Refused, one.Refused), cmp.Compare(one.Workspace, other.Workspace))
 	})
-	if shown := min(statesShown, len(state.Workspaces)); shown < len(state.Workspaces) {
+	if shown := min(maxStateWorkspaces, len(state.Workspaces)); shown < len(state.Workspaces) {
 		state.Others = len(state.Workspaces) - shown
 		state.Workspaces = state.Workspaces[:shown]
 	}
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -176,7 +176,7 @@
 		dirty: make(chan struct{}, 1), known: make(chan struct{}), suspectsNews: make(chan struct{}, 1), measures: newMeasures(), relays: tree.Relays,
 	}
 	node.services.Store(&engineServices{version: -1})
-	node.memory = memory.New(memory.Part(settings.Limits.MemoryBytes))
+	node.memory = memory.New(memory.BudgetFor(settings.Limits.MemoryBytes))
 	for _, option := range options {
 		option(node)
 	}
@@ -270,7 +270,7 @@
 		node.detours.listener = listener
 		node.detours.served = &http.Server{Handler: node.forwarder.Inward(), ReadHeaderTimeout: headerTimeout, IdleTimeout: detourIdle, ErrorLog: silent()}
 	}
-	if node.memory.Bounded() {
+	if node.memory.Limited() {
 		node.listeners[0] = boundCallers(node.listeners[0])
 		if node.detours.enabled() {
 			node.detours.listener = boundCallers(node.detours.listener)
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -134,7 +134,7 @@
 func (node *Node) counters() map[string]uint64 {
 	formed, calls, links := &node.former.Counts, &node.pool.Counts, &node.peers.overlay.Counts
 	paces := &node.board.PaceCounts
-	held, most, refused := node.memory.Sums()
+	held, most, refused := node.memory.Totals()
 	return map[string]uint64{
 		"Requests": node.forwarder.Counts.Requests.Load(), "Repeats": node.forwarder.Counts.Repeats.Load(),
 		"Quarantined": node.forwarder.Counts.Quarantined.Load(), "ServerEnds": node.forwarder.Counts.ServerEnds.Load(),
--- a/internal/serve/forward/body.go
+++ b/internal/serve/forward/body.go
@@ -41,7 +41,7 @@
 		exchange.deny(http.StatusRequestEntityTooLarge, Malformed, "the body is too long")
 		return false
 	}
-	exchange.held = exchange.forwarder.Memory.Hold(exchange.workspace, exchange.alone())
+	exchange.held = exchange.forwarder.Memory.NewReservation(exchange.workspace, exchange.alone())
 	body, err := exchange.takeBody(most)
 	switch {
 	case errors.Is(err, errNoRoom):
@@ -74,7 +74,7 @@
 	if exchange.inbound.ContentLength == 0 {
 		return nil, nil
 	}
-	if !exchange.forwarder.Memory.Bounded() {
+	if !exchange.forwarder.Memory.Limited() {
 		return readWithin(exchange.inbound.Body, exchange.inbound.ContentLength, most, &exchange.held)
 	}
 	// A writer without deadlines, of a test, is read without one.
@@ -100,11 +100,11 @@
 // refuseBody refuses a request whose body doesn't fit, and reads it no further.
 func (exchange *exchange) refuseBody() {
 	forwarder := exchange.forwarder
-	exchange.held.Refuse()
+	exchange.held.RecordRefusal()
 	exchange.held.Release()
-	if refusals, due := forwarder.Memory.Tell(forwarder.Now()); due {
+	if refusals, due := forwarder.Memory.RefusalsToLog(forwarder.Now()); due {
 		forwarder.Logger.LogAttrs(exchange.inbound.Context(), slog.LevelWarn, "forward: bodies were refused for lack of memory.",
-			slog.Uint64("Refused", refusals.Refused), slog.Int64("HeldBytes", refusals.Held), slog.Int64("BudgetBytes", refusals.Bytes),
+			slog.Uint64("Refused", refusals.Refused), slog.Int64("HeldBytes", refusals.Reserved), slog.Int64("BudgetBytes", refusals.BudgetBytes),
 			slog.String("Workspace", exchange.workspace), slog.String("RequestID", exchange.request.ID))
 	}
 	exchange.closeUnread()
@@ -120,7 +120,7 @@
 
 // readWithin reads to the end, and counts the buffer before it is made. What was read so far is
 // returned with any error.
-func readWithin(from io.Reader, length, most int64, hold *memory.Hold) ([]byte, error) {
+func readWithin(from io.Reader, length, most int64, hold *memory.Reservation) ([]byte, error) {
 	if length > most {
 		return nil, errTooLong
 	}
--- a/internal/serve/forward/exchange.go
+++ b/internal/serve/forward/exchange.go
@@ -47,7 +47,7 @@
 	budget     *retry.Window
 	// held is what the request holds of the node's memory, bodyHeld the part of it that is
 	// the request's body.
-	held     memory.Hold
+	held     memory.Reservation
 	bodyHeld int64
 	// begun says that the head of the answer was written.
 	begun bool
--- a/internal/serve/forward/memory_test.go
+++ b/internal/serve/forward/memory_test.go
@@ -74,7 +74,7 @@
 		for _, answered := range small {
 			expect.Expect(answered.status).To(gomega.Equal(http.StatusOK))
 		}
-		held, most, refused := rig.memory.Sums()
+		held, most, refused := rig.memory.Totals()
 		expect.Expect(held).To(gomega.BeZero())
 		expect.Expect(most).To(gomega.BeNumerically("<=", budget))
 		expect.Expect(refused).To(gomega.Equal(uint64(40 - served)))
@@ -162,7 +162,7 @@
 		go func() { answers <- rig.ask(request) }()
 		_, _ = io.WriteString(rest, "some")
 		time.Sleep(time.Second)
-		held, _, _ := rig.memory.Sums()
+		held, _, _ := rig.memory.Totals()
 		expect.Expect(held).To(gomega.BeNumerically(">=", megabyte))
 		got := <-answers
 		_ = rest.Close()
@@ -196,7 +196,7 @@
 				expect.Expect(err).NotTo(gomega.HaveOccurred())
 				expect.Expect(response.StatusCode).To(gomega.Equal(http.StatusOK))
 				expect.Expect(len(body)).To(gomega.Equal(length))
-				_, most, refused := rig.memory.Sums()
+				_, most, refused := rig.memory.Totals()
 				expect.Expect(most).To(gomega.BeNumerically("<=", budget))
 				expect.Expect(refused).To(gomega.BeZero())
 				expect.Expect(rig.outcome(forward.Answered)).To(gomega.Equal(1))
@@ -271,7 +271,7 @@
 		_, _ = io.WriteString(conn, "POST /draft/1 HTTP/1.1\r\nHost: h.example\r\nId: a\r\nKey: key-0\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(4 * time.Second)
 		expect.Expect(written.Load()).To(gomega.BeNumerically("<", 32<<10))
-		held, most, _ := rig.memory.Sums()
+		held, most, _ := rig.memory.Totals()
 		expect.Expect(held).To(gomega.BeNumerically(">", 0), "what is pending is counted")
 		expect.Expect(most).To(gomega.BeNumerically("<", 32<<10))
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -355,7 +355,7 @@
 			}
 			calls.Wait()
 			held := rig.end()
-			_, _, refused := rig.memory.Sums()
+			_, _, refused := rig.memory.Totals()
 			expect.Expect(held).To(gomega.BeZero(), "HAZELSLIP_SEED %d", seed)
 			expect.Expect(refused).NotTo(gomega.BeZero())
 			for pool, targets := range rig.board.State() {
--- a/internal/serve/forward/rig_test.go
+++ b/internal/serve/forward/rig_test.go
@@ -156,7 +156,7 @@
 func (rig *rig) end() int64 {
 	rig.callers.CloseIdleConnections()
 	time.Sleep(time.Minute)
-	held, _, _ := rig.memory.Sums()
+	held, _, _ := rig.memory.Totals()
 	rig.stop()
 	return held
 }
--- a/internal/serve/forward/stream.go
+++ b/internal/serve/forward/stream.go
@@ -241,7 +241,7 @@
 		n, err := leg.Read(buffer[:])
 		pending = append(pending, buffer[:n]...)
 		if grown := cap(pending) - counted; grown > 0 {
-			exchange.held.Take(int64(grown))
+			exchange.held.ForceGrow(int64(grown))
 			counted = cap(pending)
 		}
 		whole := bytes.LastIndex(pending, eventEnd) + len(eventEnd)
