--- a/internal/fleet/replica/experience.go
+++ b/internal/fleet/replica/experience.go
@@ -53,7 +53,7 @@
 		case fact.FirstMissed != 0 && !silent:
 			experience.silences[fact.Address] = silence{since: fact.FirstMissed, incarnation: fact.Report.Incarnation}
 		case fact.FirstMissed == 0 && silent:
-			experience.learner.Came(fact.At-known.since, fact.Report.Incarnation == known.incarnation)
+			experience.learner.Observe(fact.At-known.since, fact.Report.Incarnation == known.incarnation)
 			delete(experience.silences, fact.Address)
 		}
 	}
@@ -79,8 +79,8 @@
 }
 
 // expected returns how servers come back and how long a group loads.
-func (experience *experience) expected() (repair.Returns, time.Duration) {
+func (experience *experience) expected() (repair.Recovery, time.Duration) {
 	experience.mu.Lock()
 	defer experience.mu.Unlock()
-	return experience.learner.Returns(), experience.load
+	return experience.learner.Recovery(), experience.load
 }
--- a/internal/fleet/replica/former.go
+++ b/internal/fleet/replica/former.go
@@ -235,9 +235,9 @@
 	})
 }
 
-func (former *Former) situation(domain string, snapshot *Snapshot, servers []fabric.Fact) repair.Situation {
-	situation := repair.Situation{Models: former.Models(), Grace: former.Grace, Stranded: former.Stranded}
-	situation.Returns, situation.Load = former.experience.expected()
+func (former *Former) situation(domain string, snapshot *Snapshot, servers []fabric.Fact) repair.DomainState {
+	situation := repair.DomainState{Models: former.Models(), GracePeriod: former.Grace, IdlePrice: former.Stranded}
+	situation.Recovery, situation.LoadTime = former.experience.expected()
 	for _, fact := range snapshot.Free[domain] {
 		situation.Free = append(situation.Free, fact.Address)
 	}
@@ -250,7 +250,7 @@
 		}
 		situation.Groups = append(situation.Groups, former.forPlan(group))
 	}
-	situation.Away = away(situation.Groups, servers, former.Now())
+	situation.Unresponsive = away(situation.Groups, servers, former.Now())
 	return situation
 }
 
@@ -271,16 +271,16 @@
 func (former *Former) forPlan(group *Group) repair.Group {
 	planned := repair.Group{
 		Number: group.Number, Model: group.Model, Members: group.Members, Serving: group.Serving,
-		Draining: group.Draining, Running: group.Running, Dark: group.Dark,
+		Draining: group.Draining, Running: group.Running, Unreachable: group.Dark,
 	}
 	for _, missing := range group.Missing {
-		planned.Silent = max(planned.Silent, missing.Silent)
+		planned.UnresponsiveFor = max(planned.UnresponsiveFor, missing.Silent)
 		if missing.Silent > 0 {
-			planned.SilentMembers++
+			planned.UnresponsiveMembers++
 		}
-		planned.Broken = planned.Broken || missing.Elsewhere
+		planned.Inconsistent = planned.Inconsistent || missing.Elsewhere
 	}
-	planned.Broken = former.surelyBroken(group, planned.Broken)
+	planned.Inconsistent = former.surelyBroken(group, planned.Inconsistent)
 	return planned
 }
 
--- a/internal/policy/repair/optimum_test.go
+++ b/internal/policy/repair/optimum_test.go
@@ -10,10 +10,9 @@
 	"time"
 )
 
-// The optimum is worked out for small domains by trying everything, backwards
-// from the end, with the whole trace known beforehand. No policy can know what
-// comes, so the optimum is a bound that cannot be reached; how far a policy
-// stays above it also says what foresight would be worth.
+// For small domains the optimal cost is computed by exhaustive search, backwards from the end, with the whole trace
+// known in advance. No policy can know the future, so the optimum is a lower bound that no policy reaches. The
+// distance of a policy from it also shows what perfect foresight would be worth.
 
 const (
 	optimumServers = 6
@@ -21,157 +20,155 @@
 	optimumLength  = 20 * time.Minute
 )
 
-// held is one group of a state: its members as bits, and how many steps it
-// still loads.
-type held struct {
-	members uint8
-	model   uint8
-	loads   uint8
+// groupState is one group of an allocation: its members as a bit set, its model, and the number of steps until it is
+// loaded.
+type groupState struct {
+	members       uint8
+	model         uint8
+	loadStepsLeft uint8
 }
 
-// plan is the groups of a state, ordered. It is the key of what was worked out.
-type plan [3]held
+// allocation is the sorted groups of one state. It is the key of the memoized costs.
+type allocation [3]groupState
 
 type optimum struct {
 	trace  trace
 	wanted []int
-	known  []map[plan]float64
+	memo   []map[allocation]float64
 }
 
-func bestCost(trace trace) float64 {
+func optimalCost(trace trace) float64 {
 	steps := int(optimumLength / optimumStep)
-	optimum := &optimum{trace: trace, wanted: fillPlain(trace.models, optimumServers), known: make([]map[plan]float64, steps)}
-	for index := range optimum.known {
-		optimum.known[index] = map[plan]float64{}
+	optimum := &optimum{trace: trace, wanted: greedyCounts(trace.models, optimumServers), memo: make([]map[allocation]float64, steps)}
+	for index := range optimum.memo {
+		optimum.memo[index] = map[allocation]float64{}
 	}
-	return optimum.from(0, plan{})
+	return optimum.minCostFrom(0, allocation{})
 }
 
-// from is what the rest of the trace costs at least, from a state on.
-func (optimum *optimum) from(index int, state plan) float64 {
-	if index == len(optimum.known) {
+// minCostFrom returns the minimum cost of the rest of the trace, starting from the given state.
+func (optimum *optimum) minCostFrom(step int, state allocation) float64 {
+	if step == len(optimum.memo) {
 		return 0
 	}
-	away, restarted := optimum.failures(index)
-	state = state.without(func(group held) bool { return group.members&restarted != 0 })
-	if cost, ok := optimum.known[index][state]; ok {
+	unresponsive, restarted := optimum.failures(step)
+	state = state.withoutGroups(func(group groupState) bool { return group.members&restarted != 0 })
+	if cost, ok := optimum.memo[step][state]; ok {
 		return cost
 	}
 	best := -1.0
 	for retired := range 1 << len(state) {
-		kept := state.keep(retired)
+		kept := state.retire(retired)
 		if retired != 0 && kept == state {
 			continue
 		}
-		optimum.form(kept, away, func(next plan) {
-			cost := optimum.pay(next, away) + optimum.from(index+1, next.loaded())
+		optimum.forEachFormation(kept, unresponsive, func(next allocation) {
+			cost := optimum.stepCost(next, unresponsive) + optimum.minCostFrom(step+1, next.advanceLoading())
 			if best < 0 || cost < best {
 				best = cost
 			}
 		})
 	}
-	optimum.known[index][state] = best
+	optimum.memo[step][state] = best
 	return best
 }
 
-// failures returns who is away in a step, and who has just come back restarted.
-func (optimum *optimum) failures(index int) (away, restarted uint8) {
-	now := time.Duration(index) * optimumStep
+// failures returns the servers that are unresponsive in a step, and those that have just come back restarted.
+func (optimum *optimum) failures(step int) (unresponsive, restarted uint8) {
+	now := time.Duration(step) * optimumStep
 	for server, outages := range optimum.trace.outages {
 		for _, outage := range outages {
 			if now >= outage.from && now < outage.to {
-				away |= 1 << server
+				unresponsive |= 1 << server
 			}
 			if now == outage.to && !outage.intact {
 				restarted |= 1 << server
 			}
 		}
 	}
-	return away, restarted
+	return unresponsive, restarted
 }
 
-func (state plan) without(drop func(group held) bool) plan {
+func (state allocation) withoutGroups(drop func(group groupState) bool) allocation {
 	for index, group := range state {
 		if group.members != 0 && drop(group) {
-			state[index] = held{}
+			state[index] = groupState{}
 		}
 	}
-	return state.ordered()
+	return state.sorted()
 }
 
-func (state plan) keep(retired int) plan {
+func (state allocation) retire(retired int) allocation {
 	for index := range state {
 		if retired&(1<<index) != 0 {
-			state[index] = held{}
+			state[index] = groupState{}
 		}
 	}
-	return state.ordered()
+	return state.sorted()
 }
 
-func (state plan) ordered() plan {
-	slices.SortFunc(state[:], func(a, b held) int { return int(b.members) - int(a.members) })
+func (state allocation) sorted() allocation {
+	slices.SortFunc(state[:], func(a, b groupState) int { return int(b.members) - int(a.members) })
 	return state
 }
 
-func (state plan) loaded() plan {
+func (state allocation) advanceLoading() allocation {
 	for index := range state {
-		if state[index].loads > 0 {
-			state[index].loads--
+		if state[index].loadStepsLeft > 0 {
+			state[index].loadStepsLeft--
 		}
 	}
 	return state
 }
 
-// form tries every way to put idle healthy servers into new groups.
-func (optimum *optimum) form(state plan, away uint8, try func(next plan)) {
-	try(state)
-	idle := uint8(1<<optimumServers-1) &^ away
+// forEachFormation calls visit for every way to form groups from idle healthy servers, including none.
+func (optimum *optimum) forEachFormation(state allocation, unresponsive uint8, visit func(next allocation)) {
+	visit(state)
+	idle := uint8(1<<optimumServers-1) &^ unresponsive
 	last := uint8(0)
 	for _, group := range state {
 		idle &^= group.members
-		if group.loads == loadSteps {
+		if group.loadStepsLeft == loadSteps {
 			last = max(last, group.members)
 		}
 	}
-	free := slices.IndexFunc(state[:], func(group held) bool { return group.members == 0 })
-	if free < 0 {
+	freeSlot := slices.IndexFunc(state[:], func(group groupState) bool { return group.members == 0 })
+	if freeSlot < 0 {
 		return
 	}
 	for model := range optimum.trace.models {
 		for members := uint8(1); members < 1<<optimumServers; members++ {
-			// Groups of one step are formed in the order of their members, so
-			// that no set of them is tried twice.
+			// Groups formed in the same step are ordered by their members, so that no set of groups is visited twice.
 			if members&^idle != 0 || members <= last || bits.OnesCount8(members) != optimum.trace.models[model].Size {
 				continue
 			}
 			next := state
-			next[free] = held{members: members, model: uint8(model), loads: loadSteps}
-			optimum.form(next.ordered(), away, try)
+			next[freeSlot] = groupState{members: members, model: uint8(model), loadStepsLeft: loadSteps}
+			optimum.forEachFormation(next.sorted(), unresponsive, visit)
 		}
 	}
 }
 
-const loadSteps = uint8(load / optimumStep)
+const loadSteps = uint8(loadTime / optimumStep)
 
-func (optimum *optimum) pay(state plan, away uint8) float64 {
+func (optimum *optimum) stepCost(state allocation, unresponsive uint8) float64 {
 	serving, busy := make([]int, len(optimum.trace.models)), 0
 	for _, group := range state {
-		if group.members != 0 && group.loads == 0 && group.members&away == 0 {
+		if group.members != 0 && group.loadStepsLeft == 0 && group.members&unresponsive == 0 {
 			serving[group.model]++
 			busy += bits.OnesCount8(group.members)
 		}
 	}
-	healthy := optimumServers - bits.OnesCount8(away)
-	rate := float64(healthy-busy) * optimum.trace.prices.stranded
+	healthy := optimumServers - bits.OnesCount8(unresponsive)
+	rate := float64(healthy-busy) * optimum.trace.prices.idle
 	for index, model := range optimum.trace.models {
-		rate += float64(max(0, optimum.wanted[index]-serving[index])) * model.Worth
+		rate += float64(max(0, optimum.wanted[index]-serving[index])) * model.DowntimePrice
 	}
 	return rate * optimumStep.Seconds()
 }
 
-// rounded moves a trace's moments onto the steps of the optimum and cuts it to
-// its length.
-func (trace trace) rounded() trace {
+// roundedToSteps rounds the times of a trace to the steps of the optimum, and cuts the trace to its length.
+func (trace trace) roundedToSteps() trace {
 	for server, outages := range trace.outages {
 		kept := []outage{}
 		for _, outage := range outages {
@@ -185,22 +182,22 @@
 	return trace
 }
 
-// BenchmarkOptimum prints what each policy costs above the clairvoyant optimum
-// of six servers.
+// BenchmarkOptimum prints how far the cost of each policy is above the optimum with perfect foresight, for six
+// servers.
 func BenchmarkOptimum(b *testing.B) {
-	const traces, hourly = 8, 2
+	const traces, outagesPerHour = 8, 2
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "USER\tPOLICY\tCOST\tABOVE THE OPTIMUM")
 	for range b.N {
 		for _, user := range []prices{lakeshore, viaAndina} {
 			best := 0.0
 			for seed := range uint64(traces) {
-				best += bestCost(drawTrace(seed+1, optimumServers, models(), user, hourly).rounded())
+				best += optimalCost(drawTrace(seed+1, optimumServers, models(), user, outagesPerHour).roundedToSteps())
 			}
 			for _, policy := range policies {
 				cost := 0.0
 				for seed := range uint64(traces) {
-					cost += playFor(drawTrace(seed+1, optimumServers, models(), user, hourly).rounded(), policy.decide, optimumLength).cost
+					cost += replayTraceFor(drawTrace(seed+1, optimumServers, models(), user, outagesPerHour).roundedToSteps(), policy.decide, optimumLength).cost
 				}
 				_, _ = fmt.Fprintf(table, "%s\t%s\t%.0f\t%.1f %%\n", user.name, policy.name, cost, 100*(cost/best-1))
 			}
@@ -209,21 +206,20 @@
 	_ = table.Flush()
 }
 
-// The bound must be one: no policy may come out below the optimum, or one of
-// the two is wrong.
-func TestNoPolicyBeatsTheOptimum(t *testing.T) {
+// Guards against a wrong optimum or a wrong replay: the optimum is a lower bound, so no policy may cost less.
+func TestNoPolicyBeatsOptimum(t *testing.T) {
 	for seed := range uint64(2) {
-		drawn := drawTrace(seed+1, optimumServers, models(), lakeshore, 1).rounded()
-		best := bestCost(drawn)
+		drawn := drawTrace(seed+1, optimumServers, models(), lakeshore, 1).roundedToSteps()
+		best := optimalCost(drawn)
 		for _, policy := range policies {
-			// A policy acts each second and the optimum each step, so it may
-			// gain a step's cost at each outage.
+			// A policy acts every second and the optimum only every step, so a policy may save the cost of a step at
+			// each outage.
 			slack := 0.0
 			for _, outages := range drawn.outages {
 				slack += float64(len(outages)) * optimumStep.Seconds() * 2 * (lakeshore.downtime + optimumServers)
 			}
-			if cost := playFor(drawn, policy.decide, optimumLength).cost; cost < best-slack-1 {
-				t.Errorf("seed %d: %s cost %.0f, the optimum %.0f", seed+1, policy.name, cost, best)
+			if cost := replayTraceFor(drawn, policy.decide, optimumLength).cost; cost < best-slack-1 {
+				t.Errorf("seed %d: policy %q cost %.0f, less than the optimum %.0f", seed+1, policy.name, cost, best)
 			}
 		}
 	}
--- a/internal/policy/repair/repair.go
+++ b/internal/policy/repair/repair.go
@@ -1,18 +1,15 @@
-// Package repair decides what to do with the servers of one fabric domain:
-// which groups to form, which to take apart, and when to wait.
+// Package repair plans the groups of one fabric domain: which groups to form, which to retire, and when to wait.
 //
-// It is a pure function of a Situation, so that the same facts give the same
-// plan on every node and the plan can be explained. It gives no orders.
+// Plan is a pure function of a DomainState, so that the same facts lead to the same plan on every node and each plan
+// can be explained. It executes nothing.
 //
-// Repair is a choice with a price. For each way to go on from a Situation the
-// planner works out what the next minutes would cost: the groups that do not
-// serve, at the price of downtime, and the healthy servers that stand idle, at
-// the price of stranding. It takes the cheapest way. How soon a silent server
-// comes back is learned (see Returns).
+// For each alternative the planner estimates the cost of the next minutes: the downtime price of the groups that do
+// not serve, and the idle price of healthy servers that are not serving. It picks the cheapest alternative. How soon an
+// unresponsive server comes back is learned from experience (see Recovery).
 //
 // # Usage
 //
-//	for _, action := range repair.Plan(situation) {
+//	for _, action := range repair.Plan(domainState) {
 //		// action.Kind, action.Model, action.Servers, action.Cause
 //	}
 package repair
@@ -23,65 +20,62 @@
 	"time"
 )
 
-// Kind is what an Action does.
+// Kind is the kind of an Action.
 type Kind string
 
 const (
-	// Form makes a new group of Servers.
+	// Form creates a new group of Servers.
 	Form Kind = "Form"
-	// Retire takes the group Number apart.
+	// Retire dissolves the group Number.
 	Retire Kind = "Retire"
-	// Wait leaves the group Number as it is, for Cause.
+	// Wait leaves the group Number unchanged, for the reason in Cause.
 	Wait Kind = "Wait"
 )
 
-// Model is a model that the domain may serve. Worth is the price of a second
-// in which a wanted group of it does not serve. Wanted is how many groups are
-// asked for, 0 for as many as fit.
+// Model is a model that the domain may serve. DowntimePrice is the cost of a second in which a wanted group of the
+// model does not serve. Wanted is the number of wanted groups, 0 for as many as fit.
 type Model struct {
-	Name   string
-	Size   int
-	Worth  float64
-	Wanted int
+	Name          string
+	Size          int
+	DowntimePrice float64
+	Wanted        int
 }
 
-// Group is a group of the domain.
+// Group is a group of servers in the domain.
 type Group struct {
 	Number  uint64
 	Model   string
 	Members []string
 	Serving bool
-	// Draining marks a group with a leaving member.
+	// Draining is set if a member is leaving.
 	Draining bool
-	// Silent is the longest time that a member has not answered, 0 if all do.
-	Silent time.Duration
-	// SilentMembers is how many members do not answer.
-	SilentMembers int
-	// Broken marks a group with a member that answers and is elsewhere; it
-	// can not come back as it is.
-	Broken bool
-	// Dark marks a group of which no member answers, so none can be ordered.
-	Dark bool
-	// Running is the number of answers under way.
+	// UnresponsiveFor is the longest time for which a member has not responded, 0 if all respond.
+	UnresponsiveFor time.Duration
+	// UnresponsiveMembers is the number of members that do not respond.
+	UnresponsiveMembers int
+	// Inconsistent is set if a member responds but is not in this group. Such a group cannot resume as it is.
+	Inconsistent bool
+	// Unreachable is set if no member responds, so that no order can be given to the group.
+	Unreachable bool
+	// Running is the number of responses in progress.
 	Running uint32
 }
 
-// Situation is everything that a plan depends on.
-type Situation struct {
+// DomainState is the complete input of a plan.
+type DomainState struct {
 	Models []Model
 	Groups []Group
-	// Free are the idle, healthy servers, ordered.
+	// Free lists the idle, healthy servers in order.
 	Free []string
-	// Away is how long each silent server outside a group has not answered.
-	Away []time.Duration
-	// Grace is how long a silent member is waited for at the least before its
-	// group is taken apart.
-	Grace time.Duration
-	// Stranded is the price of a second of one healthy idle server.
-	Stranded float64
-	// Load is how long a new group takes until it serves.
-	Load    time.Duration
-	Returns Returns
+	// Unresponsive lists how long each unresponsive server outside a group has not responded.
+	Unresponsive []time.Duration
+	// GracePeriod is the least time to wait for an unresponsive member before its group is retired.
+	GracePeriod time.Duration
+	// IdlePrice is the cost of a second of one healthy server that is not serving.
+	IdlePrice float64
+	// LoadTime is how long a new group takes until it serves.
+	LoadTime time.Duration
+	Recovery Recovery
 }
 
 // Action is one step of a plan.
@@ -93,30 +87,30 @@
 	Cause   string
 }
 
-// Plan returns what to do now: what has to be retired, then the cheapest way
-// to go on from there.
-func Plan(situation Situation) []Action {
+// Plan returns the actions to take now: those that are forced, followed by the cheapest alternative for all other
+// groups.
+func Plan(domainState DomainState) []Action {
 	actions := []Action{}
 	kept := []Group{}
-	for _, group := range situation.Groups {
-		action, stands := settle(group)
+	for _, group := range domainState.Groups {
+		action, keep := forcedAction(group)
 		if action.Kind != "" {
 			actions = append(actions, action)
 		}
-		if stands {
+		if keep {
 			kept = append(kept, group)
 		}
 	}
-	situation.Groups = kept
-	return append(actions, cheapest(situation)...)
+	domainState.Groups = kept
+	return append(actions, cheapestActions(domainState)...)
 }
 
-// settle decides about the groups that leave no choice.
-func settle(group Group) (action Action, stands bool) {
+// forcedAction decides about groups that leave no choice. keep is set for groups that need a decision by cost.
+func forcedAction(group Group) (action Action, keep bool) {
 	switch {
-	case group.Dark:
+	case group.Unreachable:
 		return Action{Kind: Wait, Number: group.Number, Cause: "no member answers"}, false
-	case group.Broken:
+	case group.Inconsistent:
 		return Action{Kind: Retire, Number: group.Number, Cause: "a member is in another group or in none"}, false
 	case group.Draining && group.Running == 0:
 		return Action{Kind: Retire, Number: group.Number, Cause: "a member is leaving and nothing runs any more"}, false
@@ -126,67 +120,67 @@
 	return Action{}, true
 }
 
-// way is one way to go on: which standing groups are retired, and how many
-// groups of each model are formed from what is free then.
-type way struct {
-	retired []int
-	formed  []int
-	cost    float64
+// alternative is a set of actions to compare: the existing groups to retire, and the number of groups of each model
+// to form from the servers that are then free.
+type alternative struct {
+	retiredGroups  []int
+	formedPerModel []int
+	cost           float64
 }
 
-// cheapest compares the ways to go on and returns the actions of the best. Of
-// ways that cost the same, the one that retires least comes first.
-func cheapest(situation Situation) []Action {
-	best, found := way{}, false
-	wanted := wantedGroups(situation)
-	for _, retired := range retirements(situation) {
-		for _, formed := range formations(situation, retired) {
-			candidate := way{retired: retired, formed: formed}
-			candidate.cost = price(situation, wanted, candidate)
-			if !found || candidate.cost < best.cost*(1-margin) {
+// cheapestActions compares the alternatives and returns the actions of the cheapest. Alternatives that retire fewer
+// groups come first and win a tie.
+func cheapestActions(domainState DomainState) []Action {
+	best, found := alternative{}, false
+	wanted := wantedGroups(domainState)
+	for _, retired := range retirementSets(domainState) {
+		for _, formed := range formationCounts(domainState, retired) {
+			candidate := alternative{retiredGroups: retired, formedPerModel: formed}
+			candidate.cost = expectedCost(domainState, wanted, candidate)
+			if !found || candidate.cost < best.cost*(1-minSaving) {
 				best, found = candidate, true
 			}
 		}
 	}
-	return best.actions(situation)
+	return best.actions(domainState)
 }
 
-// margin is how much better a way must be to be preferred to one that does
-// less, so that plans do not sway between equals.
-const margin = 0.01
+// minSaving is the fraction by which an alternative must be cheaper than one that does less. It keeps plans from
+// switching between alternatives of about the same cost.
+const minSaving = 0.01
 
 const (
-	// silentMost bounds the groups that are weighed one by one; beyond it a
-	// whole domain is in trouble, and they are taken together.
-	silentMost = 4
-	// takenMost bounds the serving groups that are weighed for being taken.
-	takenMost = 3
+	// maxUnresponsiveGroups bounds the unresponsive groups that are considered one by one. With more of them, the
+	// whole domain has a problem, and they are considered only together.
+	maxUnresponsiveGroups = 4
+	// maxPreemptibleGroups bounds the serving groups that are considered for preemption.
+	maxPreemptibleGroups = 3
 )
 
-// retirements lists the sets of groups worth considering: each choice of the
-// groups with a silent member, alone or with one serving group whose members
-// something worth more could use.
-func retirements(situation Situation) [][]int {
-	silent, taken := []int{}, []int{}
-	for index, group := range situation.Groups {
+// retirementSets lists the sets of groups to consider for retirement: every subset of the groups whose
+// members have been unresponsive for longer than the grace period, alone or together with serving groups that could be
+// preempted for a more valuable model.
+func retirementSets(domainState DomainState) [][]int {
+	unresponsive, preemptible := []int{}, []int{}
+	for index, group := range domainState.Groups {
 		switch {
-		case group.Silent > situation.Grace:
-			silent = append(silent, index)
-		case group.Silent == 0 && group.Serving && situation.givesWay(group):
-			taken = append(taken, index)
+		case group.UnresponsiveFor > domainState.GracePeriod:
+			unresponsive = append(unresponsive, index)
+		case group.UnresponsiveFor == 0 && group.Serving && domainState.preemptible(group):
+			preemptible = append(preemptible, index)
 		}
 	}
 	sets := [][]int{{}}
-	if len(silent) > silentMost {
-		sets = append(sets, silent)
+	if len(unresponsive) > maxUnresponsiveGroups {
+		sets = append(sets, unresponsive)
 	} else {
-		for _, index := range silent {
+		for _, index := range unresponsive {
 			for _, set := range sets {
 				sets = append(sets, append(slices.Clone(set), index))
 			}
 		}
 	}
-	for _, index := range taken[:min(len(taken), takenMost)] {
+	for _, index := range preemptible[:min(len(preemptible), maxPreemptibleGroups)] {
 		for _, set := range slices.Clone(sets) {
 			sets = append(sets, append(slices.Clone(set), index))
 		}
@@ -194,61 +188,61 @@
 	return sets
 }
 
-// givesWay reports whether some model that lacks a wanted group could use this
-// group's members: it is worth more, or this group is beyond what is wanted.
-func (situation Situation) givesWay(group Group) bool {
-	own, ok := situation.model(group.Model)
+// preemptible reports whether a model that lacks a wanted group could use the members of this group, because that
+// model has a higher downtime price or this group exceeds the wanted number.
+func (domainState DomainState) preemptible(group Group) bool {
+	own, ok := domainState.modelIndex(group.Model)
 	if !ok {
 		return true
 	}
-	wanted := wantedGroups(situation)
-	standing := situation.standing()
-	for index, model := range situation.Models {
-		more := model.Worth > situation.Models[own].Worth || standing[own] > wanted[own]
-		if index != own && more && standing[index] < wanted[index] {
+	wanted := wantedGroups(domainState)
+	active := domainState.activeGroups()
+	for index, model := range domainState.Models {
+		preferred := model.DowntimePrice > domainState.Models[own].DowntimePrice || active[own] > wanted[own]
+		if index != own && preferred && active[index] < wanted[index] {
 			return true
 		}
 	}
 	return false
 }
 
-func (situation Situation) model(name string) (int, bool) {
-	index := slices.IndexFunc(situation.Models, func(model Model) bool { return model.Name == name })
+func (domainState DomainState) modelIndex(name string) (int, bool) {
+	index := slices.IndexFunc(domainState.Models, func(model Model) bool { return model.Name == name })
 	return index, index >= 0
 }
 
-// standing counts the groups of each model that serve or are about to.
-func (situation Situation) standing() []int {
-	counts := make([]int, len(situation.Models))
-	for _, group := range situation.Groups {
-		if index, ok := situation.model(group.Model); ok && group.Silent == 0 {
+// activeGroups counts the groups of each model that serve or are about to serve.
+func (domainState DomainState) activeGroups() []int {
+	counts := make([]int, len(domainState.Models))
+	for _, group := range domainState.Groups {
+		if index, ok := domainState.modelIndex(group.Model); ok && group.UnresponsiveFor == 0 {
 			counts[index]++
 		}
 	}
 	return counts
 }
 
-// servers counts every server of the domain, the silent ones too.
-func (situation Situation) servers() int {
-	count := len(situation.Free) + len(situation.Away)
-	for _, group := range situation.Groups {
+// countServers returns the number of servers in the domain, including unresponsive ones.
+func (domainState DomainState) countServers() int {
+	count := len(domainState.Free) + len(domainState.Unresponsive)
+	for _, group := range domainState.Groups {
 		count += len(group.Members)
 	}
 	return count
 }
 
-// wantedGroups is how many groups of each model the domain would hold with
-// every server there. Against it downtime is counted.
-func wantedGroups(situation Situation) []int {
-	return fill(situation.Models, make([]int, len(situation.Models)), situation.servers())
+// wantedGroups returns how many groups of each model the domain would hold if all its servers were healthy. Downtime
+// is measured against these numbers.
+func wantedGroups(domainState DomainState) []int {
+	return allocate(domainState.Models, make([]int, len(domainState.Models)), domainState.countServers())
 }
 
-// fill gives free servers to the model that lacks groups most, until none
-// fits, and returns how many groups of each there are then.
-func fill(models []Model, standing []int, free int) []int {
-	counts := slices.Clone(standing)
+// allocate repeatedly gives free servers to the most valuable model until no group fits any more, and returns the
+// resulting number of groups of each model.
+func allocate(models []Model, active []int, free int) []int {
+	counts := slices.Clone(active)
 	for {
-		index, ok := neediest(models, counts, free)
+		index, ok := mostValuableModel(models, counts, free)
 		if !ok {
 			return counts
 		}
@@ -257,59 +251,59 @@
 	}
 }
 
-// neediest is the model whose next group is worth most a server. The worth of
-// a further group of the same model falls, so that every model gets its first
-// one.
-func neediest(models []Model, counts []int, free int) (int, bool) {
-	best, bestWorth, found := 0, 0.0, false
+// mostValuableModel returns the model whose next group has the highest value. The value is the downtime price divided
+// by one plus the number of groups that the model already has, so that every model gets its first group.
+func mostValuableModel(models []Model, counts []int, free int) (int, bool) {
+	best, bestValue, found := 0, 0.0, false
 	for index, model := range models {
 		if model.Size > free || (model.Wanted > 0 && counts[index] >= model.Wanted) {
 			continue
 		}
-		worth := model.Worth / float64(1+counts[index])
-		if !found || worth > bestWorth {
-			best, bestWorth, found = index, worth, true
+		value := model.DowntimePrice / float64(1+counts[index])
+		if !found || value > bestValue {
+			best, bestValue, found = index, value, true
 		}
 	}
 	return best, found
 }
 
-// formations lists how many groups of each model to form: all that fit, by
-// need; none that is smaller than what the domain waits for; or none at all.
-func formations(situation Situation, retired []int) [][]int {
-	free := len(situation.Free)
-	after := situation
-	after.Groups = nil
-	for index, group := range situation.Groups {
+// formationCounts lists the numbers of groups of each model to consider forming: all that fit, by value; groups of
+// one model only, so that free servers are not used up by groups smaller than the one the domain is waiting for; or
+// none.
+func formationCounts(domainState DomainState, retired []int) [][]int {
+	free := len(domainState.Free)
+	remaining := domainState
+	remaining.Groups = nil
+	for index, group := range domainState.Groups {
 		if slices.Contains(retired, index) {
-			free += len(group.Members) - group.SilentMembers
+			free += len(group.Members) - group.UnresponsiveMembers
 			continue
 		}
-		after.Groups = append(after.Groups, group)
+		remaining.Groups = append(remaining.Groups, group)
 	}
-	counts := after.standing()
-	ways := [][]int{minus(fill(situation.Models, counts, free), counts)}
+	counts := remaining.activeGroups()
+	candidates := [][]int{subtract(allocate(domainState.Models, counts, free), counts)}
 	add := func(formed []int) {
-		same := func(other []int) bool { return slices.Equal(formed, other) }
-		if !slices.ContainsFunc(ways, same) {
-			ways = append(ways, formed)
+		equal := func(other []int) bool { return slices.Equal(formed, other) }
+		if !slices.ContainsFunc(candidates, equal) {
+			candidates = append(candidates, formed)
 		}
 	}
-	for index := range situation.Models {
+	for index := range domainState.Models {
 		only := []Model{}
-		for other, model := range situation.Models {
+		for other, model := range domainState.Models {
 			if other != index {
 				model.Size = free + 1
 			}
 			only = append(only, model)
 		}
-		add(minus(fill(only, counts, free), counts))
+		add(subtract(allocate(only, counts, free), counts))
 	}
-	add(make([]int, len(situation.Models)))
-	return ways
+	add(make([]int, len(domainState.Models)))
+	return candidates
 }
 
-func minus(a, b []int) []int {
+func subtract(a, b []int) []int {
 	difference := make([]int, len(a))
 	for index := range a {
 		difference[index] = a[index] - b[index]
@@ -317,35 +311,34 @@
 	return difference
 }
 
-// actions turns a way into orders. Groups that are formed from the members of
-// retired ones are formed by a later plan, when those report that they are
-// free.
-func (way way) actions(situation Situation) []Action {
+// actions converts an alternative to actions. Groups to be formed from members of retired groups are left to a later
+// plan, once these members report that they are free.
+func (alternative alternative) actions(domainState DomainState) []Action {
 	actions := []Action{}
-	for index, group := range situation.Groups {
+	for index, group := range domainState.Groups {
 		switch {
-		case slices.Contains(way.retired, index) && group.Silent > 0:
-			actions = append(actions, Action{Kind: Retire, Number: group.Number, Cause: fmt.Sprintf("a member has not answered for %s and waiting would cost more", group.Silent.Round(time.Second))})
-		case slices.Contains(way.retired, index):
+		case slices.Contains(alternative.retiredGroups, index) && group.UnresponsiveFor > 0:
+			actions = append(actions, Action{Kind: Retire, Number: group.Number, Cause: fmt.Sprintf("a member has not answered for %s and waiting would cost more", group.UnresponsiveFor.Round(time.Second))})
+		case slices.Contains(alternative.retiredGroups, index):
 			actions = append(actions, Action{Kind: Retire, Number: group.Number, Cause: "its members are worth more elsewhere"})
-		case group.Silent > 0:
+		case group.UnresponsiveFor > 0:
 			actions = append(actions, Action{Kind: Wait, Number: group.Number, Cause: "a silent member may come back, and waiting costs less"})
 		}
 	}
-	free := situation.Free
-	standing := situation.standing()
-	for index, count := range way.formed {
+	free := domainState.Free
+	active := domainState.activeGroups()
+	for index, count := range alternative.formedPerModel {
 		for range count {
-			model := situation.Models[index]
+			model := domainState.Models[index]
 			if len(free) < model.Size {
 				break
 			}
 			actions = append(actions, Action{
 				Kind: Form, Model: model.Name, Servers: free[:model.Size:model.Size],
-				Cause: fmt.Sprintf("%s has %d groups here", model.Name, standing[index]),
+				Cause: fmt.Sprintf("%s has %d groups here", model.Name, active[index]),
 			})
 			free = free[model.Size:]
-			standing[index]++
+			active[index]++
 		}
 	}
 	return actions
--- a/internal/policy/repair/repair_test.go
+++ b/internal/policy/repair/repair_test.go
@@ -13,86 +13,83 @@
 )
 
 func models() []repair.Model {
-	return []repair.Model{{Name: "drafting", Size: 4, Worth: 1}, {Name: "summary", Size: 2, Worth: 0.4}}
+	return []repair.Model{{Name: "drafting", Size: 4, DowntimePrice: 1}, {Name: "summary", Size: 2, DowntimePrice: 0.4}}
 }
 
-// alwaysRebuild is the naive policy that takes a group apart at the first
-// silence and forms whatever fits.
-func alwaysRebuild(situation repair.Situation) []repair.Action {
-	actions, standing := []repair.Action{}, map[string]int{}
-	for _, group := range situation.Groups {
-		if group.Dark {
+// alwaysRebuild is a naive policy that retires a group as soon as a member is unresponsive, and forms whatever fits.
+func alwaysRebuild(domainState repair.DomainState) []repair.Action {
+	actions, active := []repair.Action{}, map[string]int{}
+	for _, group := range domainState.Groups {
+		if group.Unreachable {
 			continue
 		}
-		if group.Silent > 0 || group.Broken {
+		if group.UnresponsiveFor > 0 || group.Inconsistent {
 			actions = append(actions, repair.Action{Kind: repair.Retire, Number: group.Number})
 			continue
 		}
-		standing[group.Model]++
+		active[group.Model]++
 	}
-	return append(actions, formAll(situation, standing)...)
+	return append(actions, formWanted(domainState, active)...)
 }
 
-// alwaysWait is the naive policy that waits for every member, and forms anew
-// only what was restarted.
-func alwaysWait(situation repair.Situation) []repair.Action {
-	actions, standing := []repair.Action{}, map[string]int{}
-	for _, group := range situation.Groups {
-		if group.Broken && group.Silent == 0 {
+// alwaysWait is a naive policy that waits for every member, and forms new groups only from restarted servers.
+func alwaysWait(domainState repair.DomainState) []repair.Action {
+	actions, active := []repair.Action{}, map[string]int{}
+	for _, group := range domainState.Groups {
+		if group.Inconsistent && group.UnresponsiveFor == 0 {
 			actions = append(actions, repair.Action{Kind: repair.Retire, Number: group.Number})
 			continue
 		}
-		standing[group.Model]++
+		active[group.Model]++
 	}
-	return append(actions, formAll(situation, standing)...)
+	return append(actions, formWanted(domainState, active)...)
 }
 
-// graceOnly is this project's first policy: wait for the grace, then rebuild.
-func graceOnly(situation repair.Situation) []repair.Action {
-	actions, standing := []repair.Action{}, map[string]int{}
-	for _, group := range situation.Groups {
-		if group.Dark {
+// graceOnly is the first policy of this project: wait for the grace period, then rebuild.
+func graceOnly(domainState repair.DomainState) []repair.Action {
+	actions, active := []repair.Action{}, map[string]int{}
+	for _, group := range domainState.Groups {
+		if group.Unreachable {
 			continue
 		}
-		if group.Silent > 6*time.Second || group.Broken {
+		if group.UnresponsiveFor > 6*time.Second || group.Inconsistent {
 			actions = append(actions, repair.Action{Kind: repair.Retire, Number: group.Number})
 			continue
 		}
-		standing[group.Model]++
+		active[group.Model]++
 	}
-	return append(actions, formAll(situation, standing)...)
+	return append(actions, formWanted(domainState, active)...)
 }
 
-// formAll forms what is wanted and fits, the neediest first. Without the bound
-// of what is wanted the naive policies gave remnants to small groups for good
-// and looked far worse than they need to.
-func formAll(situation repair.Situation, standing map[string]int) []repair.Action {
-	actions, free := []repair.Action{}, situation.Free
-	servers := len(situation.Free) + len(situation.Away)
-	for _, group := range situation.Groups {
+// formWanted forms the wanted groups that fit, the most valuable first. Without the limit to wanted groups, the naive
+// policies tied up leftover servers in small groups for good and looked far worse than necessary.
+func formWanted(domainState repair.DomainState, active map[string]int) []repair.Action {
+	actions, free := []repair.Action{}, domainState.Free
+	servers := len(domainState.Free) + len(domainState.Unresponsive)
+	for _, group := range domainState.Groups {
 		servers += len(group.Members)
 	}
-	wanted := fillPlain(situation.Models, servers)
+	wanted := greedyCounts(domainState.Models, servers)
 	for {
-		best, bestWorth := -1, 0.0
-		for index, model := range situation.Models {
-			if worth := model.Worth / float64(1+standing[model.Name]); model.Size <= len(free) && standing[model.Name] < wanted[index] && worth > bestWorth {
-				best, bestWorth = index, worth
+		best, bestValue := -1, 0.0
+		for index, model := range domainState.Models {
+			if value := model.DowntimePrice / float64(1+active[model.Name]); model.Size <= len(free) && active[model.Name] < wanted[index] && value > bestValue {
+				best, bestValue = index, value
 			}
 		}
 		if best < 0 {
 			return actions
 		}
-		model := situation.Models[best]
+		model := domainState.Models[best]
 		actions = append(actions, repair.Action{Kind: repair.Form, Model: model.Name, Servers: free[:model.Size]})
 		free = free[model.Size:]
-		standing[model.Name]++
+		active[model.Name]++
 	}
 }
 
 var policies = []struct {
 	name   string
-	decide func(situation repair.Situation) []repair.Action
+	decide func(domainState repair.DomainState) []repair.Action
 }{
 	{"always rebuild", alwaysRebuild},
 	{"always wait", alwaysWait},
@@ -100,8 +97,7 @@
 	{"by price", repair.Plan},
 }
 
-// BenchmarkTraces plays the committed traces to each policy and prints what
-// they cost, side by side.
+// BenchmarkTraces replays the committed traces with each policy and prints their costs side by side.
 func BenchmarkTraces(b *testing.B) {
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "USER\tSERVERS\tPOLICY\tCOST\tDOWNTIME group-s\tSTRANDED server-s")
@@ -109,8 +105,8 @@
 		for _, user := range []prices{lakeshore, viaAndina} {
 			for _, servers := range []int{9, 17, 40} {
 				for _, policy := range policies {
-					sum := total(user, servers, tracesEach, policy.decide)
-					_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%.0f\t%.0f\t%.0f\n", user.name, servers, policy.name, sum.cost, sum.downtime, sum.stranded)
+					sum := replayAll(user, servers, tracesPerCase, policy.decide)
+					_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%.0f\t%.0f\t%.0f\n", user.name, servers, policy.name, sum.cost, sum.downtime, sum.idle)
 				}
 			}
 		}
@@ -119,54 +115,53 @@
 }
 
 const (
-	tracesEach    = 12
-	guardTraces   = 2
-	hourlyOutages = 0.5
+	tracesPerCase  = 12
+	testTraces     = 2
+	outagesPerHour = 0.5
 )
 
-func total(user prices, servers, traces int, decide func(situation repair.Situation) []repair.Action) *player {
-	sum := &player{}
+func replayAll(user prices, servers, traces int, decide func(domainState repair.DomainState) []repair.Action) *replay {
+	sum := &replay{}
 	for seed := range uint64(traces) {
-		played := play(drawTrace(seed+1, servers, models(), user, hourlyOutages), decide)
-		sum.cost += played.cost
-		sum.downtime += played.downtime
-		sum.stranded += played.stranded
+		replayed := replayTrace(drawTrace(seed+1, servers, models(), user, outagesPerHour), decide)
+		sum.cost += replayed.cost
+		sum.downtime += replayed.downtime
+		sum.idle += replayed.idle
 	}
 	return sum
 }
 
-// The guard of the measurement: on the committed traces the plan by price must
-// stay cheaper than the better naive policy for both users.
+// Guards the measured advantage of the planner: on the committed traces it must stay cheaper than the better naive
+// policy, for both users.
 func TestPlanIsCheaperThanNaivePolicies(t *testing.T) {
 	for _, user := range []prices{lakeshore, viaAndina} {
 		t.Run(user.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			naive := min(total(user, 17, guardTraces, alwaysRebuild).cost, total(user, 17, guardTraces, alwaysWait).cost)
-			g.Expect(total(user, 17, guardTraces, repair.Plan).cost).To(gomega.BeNumerically("<", naive))
+			cheapestNaive := min(replayAll(user, 17, testTraces, alwaysRebuild).cost, replayAll(user, 17, testTraces, alwaysWait).cost)
+			g.Expect(replayAll(user, 17, testTraces, repair.Plan).cost).To(gomega.BeNumerically("<", cheapestNaive))
 		})
 	}
 }
 
-// BenchmarkPlan is one plan of a domain of 40 servers in which two groups have
-// a silent member.
+// BenchmarkPlan measures one plan for a domain of 40 servers in which two groups have an unresponsive member.
 func BenchmarkPlan(b *testing.B) {
-	situation := repair.Situation{Models: models(), Grace: 3 * time.Second, Stranded: 1, Load: load, Returns: repair.DefaultReturns}
-	for group := range 12 {
+	domainState := repair.DomainState{Models: models(), GracePeriod: 3 * time.Second, IdlePrice: 1, LoadTime: loadTime, Recovery: repair.DefaultRecovery}
+	for groupIndex := range 12 {
 		size, name := 4, "drafting"
-		if group >= 8 {
+		if groupIndex >= 8 {
 			size, name = 2, "summary"
 		}
-		made := repair.Group{Number: uint64(group + 1), Model: name, Serving: group > 1}
+		group := repair.Group{Number: uint64(groupIndex + 1), Model: name, Serving: groupIndex > 1}
 		for member := range size {
-			made.Members = append(made.Members, fmt.Sprint(group, "/", member))
+			group.Members = append(group.Members, fmt.Sprint(groupIndex, "/", member))
 		}
-		if !made.Serving {
-			made.Silent, made.SilentMembers = 10*time.Second, 1
+		if !group.Serving {
+			group.UnresponsiveFor, group.UnresponsiveMembers = 10*time.Second, 1
 		}
-		situation.Groups = append(situation.Groups, made)
+		domainState.Groups = append(domainState.Groups, group)
 	}
 	b.ReportAllocs()
 	for range b.N {
-		repair.Plan(situation)
+		repair.Plan(domainState)
 	}
 }
--- a/internal/policy/repair/trace_test.go
+++ b/internal/policy/repair/trace_test.go
@@ -9,18 +9,18 @@
 	"hazelslip/internal/policy/repair"
 )
 
-// A trace is what happens to the servers of one domain, drawn from the brief's
-// kinds of failures. The decision benchmark plays traces to a policy in steps
-// of a second: the policy and its inputs only, no nodes and no network.
+// A trace is the outages of the servers of one domain, drawn from the kinds of failures in the requirements. The
+// benchmark replays traces with a policy in steps of a second. It covers only the policy and its inputs, without
+// nodes or a network.
 
 const (
 	traceLength = 2 * time.Hour
-	step        = time.Second
-	load        = 30 * time.Second
+	replayStep  = time.Second
+	loadTime    = 30 * time.Second
 )
 
-// outage is one time in which a server does not answer. After it the server is
-// as it was, or restarted.
+// outage is a time span in which a server does not respond. Afterwards the server is in its previous state if intact
+// is set, and restarted otherwise.
 type outage struct {
 	from, to time.Duration
 	intact   bool
@@ -33,39 +33,39 @@
 }
 
 type prices struct {
-	name               string
-	downtime, stranded float64
+	name           string
+	downtime, idle float64
 }
 
-// The two users' weights.
+// Prices of the two users.
 var (
 	lakeshore = prices{"Lakeshore", 8, 1}
 	viaAndina = prices{"Via Andina", 2, 1}
 )
 
-// drawTrace draws outages: pauses of seconds, restarts of a minute, losses of
-// a quarter of an hour, now and then the whole domain.
-func drawTrace(seed uint64, servers int, models []repair.Model, prices prices, hourly float64) trace {
+// drawTrace draws outages: pauses of seconds, restarts of about a minute, losses of a quarter of an hour, and
+// sometimes an outage of the whole domain.
+func drawTrace(seed uint64, servers int, models []repair.Model, prices prices, outagesPerHour float64) trace {
 	random := rand.New(rand.NewPCG(seed, 1))
 	drawn := trace{models: models, prices: prices, outages: make([][]outage, servers)}
 	for index := range drawn.models {
-		drawn.models[index].Worth *= prices.downtime
+		drawn.models[index].DowntimePrice *= prices.downtime
 	}
 	for server := range servers {
-		for at := exponential(random, time.Duration(float64(time.Hour)/hourly)); at < traceLength; {
+		for at := exponential(random, time.Duration(float64(time.Hour)/outagesPerHour)); at < traceLength; {
 			next := drawOutage(random, at)
 			drawn.outages[server] = append(drawn.outages[server], next)
-			at = next.to + exponential(random, time.Duration(float64(time.Hour)/hourly))
+			at = next.to + exponential(random, time.Duration(float64(time.Hour)/outagesPerHour))
 		}
 	}
 	if random.IntN(4) == 0 {
-		drawn.goDark(random)
+		drawn.addDomainOutage(random)
 	}
 	return drawn
 }
 
 func exponential(random *rand.Rand, mean time.Duration) time.Duration {
-	return time.Duration(random.ExpFloat64() * float64(mean)).Round(step)
+	return time.Duration(random.ExpFloat64() * float64(mean)).Round(replayStep)
 }
 
 func drawOutage(random *rand.Rand, at time.Duration) outage {
@@ -76,12 +76,12 @@
 	case kind > 0.9:
 		mean = 15 * time.Minute
 	}
-	return outage{from: at, to: at + max(step, exponential(random, mean)), intact: intact}
+	return outage{from: at, to: at + max(replayStep, exponential(random, mean)), intact: intact}
 }
 
-// goDark takes every server away for some minutes.
-func (trace *trace) goDark(random *rand.Rand) {
-	from := time.Duration(random.Int64N(int64(traceLength))).Round(step)
+// addDomainOutage makes all servers unresponsive for some minutes.
+func (trace *trace) addDomainOutage(random *rand.Rand) {
+	from := time.Duration(random.Int64N(int64(traceLength))).Round(replayStep)
 	to := from + 5*time.Minute
 	for server, outages := range trace.outages {
 		outages = slices.DeleteFunc(outages, func(outage outage) bool { return outage.from < to && outage.to > from })
@@ -89,61 +89,61 @@
 	}
 }
 
-// server is one server while a trace is played.
+// server is the state of one server during a replay.
 type server struct {
-	group  int
-	silent time.Duration
+	group           int
+	unresponsiveFor time.Duration
 }
 
-type playedGroup struct {
-	model   int
-	members []int
-	serves  time.Duration
-	gone    bool
+type replayedGroup struct {
+	model    int
+	members  []int
+	servesAt time.Duration
+	retired  bool
 }
 
-// player plays one trace to one policy.
-type player struct {
+// replay replays one trace with one policy.
+type replay struct {
 	trace   trace
-	policy  func(situation repair.Situation) []repair.Action
+	policy  func(domainState repair.DomainState) []repair.Action
 	servers []server
-	groups  []*playedGroup
+	groups  []*replayedGroup
 	learner *repair.Learner
 	wanted  []int
-	// What it cost, and the two measures.
-	cost               float64
-	downtime, stranded float64
+	// cost is the total price. downtime and idle are its two components, in group-seconds and server-seconds.
+	cost           float64
+	downtime, idle float64
 }
 
 const noGroup = -1
 
-func play(trace trace, policy func(situation repair.Situation) []repair.Action) *player {
-	return playFor(trace, policy, traceLength)
+func replayTrace(trace trace, policy func(domainState repair.DomainState) []repair.Action) *replay {
+	return replayTraceFor(trace, policy, traceLength)
 }
 
-func playFor(trace trace, policy func(situation repair.Situation) []repair.Action, length time.Duration) *player {
-	player := &player{trace: trace, policy: policy, servers: make([]server, len(trace.outages)), learner: repair.NewLearner()}
-	for index := range player.servers {
-		player.servers[index].group = noGroup
+func replayTraceFor(trace trace, policy func(domainState repair.DomainState) []repair.Action, length time.Duration) *replay {
+	replay := &replay{trace: trace, policy: policy, servers: make([]server, len(trace.outages)), learner: repair.NewLearner()}
+	for index := range replay.servers {
+		replay.servers[index].group = noGroup
 	}
-	player.wanted = fillPlain(trace.models, len(trace.outages))
-	for now := time.Duration(0); now < length; now += step {
-		player.fail(now)
-		player.act(now)
-		player.pay(now)
+	replay.wanted = greedyCounts(trace.models, len(trace.outages))
+	for now := time.Duration(0); now < length; now += replayStep {
+		replay.applyOutages(now)
+		replay.applyPolicy(now)
+		replay.accrueCost(now)
 	}
-	return player
+	return replay
 }
 
-// fillPlain is how many groups of each model fit, the neediest first.
-func fillPlain(models []repair.Model, free int) []int {
+// greedyCounts returns how many groups of each model fit, the most valuable first.
+func greedyCounts(models []repair.Model, free int) []int {
 	counts := make([]int, len(models))
 	for {
-		best, bestWorth := -1, 0.0
+		best, bestValue := -1, 0.0
 		for index, model := range models {
-			worth := model.Worth / float64(1+counts[index])
-			if model.Size <= free && worth > bestWorth {
-				best, bestWorth = index, worth
+			value := model.DowntimePrice / float64(1+counts[index])
+			if model.Size <= free && value > bestValue {
+				best, bestValue = index, value
 			}
 		}
 		if best < 0 {
@@ -154,28 +154,28 @@
 	}
 }
 
-func (player *player) fail(now time.Duration) {
-	for index := range player.servers {
-		server := &player.servers[index]
-		away, intact := player.away(index, now)
+func (replay *replay) applyOutages(now time.Duration) {
+	for index := range replay.servers {
+		server := &replay.servers[index]
+		unresponsive, intact := replay.outageState(index, now)
 		switch {
-		case away:
-			server.silent += step
-		case server.silent > 0:
-			player.learner.Came(server.silent, intact)
-			server.silent = 0
-			// A server that was paused while its group was taken apart still
-			// believes in it; the former then releases it.
-			if !intact || (server.group != noGroup && player.groups[server.group].gone) {
+		case unresponsive:
+			server.unresponsiveFor += replayStep
+		case server.unresponsiveFor > 0:
+			replay.learner.Observe(server.unresponsiveFor, intact)
+			server.unresponsiveFor = 0
+			// A server that was paused while its group was retired still considers itself a member. The former then
+			// releases it.
+			if !intact || (server.group != noGroup && replay.groups[server.group].retired) {
 				server.group = noGroup
 			}
 		}
 	}
 }
 
-// away reports whether a server does not answer, or how its last outage ended.
-func (player *player) away(index int, now time.Duration) (away, intact bool) {
-	for _, outage := range player.trace.outages[index] {
+// outageState reports whether a server is unresponsive, and otherwise whether its last outage left it intact.
+func (replay *replay) outageState(index int, now time.Duration) (unresponsive, intact bool) {
+	for _, outage := range replay.trace.outages[index] {
 		if now >= outage.from && now < outage.to {
 			return true, false
 		}
@@ -186,29 +186,29 @@
 	return false, intact
 }
 
-func (player *player) act(now time.Duration) {
-	for _, action := range player.policy(player.situation(now)) {
+func (replay *replay) applyPolicy(now time.Duration) {
+	for _, action := range replay.policy(replay.domainState(now)) {
 		switch action.Kind {
 		case repair.Retire:
-			player.retire(int(action.Number) - 1)
+			replay.retire(int(action.Number) - 1)
 		case repair.Form:
-			player.form(action, now)
+			replay.form(action, now)
 		}
 	}
 }
 
-func (player *player) retire(number int) {
-	player.groups[number].gone = true
-	for _, member := range player.groups[number].members {
-		if player.servers[member].silent == 0 && player.servers[member].group == number {
-			player.servers[member].group = noGroup
+func (replay *replay) retire(number int) {
+	replay.groups[number].retired = true
+	for _, member := range replay.groups[number].members {
+		if replay.servers[member].unresponsiveFor == 0 && replay.servers[member].group == number {
+			replay.servers[member].group = noGroup
 		}
 	}
 }
 
-func (player *player) form(action repair.Action, now time.Duration) {
-	group := &playedGroup{serves: now + load}
-	for index, model := range player.trace.models {
+func (replay *replay) form(action repair.Action, now time.Duration) {
+	group := &replayedGroup{servesAt: now + loadTime}
+	for index, model := range replay.trace.models {
 		if model.Name == action.Model {
 			group.model = index
 		}
@@ -216,87 +216,87 @@
 	for _, address := range action.Servers {
 		var member int
 		_, _ = fmt.Sscan(address, &member)
-		if player.servers[member].group != noGroup || player.servers[member].silent > 0 {
-			panic(fmt.Sprintf("server %d was given away twice", member))
+		if replay.servers[member].group != noGroup || replay.servers[member].unresponsiveFor > 0 {
+			panic(fmt.Sprintf("server %d was assigned to two groups", member))
 		}
-		player.servers[member].group = len(player.groups)
+		replay.servers[member].group = len(replay.groups)
 		group.members = append(group.members, member)
 	}
-	player.groups = append(player.groups, group)
+	replay.groups = append(replay.groups, group)
 }
 
-// situation is what a former would see.
-func (player *player) situation(now time.Duration) repair.Situation {
-	situation := repair.Situation{
-		Models: player.trace.models, Grace: 3 * time.Second, Stranded: player.trace.prices.stranded, Load: load,
-		Returns: player.learner.Returns(),
+// domainState returns the state as a former would see it.
+func (replay *replay) domainState(now time.Duration) repair.DomainState {
+	domainState := repair.DomainState{
+		Models: replay.trace.models, GracePeriod: 3 * time.Second, IdlePrice: replay.trace.prices.idle, LoadTime: loadTime,
+		Recovery: replay.learner.Recovery(),
 	}
 	inGroup := map[int]bool{}
-	for number, group := range player.groups {
-		if group.gone {
+	for number, group := range replay.groups {
+		if group.retired {
 			continue
 		}
-		seen := player.see(number, group, now)
-		if seen.Dark && seen.Broken {
+		observed := replay.observe(number, group, now)
+		if observed.Unreachable && observed.Inconsistent {
 			continue
 		}
 		for _, member := range group.members {
 			inGroup[member] = true
 		}
-		situation.Groups = append(situation.Groups, seen)
+		domainState.Groups = append(domainState.Groups, observed)
 	}
-	for index, server := range player.servers {
+	for index, server := range replay.servers {
 		switch {
-		case server.silent > 0 && !inGroup[index]:
-			situation.Away = append(situation.Away, server.silent)
-		case server.silent == 0 && server.group == noGroup:
-			situation.Free = append(situation.Free, fmt.Sprint(index))
+		case server.unresponsiveFor > 0 && !inGroup[index]:
+			domainState.Unresponsive = append(domainState.Unresponsive, server.unresponsiveFor)
+		case server.unresponsiveFor == 0 && server.group == noGroup:
+			domainState.Free = append(domainState.Free, fmt.Sprint(index))
 		}
 	}
-	return situation
+	return domainState
 }
 
-func (player *player) see(number int, group *playedGroup, now time.Duration) repair.Group {
-	seen := repair.Group{Number: uint64(number + 1), Model: player.trace.models[group.model].Name, Dark: true}
+func (replay *replay) observe(number int, group *replayedGroup, now time.Duration) repair.Group {
+	observed := repair.Group{Number: uint64(number + 1), Model: replay.trace.models[group.model].Name, Unreachable: true}
 	for _, member := range group.members {
-		server := player.servers[member]
-		seen.Members = append(seen.Members, fmt.Sprint(member))
+		server := replay.servers[member]
+		observed.Members = append(observed.Members, fmt.Sprint(member))
 		switch {
-		case server.silent > 0:
-			seen.Silent = max(seen.Silent, server.silent)
-			seen.SilentMembers++
+		case server.unresponsiveFor > 0:
+			observed.UnresponsiveFor = max(observed.UnresponsiveFor, server.unresponsiveFor)
+			observed.UnresponsiveMembers++
 		case server.group != number:
-			seen.Broken = true
+			observed.Inconsistent = true
 		default:
-			seen.Dark = false
+			observed.Unreachable = false
 		}
 	}
-	seen.Serving = now >= group.serves && seen.Silent == 0 && !seen.Broken
-	return seen
+	observed.Serving = now >= group.servesAt && observed.UnresponsiveFor == 0 && !observed.Inconsistent
+	return observed
 }
 
-// pay adds what this second costs.
-func (player *player) pay(now time.Duration) {
-	serving := make([]int, len(player.trace.models))
+// accrueCost adds the cost of this second.
+func (replay *replay) accrueCost(now time.Duration) {
+	serving := make([]int, len(replay.trace.models))
 	busy := 0
-	for number, group := range player.groups {
-		if !group.gone && player.see(number, group, now).Serving {
+	for number, group := range replay.groups {
+		if !group.retired && replay.observe(number, group, now).Serving {
 			serving[group.model]++
 			busy += len(group.members)
 		}
 	}
 	healthy := 0
-	for _, server := range player.servers {
-		if server.silent == 0 {
+	for _, server := range replay.servers {
+		if server.unresponsiveFor == 0 {
 			healthy++
 		}
 	}
-	seconds := step.Seconds()
-	for index, model := range player.trace.models {
-		missing := float64(max(0, player.wanted[index]-serving[index]))
-		player.downtime += missing * seconds
-		player.cost += missing * model.Worth * seconds
+	seconds := replayStep.Seconds()
+	for index, model := range replay.trace.models {
+		missing := float64(max(0, replay.wanted[index]-serving[index]))
+		replay.downtime += missing * seconds
+		replay.cost += missing * model.DowntimePrice * seconds
 	}
-	player.stranded += float64(healthy-busy) * seconds
-	player.cost += float64(healthy-busy) * player.trace.prices.stranded * seconds
+	replay.idle += float64(healthy-busy) * seconds
+	replay.cost += float64(healthy-busy) * replay.trace.prices.idle * seconds
 }
--- a/internal/run/node/view.go
+++ b/internal/run/node/view.go
@@ -83,7 +83,7 @@
 	for _, model := range node.settings.Models {
 		if worth[model.Name] > 0 {
 			models = append(models, repair.Model{
-				Name: model.Name, Size: model.GroupSize, Worth: worth[model.Name], Wanted: model.GroupsWanted,
+				Name: model.Name, Size: model.GroupSize, DowntimePrice: worth[model.Name], Wanted: model.GroupsWanted,
 			})
 		}
 	}
