--- a/internal/policy/dispatch/admit.go
+++ b/internal/policy/dispatch/admit.go
@@ -35,7 +35,7 @@
 // cold reports whether the server must get few calls: either the server is reported cold, or it may have become
 // cold while its data centre was drained.
 func (target *Target) cold(now time.Duration) bool {
-	return target.ColdLimit.Bounded() && (target.Cold || target.drainMark.EndedWithin(target.ColdDuration, now))
+	return target.ColdLimit.Enabled() && (target.Cold || target.drainMark.EndedWithin(target.ColdDuration, now))
 }
 
 // Avoided reports whether new calls are kept away from the target.
@@ -45,12 +45,12 @@
 
 // coldLimit returns the number of calls per second that this node may send to a cold target.
 func (board *Board) coldLimit(target *Target) int {
-	return target.ColdLimit.Part(board.nodeCount(), target.warmupDraw)
+	return target.ColdLimit.NodeLimit(board.nodeCount(), target.warmupDraw)
 }
 
 // takeColdPermit reports whether a call may be sent to the target: the target isn't cold, or this node's cold
 // limit is not used up. It counts the call against the limit.
 func (board *Board) takeColdPermit(target *Target) bool {
 	now := board.now()
-	return !target.cold(now) || target.warmup.Take(now, board.coldLimit(target))
+	return !target.cold(now) || target.warmup.Allow(now, board.coldLimit(target))
 }
--- a/internal/policy/dispatch/burst_test.go
+++ b/internal/policy/dispatch/burst_test.go
@@ -161,14 +161,14 @@
 	if !model.sharesDemand {
 		return
 	}
-	own, sum := make([]demand.Sums, len(model.demands)), demand.Sums{}
+	own, sum := make([]demand.PoolRates, len(model.demands)), demand.PoolRates{}
 	for number, tracker := range model.demands {
-		own[number] = tracker.Own()
+		own[number] = tracker.Local()
 		sum.Add(own[number])
 	}
 	model.after(model.propagationDelay, func() {
 		for number, tracker := range model.demands {
-			tracker.Take(sum.Less(own[number]))
+			tracker.SetRemote(sum.Subtract(own[number]))
 		}
 	})
 }
--- a/internal/policy/dispatch/call.go
+++ b/internal/policy/dispatch/call.go
@@ -51,7 +51,7 @@
 	now := call.target.now()
 	call.target.lastEventAt.Store(int64(now))
 	call.target.dataCentrePath.recordResponse(now)
-	call.target.path.Heard(call.target.ID)
+	call.target.path.RecordActivity(call.target.ID)
 	if !call.started.Swap(true) {
 		call.target.startedStreams.Add(1)
 		call.target.pendingPromptTokens.Add(-call.promptTokens)
--- a/internal/policy/dispatch/datacentre.go
+++ b/internal/policy/dispatch/datacentre.go
@@ -193,11 +193,11 @@
 func (target *Target) RecordResponse() {
 	target.breaker.recordAnswer(target.now())
 	target.dataCentrePath.recordResponse(target.now())
-	target.path.Heard(target.ID)
+	target.path.RecordActivity(target.ID)
 }
 
 // RecordTimeout records that a call to the target, sent at the given time, timed out.
 func (target *Target) RecordTimeout(sent time.Duration) {
 	target.dataCentrePath.recordTimeout(target.ID, sent)
-	target.path.Broke(target.ID, sent)
+	target.path.RecordBreak(target.ID, sent)
 }
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -82,7 +82,7 @@
 	// dataCentrePath is the network path to the target's data centre, nil for the node's own data centre.
 	dataCentrePath *dataCentrePath
 	// path is this node's network path to the servers of the target's service in the target's data centre.
-	path *reach.Way
+	path *reach.Path
 	// slotTime holds the measured slot times of the target's pool, nil for a plain server.
 	slotTime *slotTime
 	// drainMark tells whether the target's data centre is drained.
@@ -100,7 +100,7 @@
 	record *notice.Record
 	// warmup limits this node's calls while the server is cold. warmupDraw is the random number that decides the
 	// node's share of the limit.
-	warmup     warmup.Gate
+	warmup     warmup.Limiter
 	warmupDraw float64
 	// ownCalls and peerCalls count the calls in progress.
 	ownCalls  atomic.Int32
@@ -159,7 +159,7 @@
 	random       func(n int) int
 	now          clock.Now
 	serverRecord func(run ratelimit.Run) *notice.Record
-	paths        *reach.Ways
+	paths        *reach.Paths
 	// hasIdleConnection reports whether there is an open connection to an address that carries no call.
 	hasIdleConnection func(address string) bool
 	drainMark         func(dataCentre string) *drain.Mark
@@ -211,7 +211,7 @@
 }
 
 // Paths sets this node's network paths to servers.
-func Paths(paths *reach.Ways) Option {
+func Paths(paths *reach.Paths) Option {
 	return func(board *Board) { board.paths = paths }
 }
 
@@ -271,7 +271,7 @@
 	for name, specs := range pools {
 		pool := &pool{}
 		for _, spec := range specs {
-			target := &Target{Spec: spec, localState: board.localState(spec), dataCentrePath: board.dataCentrePath(spec.DataCentre, next), path: board.paths.Of(destinationOf(&spec)), drainMark: board.drainMark(spec.DataCentre)}
+			target := &Target{Spec: spec, localState: board.localState(spec), dataCentrePath: board.dataCentrePath(spec.DataCentre, next), path: board.paths.Get(destinationOf(&spec)), drainMark: board.drainMark(spec.DataCentre)}
 			if spec.Group != "" {
 				target.slotTime = board.slotTime(name)
 			}
--- a/internal/policy/dispatch/pace.go
+++ b/internal/policy/dispatch/pace.go
@@ -105,7 +105,7 @@
 	expected := target.PassTime - time.Duration(max(0, target.Slots-target.ActiveCalls()))*target.PassTimePerCall
 	events = max(1, events)
 	eventCount := time.Duration(events)
-	target.pace.meter.Note(pace.Gap{Took: (now - previousAt) / eventCount, Pass: max(expected, target.PassTime/4), Reading: max(prefillTime, previousPrefillTime) / eventCount}, now)
+	target.pace.meter.Record(pace.Interval{Elapsed: (now - previousAt) / eventCount, ExpectedPass: max(expected, target.PassTime/4), ExpectedPrefill: max(prefillTime, previousPrefillTime) / eventCount}, now)
 }
 
 // RecordForwardTime records how long forwarding the last event to the caller took.
@@ -135,40 +135,40 @@
 		pool := pools[name]
 		for index, result := range pool.updatePaces(now) {
 			target := pool.targets[index]
-			becameSlow, recovered := target.pace.update(result.News, target.slowdown() > 1, now)
+			becameSlow, recovered := target.pace.update(result.Changed, target.slowdown() > 1, now)
 			switch {
 			case becameSlow:
-				board.PaceCounts.Found.Add(1)
+				board.PaceCounts.FoundSlow.Add(1)
 			case recovered:
-				board.PaceCounts.Ended.Add(1)
-			case !result.News:
+				board.PaceCounts.Recovered.Add(1)
+			case !result.Changed:
 				continue
 			}
-			changes = append(changes, PaceChange{Target: target, Factor: result.Factor, Broadcast: result.News, BecameSlow: becameSlow, Recovered: recovered})
+			changes = append(changes, PaceChange{Target: target, Factor: result.Factor, Broadcast: result.Changed, BecameSlow: becameSlow, Recovered: recovered})
 		}
 	}
 	return changes
 }
 
 // updatePaces recomputes and applies the slowdown factors of the pool's groups.
-func (pool *pool) updatePaces(now time.Duration) []pace.Learnt {
+func (pool *pool) updatePaces(now time.Duration) []pace.Assessment {
 	if len(pool.targets) == 0 || pool.targets[0].Group == "" {
 		return nil
 	}
-	results, factors := make([]pace.Learnt, len(pool.targets)), make([]float64, len(pool.targets))
+	results, factors := make([]pace.Assessment, len(pool.targets)), make([]float64, len(pool.targets))
 	measured := []pace.Measurement{}
 	for _, target := range pool.targets {
-		if measurement, known := target.pace.meter.Measured(now); known {
+		if measurement, known := target.pace.meter.Measure(now); known {
 			measured = append(measured, measurement)
 		}
 	}
-	baseline := pace.Usual(measured)
+	baseline := pace.Baseline(measured)
 	for index, target := range pool.targets {
-		results[index] = target.pace.meter.Look(baseline, now)
+		results[index] = target.pace.meter.Evaluate(baseline, now)
 		factors[index] = results[index].Factor
 		target.pace.measured.Store(toHundredths(factors[index]))
 	}
-	for index, factor := range pace.Slow(factors) {
+	for index, factor := range pace.EffectiveFactors(factors) {
 		pool.targets[index].pace.applied.Store(toHundredths(factor))
 	}
 	return results
@@ -192,10 +192,10 @@
 func (board *Board) ApplyPeerPace(peerPace *PeerPace) bool {
 	target := board.targetByKey(peerPace.TargetKey())
 	now := board.now()
-	if target == nil || !target.pace.meter.Take(peerPace.Factor, now-peerPace.Age, now) {
+	if target == nil || !target.pace.meter.ApplyRemote(peerPace.Factor, now-peerPace.Age, now) {
 		return false
 	}
-	board.PaceCounts.Heard.Add(1)
+	board.PaceCounts.Received.Add(1)
 	return true
 }
 
@@ -205,7 +205,7 @@
 	if target == nil {
 		return PeerPace{}, false
 	}
-	factor, age := target.pace.meter.Told(board.now())
+	factor, age := target.pace.meter.Announced(board.now())
 	return PeerPace{Server: target.ID, Group: target.Group, Born: target.Born, Factor: factor, Age: age}, true
 }
 
--- a/internal/policy/dispatch/path.go
+++ b/internal/policy/dispatch/path.go
@@ -15,53 +15,53 @@
 	recentEvent = 250 * time.Millisecond
 )
 
-func destinationOf(spec *Spec) reach.Place {
-	return reach.Place{Service: spec.Service, DataCentre: spec.DataCentre}
+func destinationOf(spec *Spec) reach.Destination {
+	return reach.Destination{Service: spec.Service, DataCentre: spec.DataCentre}
 }
 
 // updatePathServers tells each path which servers it leads to.
 func (board *Board) updatePathServers(current *snapshot) {
-	servers := map[reach.Place][]string{}
+	servers := map[reach.Destination][]string{}
 	for _, pool := range current.pools {
 		for _, target := range pool.targets {
 			servers[destinationOf(&target.Spec)] = append(servers[destinationOf(&target.Spec)], target.ID)
 		}
 	}
 	for _, path := range board.paths.All() {
-		path.List(servers[path.Place])
+		path.SetServers(servers[path.Destination])
 	}
 }
 
 // RecordConnected records that a connection to the target was opened for a call.
 func (target *Target) RecordConnected() {
-	target.path.Opened(target.ID)
+	target.path.RecordConnect(target.ID)
 }
 
 // RecordConnectFailure records that connecting to the target failed, by an attempt that began at the given time.
 func (target *Target) RecordConnectFailure(began time.Duration) {
-	target.path.Unopened(target.ID, began)
+	target.path.RecordConnectFailure(target.ID, began)
 }
 
 // RecordBrokenConnection records that the connection of a call at the target broke.
 func (target *Target) RecordBrokenConnection() {
-	target.path.Broke(target.ID, target.now())
+	target.path.RecordBreak(target.ID, target.now())
 }
 
 // PathHealthy reports whether the path to the target is healthy. If it isn't, a failed call there says nothing
 // about the server.
 func (target *Target) PathHealthy() bool {
-	return target.path.Standing() == reach.Open
+	return target.path.Status() == reach.Healthy
 }
 
 // Path returns this node's network path to the target.
-func (target *Target) Path() *reach.Way {
+func (target *Target) Path() *reach.Path {
 	return target.path
 }
 
 // ReachableByIdleConnection reports whether the target can still be called although its path is lost: something
 // has just arrived from it, and an idle connection to it is open.
 func (board *Board) ReachableByIdleConnection(target *Target) bool {
-	return target.path.Alive(target.ID) && board.hasIdleConnection(target.Address)
+	return target.path.RecentlyActive(target.ID) && board.hasIdleConnection(target.Address)
 }
 
 // AllPathsLost reports whether a pool has targets and the paths to all of them are lost.
@@ -71,7 +71,7 @@
 		return false
 	}
 	for _, target := range pool.targets {
-		if target.path.Standing() != reach.Lost {
+		if target.path.Status() != reach.Lost {
 			return false
 		}
 	}
@@ -79,7 +79,7 @@
 }
 
 // Paths returns this node's network paths to servers.
-func (board *Board) Paths() *reach.Ways {
+func (board *Board) Paths() *reach.Paths {
 	return board.paths
 }
 
@@ -92,7 +92,7 @@
 			continue
 		}
 		if silence := target.silenceThreshold(minPathSilence); target.readableStreams() > 0 || now-target.oldestUnanswered(now) >= silence {
-			target.path.Silent(silence)
+			target.path.RecordSilence(silence)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 
 // DuePathProbes returns the probes that are due on suspected and lost paths.
 func (board *Board) DuePathProbes() []PathProbe {
-	due := board.paths.Due()
+	due := board.paths.DueProbes()
 	if len(due) == 0 {
 		return nil
 	}
@@ -122,7 +122,7 @@
 
 // MoveCallsOff moves the calls of a lost path elsewhere, except at groups that have just had an event. It
 // returns the number of calls moved.
-func (board *Board) MoveCallsOff(path *reach.Way) int {
+func (board *Board) MoveCallsOff(path *reach.Path) int {
 	moved, now := 0, board.now()
 	for _, target := range board.snapshot.Load().targets {
 		if target.path == path && target.Group != "" && now-time.Duration(target.lastEventAt.Load()) > recentEvent {
--- a/internal/policy/dispatch/pick.go
+++ b/internal/policy/dispatch/pick.go
@@ -116,7 +116,7 @@
 			continue
 		}
 		usable++
-		if target.ActiveCalls() >= target.Slots+criteria.MaxQueued || (target.cold(now) && !target.warmup.Open(now, board.coldLimit(target))) {
+		if target.ActiveCalls() >= target.Slots+criteria.MaxQueued || (target.cold(now) && !target.warmup.WouldAllow(now, board.coldLimit(target))) {
 			continue
 		}
 		costs[index] = criteria.cost(target) + target.failureCost(now)
--- a/internal/policy/dispatch/shedding.go
+++ b/internal/policy/dispatch/shedding.go
@@ -85,13 +85,13 @@
 		rates = rates.Times(float64(max(1, board.countedNodes())))
 	}
 	overload := Overload{Capacity: board.capacity(pool.targets, board.now(), &criteria)}
-	for other, rate := range rates.Asked {
+	for other, rate := range rates.Requested {
 		overload.Requested += rate
 		if other < rank {
 			overload.HigherPriority += rate
 		}
 	}
-	fraction := admittedFraction(rates.Asked, rank, overload.Capacity)
+	fraction := admittedFraction(rates.Requested, rank, overload.Capacity)
 	return overload, fraction < 1 && float64(board.random(drawResolution))/drawResolution >= fraction
 }
 
@@ -100,10 +100,10 @@
 
 // RecordDemand counts a call of a rank that is requested of a pool.
 func (board *Board) RecordDemand(name string, rank int) {
-	board.demand.Asked(name, rank)
+	board.demand.RecordRequest(name, rank)
 }
 
 // RecordRefusal counts a call that was refused because its pool had no slot for it.
 func (board *Board) RecordRefusal(name string) {
-	board.demand.Refused(name)
+	board.demand.RecordRefusal(name)
 }
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -86,7 +86,7 @@
 	rawVersion    atomic.Pointer[rawConfiguration]
 	drained       *drain.Table
 	servers       *roster.List
-	cold          *warmup.Table
+	cold          *warmup.ColdTable
 	view          *formation.View
 	former        *formation.Former
 	keeper        *tenure.Keeper
@@ -176,12 +176,12 @@
 		dirty: make(chan struct{}, 1), known: make(chan struct{}), suspectsNews: make(chan struct{}, 1), measures: newMeasures(), relays: tree.Relays,
 	}
 	node.services.Store(&engineServices{version: -1})
-	node.memory = memory.New(memory.Part(settings.Limits.MemoryBytes))
+	node.memory = memory.New(memory.BudgetFor(settings.Limits.MemoryBytes))
 	for _, option := range options {
 		option(node)
 	}
 	node.storeCalls = store.NewCalls(store.Clock(node.now), store.Lost(node.storeLost), store.Returned(node.storeReturned), store.Hung(node.storeHung))
-	node.drained, node.cold = drain.New(drain.Clock(node.now)), warmup.NewTable(node.now)
+	node.drained, node.cold = drain.New(drain.Clock(node.now)), warmup.NewColdTable(node.now)
 	node.servers = roster.New(roster.Draining(func(id string, born int64) bool {
 		return node.notices.Draining(ratelimit.Run{Server: id, Born: born})
 	}))
@@ -270,7 +270,7 @@
 		node.detours.listener = listener
 		node.detours.served = &http.Server{Handler: node.forwarder.Inward(), ReadHeaderTimeout: headerTimeout, IdleTimeout: detourIdle, ErrorLog: silent()}
 	}
-	if node.memory.Bounded() {
+	if node.memory.Limited() {
 		node.listeners[0] = boundCallers(node.listeners[0])
 		if node.detours.enabled() {
 			node.detours.listener = boundCallers(node.detours.listener)
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -134,14 +134,14 @@
 func (node *Node) counters() map[string]uint64 {
 	formed, calls, links := &node.former.Counts, &node.pool.Counts, &node.peers.overlay.Counts
 	paces := &node.board.PaceCounts
-	held, most, refused := node.memory.Sums()
+	held, most, refused := node.memory.Totals()
 	return map[string]uint64{
 		"Requests": node.forwarder.Counts.Requests.Load(), "Repeats": node.forwarder.Counts.Repeats.Load(),
 		"Quarantined": node.forwarder.Counts.Quarantined.Load(), "ServerEnds": node.forwarder.Counts.ServerEnds.Load(),
 		"Limited": node.forwarder.Counts.Limited.Load(), "BackedOff": node.forwarder.Counts.BackedOff.Load(), "Shed": node.forwarder.Counts.Shed.Load(), "Unanswered": node.forwarder.Counts.Unanswered.Load(), "LimitsLearnt": node.limits.Counts.Learned.Load(), "LimitsUnreadable": node.limits.Counts.Unreadable.Load(),
 		"BackoffsLearnt": node.notices.Counts.Backoffs.Load(), "BackoffsHinted": node.notices.Counts.Hints.Load(), "BackoffsUnreadable": node.notices.Counts.Unreadable.Load(),
 		"DrainsLearnt": node.notices.Counts.Drains.Load(), "CallsWithheld": node.notices.Counts.Withheld.Load(),
-		"GroupsFoundSlow": paces.Found.Load(), "GroupsNotSlowAnyMore": paces.Ended.Load(), "PacesHeard": paces.Heard.Load(),
+		"GroupsFoundSlow": paces.FoundSlow.Load(), "GroupsNotSlowAnyMore": paces.Recovered.Load(), "PacesHeard": paces.Received.Load(),
 		"GroupsFormed": formed.Formed.Load(), "GroupsAbandoned": formed.Abandoned.Load(), "GroupsLost": formed.Lost.Load(),
 		"GroupsRetired": formed.Retired.Load(), "ServersStaged": formed.Staged.Load(), "Orders": formed.Orders.Load(),
 		"GroupsLent": formed.Lent.Load(), "Reports": formed.Reports.Load(), "SilentButWhole": formed.WholeSeen.Load(),
@@ -152,7 +152,7 @@
 		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesTaken.Load(), "FrameBytesSent": links.BytesSent.Load(),
 		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.newsLearnt.Load(),
 		"MemoryHeld": uint64(held), "MemoryMost": uint64(most), "MemoryRefused": refused,
-		"DemandAsked": node.demand.Counts.Asked.Load(), "DemandRefused": node.demand.Counts.Refused.Load(), "DemandTaken": node.demand.Counts.Taken.Load(),
+		"DemandAsked": node.demand.Counts.Requested.Load(), "DemandRefused": node.demand.Counts.Refused.Load(), "DemandTaken": node.demand.Counts.RemoteUpdates.Load(),
 		"WaysLost": node.waysLost.Load(), "DetoursSent": node.forwarder.Counts.DetoursSent.Load(),
 		"DetoursTaken": node.forwarder.Counts.DetoursTaken.Load(), "DetoursRefused": node.forwarder.Counts.DetoursRefused.Load(),
 		"Goroutines": uint64(runtime.NumGoroutine()),
