--- a/internal/fleet/formation/demand.go
+++ b/internal/fleet/formation/demand.go
@@ -10,168 +10,170 @@
 	"hazelslip/internal/fleet/roster"
 )
 
-// keepPlanned remembers what the domains of a service should hold.
-func (former *Former) keepPlanned(service Service, domains []Domain) {
-	former.mu.Lock()
-	defer former.mu.Unlock()
-	for number := range domains {
-		former.planned[service.Name+"/"+domains[number].Name] = domains[number].Planned
+// savePlannedLayouts stores the planned layout of each domain of a service.
+func (controller *Controller) savePlannedLayouts(service Service, domains []Domain) {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	for index := range domains {
+		controller.plannedLayouts[service.Name+"/"+domains[index].Name] = domains[index].Planned
 	}
 }
 
-// spareShare is the part of a service's servers that is kept out of groups, so
-// that a group that loses a member stands again after a warm start in place of a
-// load. Members are lost one by one every few seconds.
-const spareShare = 0.1
+// spareFraction is the fraction of a service's servers that is kept out of groups. With a spare, a
+// group that loses a member is re-formed after a warm start instead of a load. Members are lost one
+// at a time, every few seconds.
+const spareFraction = 0.1
 
-// plan starts what should be done with the free servers of a service.
-func (former *Former) plan(term int64, service Service, servers *roster.Snapshot, listed []*Listed) {
-	domains, usable := former.domains(service, servers, listed)
-	demands := former.demands(service, usable)
-	quiet := former.Quiet()
-	former.tell(service, domains, demands, usable)
-	steps := Plan(domains, demands, quiet)
-	former.keepPlanned(service, domains)
-	waits := false
+// planService computes the plan of a service and starts its steps.
+func (controller *Controller) planService(term int64, service Service, servers *roster.Snapshot, listed []*ListedGroup) {
+	domains, usable := controller.domains(service, servers, listed)
+	demands := controller.demands(service, usable)
+	beforeFirstRequest := controller.BeforeFirstRequest()
+	controller.logPlan(service, domains, demands, usable)
+	steps := Plan(domains, demands, beforeFirstRequest)
+	controller.savePlannedLayouts(service, domains)
+	formationBlocked := false
 	for _, step := range steps {
 		if step.Retire {
-			former.lendOne(term, step)
+			controller.retireForOtherModel(term, step)
 			continue
 		}
-		if (step.Stage && waits) || !former.reserve(&step) {
+		if (step.Stage && formationBlocked) || !controller.reserve(&step) {
 			continue
 		}
-		if step.Loads > 0 && !former.mayLoad(service, &step, quiet) {
-			former.release(&step)
-			// Loads one by one would keep the gate full, and no group would come
-			// through.
-			waits = waits || !step.Stage
+		if step.Loads > 0 && !controller.admitLoads(service, &step, beforeFirstRequest) {
+			controller.release(&step)
+			// A group's loads must be admitted together. If later single loads were still
+			// admitted in this round, they would keep the limiter full and the group's loads
+			// would never be admitted.
+			formationBlocked = formationBlocked || !step.Stage
 			continue
 		}
-		former.Go(func() {
-			defer former.release(&step)
-			defer former.gate.finish(step.Loads)
+		controller.Go(func() {
+			defer controller.release(&step)
+			defer controller.loadLimiter.finish(step.Loads)
 			if step.Stage {
-				former.stage(term, step.Model, step.Members[0])
+				controller.stageModel(term, step.Model, step.Members[0])
 				return
 			}
-			former.form(term, service, step.Model, step.Members)
+			controller.formGroup(term, service, step.Model, step.Members)
 		})
 	}
 }
 
-// tellEvery is how often what the planner sees is logged.
-const tellEvery = 2 * time.Second
+// planLogInterval is the minimum interval between two log lines about one service's plan.
+const planLogInterval = 2 * time.Second
 
-// tell logs what the planner sees, at most every other second.
-func (former *Former) tell(service Service, domains []Domain, demands []Demand, usable int) {
-	former.mu.Lock()
-	defer former.mu.Unlock()
-	now := former.Now()
-	if now-former.told[service.Name] < tellEvery && former.told[service.Name] != 0 {
+// logPlan logs the planner's input and the planned layouts, at most once per planLogInterval and
+// service.
+func (controller *Controller) logPlan(service Service, domains []Domain, demands []Demand, usable int) {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	now := controller.Now()
+	if now-controller.planLoggedAt[service.Name] < planLogInterval && controller.planLoggedAt[service.Name] != 0 {
 		return
 	}
-	former.told[service.Name] = now
-	attributes := []any{"Service", service.Name, "Usable", usable, "Busy", len(former.busy), "Ending", len(former.working)}
+	controller.planLoggedAt[service.Name] = now
+	attributes := []any{"Service", service.Name, "Usable", usable, "Busy", len(controller.joining), "Ending", len(controller.groupsInWork)}
 	for _, demand := range demands {
 		staged := 0
-		for number := range domains {
-			staged += domains[number].staged(demand.Name)
+		for index := range domains {
+			staged += domains[index].freeWithModel(demand.Name)
 		}
-		attributes = append(attributes, slog.Group(demand.Name, "Have", demand.Have, "Want", math.Round(demand.Want*10)/10, "StagedSpares", staged))
+		attributes = append(attributes, slog.Group(demand.Name, "Have", demand.Current, "Want", math.Round(demand.Desired*10)/10, "StagedSpares", staged))
 	}
-	attributes = append(attributes, slog.Any("Domains", describe(domains, demands)))
-	former.Logger.Info("former: the plan.", attributes...)
+	attributes = append(attributes, slog.Any("Domains", describeMismatches(domains, demands)))
+	controller.Logger.Info("former: plan computed.", attributes...)
 }
 
 const (
-	// loadsUsed is the part of the bound on loads that is used: a load that is
-	// ordered late begins in another window than it was counted in.
-	loadsUsed = 0.75
-	// spareLoads is the part of the loads at once that those for spares may take:
-	// a group that waits for one server would wait for a load of a spare first.
-	spareLoads = 0.5
+	// loadBudgetFraction is the fraction of the load limit that is used. A load that is ordered
+	// late begins in a later window than the one that it was counted in.
+	loadBudgetFraction = 0.75
+	// spareLoadFraction is the fraction of the concurrent loads that loads for spares may take.
+	// Without it, a group that lacks one server would first wait for a spare's load.
+	spareLoadFraction = 0.5
 )
 
-// domainsTold is how many domains are told of at most, for lines of bounded length.
-const domainsTold = 12
+// maxLoggedDomains bounds the number of domains in one log line.
+const maxLoggedDomains = 12
 
-// describe tells of the domains that don't hold what they should: servers to use,
-// free ones, and by model the groups there are and should be, the free servers that
-// have it, those that load it or come free with it, and members that have it beside
-// their work.
-func describe(domains []Domain, demands []Demand) []string {
+// describeMismatches describes the domains whose groups differ from the planned layout. Each line
+// has the usable and the free servers, and per model: current and planned groups, free servers that
+// start the model without a load, servers that are loading it, servers that are about to be
+// released with it, and members of other models' groups that have it staged.
+func describeMismatches(domains []Domain, demands []Demand) []string {
 	lines := []string{}
-	for number := range domains {
-		domain := &domains[number]
-		line := fmt.Sprintf("%s: %d servers, %d free", domain.Name, domain.Servers, len(domain.Spares))
+	for index := range domains {
+		domain := &domains[index]
+		line := fmt.Sprintf("%s: %d servers, %d free", domain.Name, domain.ServerCount, len(domain.FreeServers))
 		asPlanned := true
 		for model := range demands {
 			demand := &demands[model]
-			has, planned := domain.has(demand.Name), domain.Planned[demand.Name]
-			asPlanned = asPlanned && has == planned
-			line += fmt.Sprintf(", %s %d/%d (%d have it, %d load it, %d soon, %d beside)", demand.Name, has, planned,
-				domain.staged(demand.Name), domain.Loading[demand.Name], domain.Soon[demand.Name], domain.prepared(demand))
+			current, planned := domain.groupCount(demand.Name), domain.Planned[demand.Name]
+			asPlanned = asPlanned && current == planned
+			line += fmt.Sprintf(", %s %d/%d groups (%d free with model, %d loading, %d releasing, %d in other groups)", demand.Name, current, planned,
+				domain.freeWithModel(demand.Name), domain.Loading[demand.Name], domain.Releasing[demand.Name], domain.membersWithModel(demand))
 		}
-		if !asPlanned && len(lines) < domainsTold {
+		if !asPlanned && len(lines) < maxLoggedDomains {
 			lines = append(lines, line)
 		}
 	}
 	return lines
 }
 
-// mayLoad says whether so many more loads may begin. Loads beyond what the
-// store serves at full speed slow each other down, so the most urgent go first
-// and the others wait their turn here.
-func (former *Former) mayLoad(service Service, step *Step, quiet bool) bool {
-	atOnce := max(1, service.Engine.LoadsAtOnce)
-	window := former.Bounds.LoadWindow
-	most := int(service.Engine.LoadsPerSecond * window.Seconds() * former.Bounds.LoadBurst * loadsUsed)
-	if quiet {
-		return former.gate.begin(step.Loads, most)
+// admitLoads reports whether the loads of a step may begin now. Loads beyond what the weight store
+// serves at full speed slow each other down, so the most urgent loads go first and the others wait
+// for a later round.
+func (controller *Controller) admitLoads(service Service, step *Step, beforeFirstRequest bool) bool {
+	maxConcurrent := max(1, service.Engine.LoadsAtOnce)
+	window := controller.Bounds.LoadWindow
+	maxLoads := int(service.Engine.LoadsPerSecond * window.Seconds() * controller.Bounds.LoadBurstFactor * loadBudgetFraction)
+	if beforeFirstRequest {
+		return controller.loadLimiter.admitBeforeFirstRequest(step.Loads, maxLoads)
 	}
 	if !step.Urgent {
-		atOnce = max(1, int(float64(atOnce)*spareLoads))
+		maxConcurrent = max(1, int(float64(maxConcurrent)*spareLoadFraction))
 	}
-	return former.gate.take(step.Loads, atOnce, most, window)
+	return controller.loadLimiter.admit(step.Loads, maxConcurrent, maxLoads, window)
 }
 
-// domains sorts a service's servers: which are free, and which groups a domain
-// has. It also returns how many servers there are to use.
-func (former *Former) domains(service Service, servers *roster.Snapshot, listed []*Listed) ([]Domain, int) {
-	former.mu.Lock()
-	defer former.mu.Unlock()
-	now := former.Now()
+// domains builds the planner's input from the server list: the free servers and the groups of each
+// of a service's fabric domains. It also returns the number of usable servers.
+func (controller *Controller) domains(service Service, servers *roster.Snapshot, listed []*ListedGroup) ([]Domain, int) {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	now := controller.Now()
 	byName := map[string]*Domain{}
-	inNews := membersInNews(former.View.fresh(servers))
+	announced := announcedMembers(controller.View.announcedServing(servers))
 	usable := 0
 	for _, server := range servers.ByService[service.Name] {
-		if !former.usableLocked(server, now) {
+		if !controller.isUsableLocked(server, now) {
 			continue
 		}
 		usable++
 		domain, ok := byName[server.FabricDomain]
 		if !ok {
 			domain = &Domain{
-				Name: server.FabricDomain, Groups: map[string]int{}, Loading: map[string]int{}, Soon: map[string]int{},
-				Planned: former.planned[service.Name+"/"+server.FabricDomain],
+				Name: server.FabricDomain, Groups: map[string]int{}, Loading: map[string]int{}, Releasing: map[string]int{},
+				Planned: controller.plannedLayouts[service.Name+"/"+server.FabricDomain],
 			}
 			byName[server.FabricDomain] = domain
 		}
-		domain.Servers++
-		if model := former.staging[server.ID]; model != "" {
+		domain.ServerCount++
+		if model := controller.staging[server.ID]; model != "" {
 			domain.Loading[model]++
 		}
-		if !former.freeLocked(server, inNews) || former.settling[server.ID].holds(server, now) {
+		if !controller.isFreeLocked(server, announced) || controller.settling[server.ID].appliesTo(server, now) {
 			continue
 		}
-		if spare := former.spareLocked(server); spare.Staging == "" || spare.Last != "" {
-			domain.Spares = append(domain.Spares, spare)
+		if info := controller.serverInfoLocked(server); info.Staging == "" || info.LastModel != "" {
+			domain.FreeServers = append(domain.FreeServers, info)
 		}
 	}
-	counted := former.countGroupsLocked(service, servers, listed, byName)
-	former.servingLocked(service, servers, byName)
-	former.soonLocked(servers.ByService[service.Name], counted, inNews, byName, now)
+	groupMembers := controller.countGroupsLocked(service, servers, listed, byName)
+	controller.addServingGroupsLocked(service, servers, byName)
+	controller.countReleasingLocked(servers.ByService[service.Name], groupMembers, announced, byName, now)
 	domains := make([]Domain, 0, len(byName))
 	for _, domain := range byName {
 		domains = append(domains, *domain)
@@ -180,49 +182,49 @@
 	return domains, usable
 }
 
-// usableLocked says whether a server counts as one of its domain.
-func (former *Former) usableLocked(server *roster.Server, now time.Duration) bool {
-	return !server.Draining && server.FabricDomain != "" && !former.lost[server.ID].holds(server, now)
+// isUsableLocked reports whether a server counts as one of its domain. The caller holds the mutex.
+func (controller *Controller) isUsableLocked(server *roster.Server, now time.Duration) bool {
+	return !server.Draining && server.FabricDomain != "" && !controller.lost[server.ID].appliesTo(server, now)
 }
 
-func (former *Former) spareLocked(server *roster.Server) Spare {
-	return Spare{ID: server.ID, Staged: server.Staged, Last: former.ran[server.ID], Staging: former.staging[server.ID]}
+func (controller *Controller) serverInfoLocked(server *roster.Server) ServerInfo {
+	return ServerInfo{ID: server.ID, Staged: server.Staged, LastModel: controller.lastModels[server.ID], Staging: controller.staging[server.ID]}
 }
 
-// servingLocked notes the serving groups of each domain that nothing is being
-// done to.
-func (former *Former) servingLocked(service Service, servers *roster.Snapshot, byName map[string]*Domain) {
-	for _, group := range former.View.Serving(servers, []Service{service}) {
-		standing := Standing{Group: group}
+// addServingGroupsLocked adds to each domain its serving groups that no work is in progress on. The
+// caller holds the mutex.
+func (controller *Controller) addServingGroupsLocked(service Service, servers *roster.Snapshot, byName map[string]*Domain) {
+	for _, group := range controller.View.Serving(servers, []Service{service}) {
+		serving := ServingGroup{Group: group}
 		var domain *Domain
 		for _, id := range group.Members {
 			server, ok := servers.Servers[id]
-			if !ok || server.Draining || former.busy[id] != "" || former.working[group.Name] {
+			if !ok || server.Draining || controller.joining[id] != "" || controller.groupsInWork[group.Name] {
 				domain = nil
 				break
 			}
 			domain = byName[server.FabricDomain]
-			standing.Members = append(standing.Members, former.spareLocked(server))
+			serving.Members = append(serving.Members, controller.serverInfoLocked(server))
 		}
 		if domain != nil {
-			domain.Serving = append(domain.Serving, standing)
+			domain.Serving = append(domain.Serving, serving)
 		}
 	}
 }
 
-// freeLocked says whether a server may be given something to do. The list lags
-// behind what was ordered; what news says of a server goes before it, and the
-// server itself is asked before it gets an order.
-func (former *Former) freeLocked(server *roster.Server, inNews map[string]bool) bool {
-	if former.busy[server.ID] != "" || inNews[server.ID] || former.BacksOff(server) {
+// isFreeLocked reports whether a server may get an order. The server list lags behind the orders,
+// so announcements take precedence over the list, and a server is asked for a report before it gets
+// an order. The caller holds the mutex.
+func (controller *Controller) isFreeLocked(server *roster.Server, announced map[string]bool) bool {
+	if controller.joining[server.ID] != "" || announced[server.ID] || controller.InBackoff(server) {
 		return false
 	}
-	return server.Group.Name == "" || former.View.Free(server.Group.Name)
+	return server.Group.Name == "" || controller.View.MembersFree(server.Group.Name)
 }
 
-// membersInNews returns the servers that are in groups of which news says that
-// they serve and which the list may not show yet.
-func membersInNews(groups []Group) map[string]bool {
+// announcedMembers returns the members of groups that were announced as opened. The server list may
+// not show these groups yet.
+func announcedMembers(groups []Group) map[string]bool {
 	members := map[string]bool{}
 	for _, group := range groups {
 		for _, id := range group.Members {
@@ -232,10 +234,13 @@
 	return members
 }
 
-func (former *Former) countGroupsLocked(service Service, servers *roster.Snapshot, listed []*Listed, byName map[string]*Domain) map[string]bool {
+// countGroupsLocked counts the groups of a service by domain and model: those being formed, those
+// announced as opened and the listed ones. A group counts once, in the first domain that has one of
+// its members. It returns the members of the counted groups. The caller holds the mutex.
+func (controller *Controller) countGroupsLocked(service Service, servers *roster.Snapshot, listed []*ListedGroup, byName map[string]*Domain) map[string]bool {
 	counted, members := map[string]bool{}, map[string]bool{}
 	count := func(group *Group) {
-		if counted[group.Name] || group.Service != service.Name || group.Model == "" || former.View.Ended(group.Name) {
+		if counted[group.Name] || group.Service != service.Name || group.Model == "" || controller.View.HasEnded(group.Name) {
 			return
 		}
 		counted[group.Name] = true
@@ -249,52 +254,51 @@
 			}
 		}
 	}
-	for _, group := range former.forming {
+	for _, group := range controller.forming {
 		count(&group)
 	}
-	for _, group := range former.View.fresh(servers) {
+	for _, group := range controller.View.announcedServing(servers) {
 		count(&group)
 	}
 	for _, group := range listed {
 		count(&group.Group)
 	}
-	former.haves = map[string]int{}
+	controller.groupCounts = map[string]int{}
 	for _, domain := range byName {
 		for model, groups := range domain.Groups {
-			former.haves[service.Name+"/"+model] += groups
+			controller.groupCounts[service.Name+"/"+model] += groups
 		}
 	}
 	return members
 }
 
-// soonLocked counts the servers whose group has ended and which it is not known
-// yet to have left: they will be free in a moment, with the model that they ran.
-// A plan that left them out gave the spares of their domain to another model just
-// when they were needed. The time is that for which the domains were sorted: a mark
-// that ends in between would show a server whose domain isn't there.
-func (former *Former) soonLocked(servers []*roster.Server, members, inNews map[string]bool, byName map[string]*Domain, now time.Duration) {
+// countReleasingLocked counts, by their last model, the servers whose group has ended but that are
+// not known to have left it. They become free within moments. A plan that ignored them gave the
+// spares of their domain to another model just when they were needed. The caller holds the mutex
+// and passes the time at which the domains were built: if a server's exclusion ended in between,
+// its domain would be missing from byName.
+func (controller *Controller) countReleasingLocked(servers []*roster.Server, members, announced map[string]bool, byName map[string]*Domain, now time.Duration) {
 	for _, server := range servers {
-		if !former.usableLocked(server, now) || members[server.ID] || former.busy[server.ID] != "" {
+		if !controller.isUsableLocked(server, now) || members[server.ID] || controller.joining[server.ID] != "" {
 			continue
 		}
-		if !former.freeLocked(server, inNews) || former.settling[server.ID].holds(server, now) {
-			byName[server.FabricDomain].Soon[former.ran[server.ID]]++
+		if !controller.isFreeLocked(server, announced) || controller.settling[server.ID].appliesTo(server, now) {
+			byName[server.FabricDomain].Releasing[controller.lastModels[server.ID]]++
 		}
 	}
 }
 
-// demands returns how many groups of each model there are and should be. The
-// shares that the operator states are those of the work at the start; the work
-// that is seen corrects them.
-func (former *Former) demands(service Service, usable int) []Demand {
-	shares := former.shares(service)
-	former.mu.Lock()
-	defer former.mu.Unlock()
+// demands returns the current and desired number of groups of each model. The shares configured by
+// the operator describe the expected mix of calls at the start; the observed usage corrects them.
+func (controller *Controller) demands(service Service, usable int) []Demand {
+	shares := controller.shares(service)
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
 	demands := make([]Demand, 0, len(service.Engine.Models))
 	for _, model := range service.Engine.Models {
-		servers := shares[model.Name] * float64(usable) * (1 - spareShare)
+		servers := shares[model.Name] * float64(usable) * (1 - spareFraction)
 		demands = append(demands, Demand{
-			Model: model, Have: former.haves[service.Name+"/"+model.Name], Want: servers / float64(max(1, model.Size)),
+			Model: model, Current: controller.groupCounts[service.Name+"/"+model.Name], Desired: servers / float64(max(1, model.Size)),
 		})
 	}
 	return demands
--- a/internal/fleet/formation/domain.go
+++ b/internal/fleet/formation/domain.go
@@ -8,151 +8,151 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// Spare is a server, as the planner sees it.
-type Spare struct {
+// ServerInfo is the planner's view of a server.
+type ServerInfo struct {
 	ID string
-	// Staged are the models on its host, Last is the one that it last ran, which
-	// it starts again without them.
-	Staged []string
-	Last   string
-	// Staging is the model that is being loaded onto its host, which may take the
-	// place of what lies there. Until then it joins groups of Last only.
+	// Staged lists the models on the server's host. LastModel is the model that the server last
+	// ran, which it starts again without staged weights.
+	Staged    []string
+	LastModel string
+	// Staging is the model that is being loaded onto the host. It may replace the staged models,
+	// so until the load ends the server joins only groups of LastModel without a load.
 	Staging string
 }
 
-// has says whether a server joins a group of the model without a load.
-func (spare *Spare) has(model string) bool {
-	return spare.Last == model || (spare.Staging == "" && slices.Contains(spare.Staged, model))
+// startsWithoutLoad reports whether the server can join a group of the model without loading
+// weights.
+func (server *ServerInfo) startsWithoutLoad(model string) bool {
+	return server.LastModel == model || (server.Staging == "" && slices.Contains(server.Staged, model))
 }
 
-// Domain is the free servers of one fabric domain and the groups that it has,
-// by model.
+// Domain holds the free servers of one fabric domain and the number of its groups by model.
 type Domain struct {
-	Name   string
-	Spares []Spare
-	Groups map[string]int
-	// Serving are the groups that serve and that nothing is being done to.
-	Serving []Standing
-	// Servers is how many servers there are to use, in groups or not.
-	Servers int
-	// Loading counts the servers that are having a model staged, members of groups
-	// too. They are no spares of it yet: a group formed of them would load in their
-	// join, past the bound on loads.
+	Name        string
+	FreeServers []ServerInfo
+	Groups      map[string]int
+	// Serving holds the groups that serve and that no work is in progress on.
+	Serving []ServingGroup
+	// ServerCount is the number of usable servers, members of groups included.
+	ServerCount int
+	// Loading counts the servers that a model is being staged on, by model, members of groups
+	// included. They are not yet free servers with the model: a group formed of them would load
+	// during the join, outside the limit on loads.
 	Loading map[string]int
-	// Planned is the layout that was chosen last, by model, empty at first.
+	// Planned is the layout of the previous plan, by model. It is empty before the first plan.
 	Planned map[string]int
-	// Soon counts the servers that come free in a moment, by the model that they
-	// ran last.
-	Soon map[string]int
+	// Releasing counts the servers that are about to become free, by their last model.
+	Releasing map[string]int
 }
 
-// load takes a server out of the spares to have a model staged.
-func (domain *Domain) load(id, model string) {
-	domain.take([]string{id})
+// startStaging removes a server from the free servers and counts it as loading the model.
+func (domain *Domain) startStaging(id, model string) {
+	domain.removeFree([]string{id})
 	domain.Loading[model]++
 }
 
-// Demand is what is wanted of one model.
+// Demand is the number of groups of one model that exist and that are desired.
 type Demand struct {
 	configuration.Model
-	// Have counts groups that serve or are in the making, Want is how many
-	// there should be.
-	Have int
-	Want float64
+	// Current counts the groups that serve or are being formed. Desired is the number of groups
+	// that there should be.
+	Current int
+	Desired float64
 }
 
-// Standing is a group of a domain that serves.
-type Standing struct {
+// ServingGroup is a group of a domain that serves.
+type ServingGroup struct {
 	Group   Group
-	Members []Spare
+	Members []ServerInfo
 }
 
-// prepared counts the members that have the model staged beside their work. A
-// member of a small group can so be a spare of a larger model that is not idle.
-func (standing *Standing) prepared(model string) int {
-	return countWith(standing.Members, model)
+// membersWithModel counts the members that start the model without a load. A member of a small
+// group can thus be a spare for a larger model without being idle.
+func (serving *ServingGroup) membersWithModel(model string) int {
+	return countWithModel(serving.Members, model)
 }
 
-// countWith counts the servers that join a group of the model without a load.
-func countWith(servers []Spare, model string) int {
+// countWithModel counts the servers that can join a group of the model without a load.
+func countWithModel(servers []ServerInfo, model string) int {
 	count := 0
-	for number := range servers {
-		if servers[number].has(model) {
+	for index := range servers {
+		if servers[index].startsWithoutLoad(model) {
 			count++
 		}
 	}
 	return count
 }
 
-func (demand *Demand) share() float64 {
-	if demand.Want <= 0 {
+// coverage returns the current groups as a fraction of the desired ones.
+func (demand *Demand) coverage() float64 {
+	if demand.Desired <= 0 {
 		return math.Inf(1)
 	}
-	return float64(demand.Have) / demand.Want
+	return float64(demand.Current) / demand.Desired
 }
 
-// has is how many groups of a model the domain has, with those in the making.
-func (domain *Domain) has(model string) int {
-	return max(domain.Groups[model], domain.standing(model))
+// groupCount returns the number of groups of a model in the domain, groups being formed included.
+func (domain *Domain) groupCount(model string) int {
+	return max(domain.Groups[model], domain.servingCount(model))
 }
 
-// standing counts the groups of a model that serve and that nothing is being done
-// to.
-func (domain *Domain) standing(model string) int {
+// servingCount returns the number of serving groups of a model that no work is in progress on.
+func (domain *Domain) servingCount(model string) int {
 	count := 0
-	for number := range domain.Serving {
-		if domain.Serving[number].Group.Model == model {
+	for index := range domain.Serving {
+		if domain.Serving[index].Group.Model == model {
 			count++
 		}
 	}
 	return count
 }
 
-// prepared counts the members of other models' groups that have a model staged.
-func (domain *Domain) prepared(demand *Demand) int {
+// membersWithModel counts the members of other models' groups that start the demanded model without
+// a load.
+func (domain *Domain) membersWithModel(demand *Demand) int {
 	count := 0
-	for number := range domain.Serving {
-		if domain.Serving[number].Group.Model != demand.Name {
-			count += domain.Serving[number].prepared(demand.Name)
+	for index := range domain.Serving {
+		if domain.Serving[index].Group.Model != demand.Name {
+			count += domain.Serving[index].membersWithModel(demand.Name)
 		}
 	}
 	return count
 }
 
-func (domain *Domain) staged(model string) int {
-	return countWith(domain.Spares, model)
+func (domain *Domain) freeWithModel(model string) int {
+	return countWithModel(domain.FreeServers, model)
 }
 
-// choose returns a group's members: servers with the model first, then those
-// with nothing staged.
-func (domain *Domain) choose(model configuration.Model) []string {
-	rank := func(spare Spare) int {
+// selectMembers returns the members for a group of the model. Servers that last ran the model come
+// first, then servers that have it staged, then servers with nothing staged, then the rest.
+func (domain *Domain) selectMembers(model configuration.Model) []string {
+	rank := func(server ServerInfo) int {
 		switch {
-		case spare.Last == model.Name:
+		case server.LastModel == model.Name:
 			return 0
-		case spare.has(model.Name):
+		case server.startsWithoutLoad(model.Name):
 			return 1
-		case len(spare.Staged) == 0:
+		case len(server.Staged) == 0:
 			return 2
 		default:
 			return 3
 		}
 	}
-	sorted := append([]Spare{}, domain.Spares...)
+	sorted := append([]ServerInfo{}, domain.FreeServers...)
 	sort.SliceStable(sorted, func(i, j int) bool { return rank(sorted[i]) < rank(sorted[j]) })
 	members := make([]string, 0, model.Size)
-	for _, spare := range sorted[:model.Size] {
-		members = append(members, spare.ID)
+	for _, server := range sorted[:model.Size] {
+		members = append(members, server.ID)
 	}
 	return members
 }
 
-func (domain *Domain) take(members []string) {
-	kept := domain.Spares[:0]
-	for _, spare := range domain.Spares {
-		if !slices.Contains(members, spare.ID) {
-			kept = append(kept, spare)
+func (domain *Domain) removeFree(members []string) {
+	kept := domain.FreeServers[:0]
+	for _, server := range domain.FreeServers {
+		if !slices.Contains(members, server.ID) {
+			kept = append(kept, server)
 		}
 	}
-	domain.Spares = kept
+	domain.FreeServers = kept
 }
--- a/internal/fleet/formation/form.go
+++ b/internal/fleet/formation/form.go
@@ -10,57 +10,57 @@
 	"hazelslip/internal/fleet/roster"
 )
 
-// form makes a group of free servers.
-func (former *Former) form(term int64, service Service, modelName string, members []string) {
-	epoch, name := former.epoch(term)
+// formGroup forms a group of free servers.
+func (controller *Controller) formGroup(term int64, service Service, modelName string, members []string) {
+	epoch, name := controller.nextEpoch(term)
 	group := Group{Name: name, Epoch: epoch, Service: service.Name, Model: modelName, Members: members}
-	former.mu.Lock()
-	former.forming[name] = group
-	former.mu.Unlock()
+	controller.mu.Lock()
+	controller.forming[name] = group
+	controller.mu.Unlock()
 	defer func() {
-		former.mu.Lock()
-		delete(former.forming, name)
-		former.mu.Unlock()
+		controller.mu.Lock()
+		delete(controller.forming, name)
+		controller.mu.Unlock()
 	}()
-	reports, ok := former.usable(members)
-	if !ok || !former.joinAll(term, group, reports) || !former.awaitReady(service, group, reports) {
-		former.abandon(term, group)
+	reports, ok := controller.requestMemberReports(members)
+	if !ok || !controller.joinAll(term, group, reports) || !controller.awaitReady(service, group, reports) {
+		controller.abandonGroup(term, group)
 		return
 	}
-	former.open(term, group)
+	controller.openGroup(term, group)
 }
 
-// usable asks servers that are to form a group, and says whether all of them
-// may.
-func (former *Former) usable(members []string) ([]answered, bool) {
-	reports := former.ask(members)
-	all := true
-	for number, answer := range reports {
+// requestMemberReports requests reports from servers that are to form a group. The second result
+// states whether all of them may join.
+func (controller *Controller) requestMemberReports(members []string) ([]reportResult, bool) {
+	reports := controller.requestReports(members)
+	allUsable := true
+	for index, answer := range reports {
 		refused := errors.Is(answer.err, ErrRefused)
 		if answer.err != nil && !refused {
-			former.markLost(members[number])
-			all = false
+			controller.excludeLost(members[index])
+			allUsable = false
 			continue
 		}
-		if refused || !former.mayJoin(&answer.report) {
-			// What it reports, or the list, is behind; it shows soon what the server
-			// is doing.
-			former.settle(members[number])
-			all = false
+		if refused || !controller.mayJoin(&answer.report) {
+			// The server's report or the server list is out of date. Both catch up within the
+			// short exclusion.
+			controller.excludeSettling(members[index])
+			allUsable = false
 		}
 	}
-	return reports, all
+	return reports, allUsable
 }
 
-// mayJoin says whether a server is in no group that may serve or come to serve. A
-// server that only has a model loaded onto its host is busy too, and may join. A
-// report that still shows a group whose head is known to have left it is behind.
-func (former *Former) mayJoin(report *Report) bool {
+// mayJoin reports whether a server is in no group that may be serving or may come to serve. A
+// server that is only staging a model reports busy too, but may join. A report that still shows a
+// group whose head is known to have left it is out of date and does not count.
+func (controller *Controller) mayJoin(report *Report) bool {
 	membership := report.Group
-	if former.hasLeft(membership.Name) {
+	if controller.headHasLeft(membership.Name) {
 		return true
 	}
-	if membership.Name != "" && !former.View.Free(membership.Name) {
+	if membership.Name != "" && !controller.View.MembersFree(membership.Name) {
 		return false
 	}
 	switch membership.State {
@@ -72,18 +72,18 @@
 	return true
 }
 
-func (former *Former) hasLeft(group string) bool {
-	former.mu.Lock()
-	defer former.mu.Unlock()
-	return former.left[group]
+func (controller *Controller) headHasLeft(group string) bool {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	return controller.headLeft[group]
 }
 
-// joinAll orders every member to join, all at once.
-func (former *Former) joinAll(term int64, group Group, reports []answered) bool {
+// joinAll orders all members to join concurrently.
+func (controller *Controller) joinAll(term int64, group Group, reports []reportResult) bool {
 	joined := make([]bool, len(reports))
 	waiters := conc.WaitGroup{}
-	for number, answer := range reports {
-		waiters.Go(func() { joined[number] = former.join(term, group, answer) })
+	for index, answer := range reports {
+		waiters.Go(func() { joined[index] = controller.joinMember(term, group, answer) })
 	}
 	waiters.Wait()
 	for _, ok := range joined {
@@ -94,128 +94,129 @@
 	return true
 }
 
-func (former *Former) join(term int64, group Group, member answered) bool {
+// joinMember orders one server to join the group and reports whether it has accepted. It sends the
+// order once more if a fresh report shows that the server may still join.
+func (controller *Controller) joinMember(term int64, group Group, member reportResult) bool {
 	order := Order{
 		Kind: Join, Group: group.Name, Epoch: group.Epoch, Model: group.Model, Members: group.Members,
 		Term: term, Expected: member.report.Orders,
 	}
-	result, err := former.give(member.server, order)
+	result, err := controller.sendOrder(member.server, order)
 	if err == nil && result.Taken() {
 		return true
 	}
 	if err == nil && result != Conflict {
 		return false
 	}
-	// The answer was lost, an earlier try of the same order was taken after all, or
-	// the count of orders in the report was behind: the server itself tells, when
-	// its report has caught up.
-	former.Sleep(settleFor)
-	again := former.ask([]string{member.server.ID})[0]
-	if again.err != nil {
+	// The reply was lost, an earlier attempt of the same order was accepted after all, or the
+	// count of orders in the report was out of date. A fresh report tells these cases apart once
+	// it has caught up.
+	controller.Sleep(settlingExclusion)
+	fresh := controller.requestReports([]string{member.server.ID})[0]
+	if fresh.err != nil {
 		return false
 	}
-	if again.report.Group.Name == group.Name {
+	if fresh.report.Group.Name == group.Name {
 		return true
 	}
-	if again.report.Orders == order.Expected || !former.mayJoin(&again.report) {
+	if fresh.report.Orders == order.Expected || !controller.mayJoin(&fresh.report) {
 		return false
 	}
-	order.Expected = again.report.Orders
-	result, err = former.give(member.server, order)
+	order.Expected = fresh.report.Orders
+	result, err = controller.sendOrder(member.server, order)
 	return err == nil && result.Taken()
 }
 
-// awaitReady looks at the members until all are ready under the group's name
-// and epoch.
-func (former *Former) awaitReady(service Service, group Group, reports []answered) bool {
+// awaitReady polls the members until all are ready under the group's name and epoch.
+func (controller *Controller) awaitReady(service Service, group Group, reports []reportResult) bool {
 	model, _ := service.Engine.Model(group.Model)
-	pause := firstLook
+	pause := firstReadyPoll
 	expected := model.WarmupTime
 	for _, answer := range reports {
 		if !slices.Contains(answer.report.Staged, group.Model) {
 			expected = model.LoadTime
 		}
 	}
-	deadline := former.Now() + expected + joinMost
-	failed := map[string]int{}
+	deadline := controller.Now() + expected + joinGrace
+	failures := map[string]int{}
 	waiting := group.Members
-	for former.Now() < deadline && former.Sleep(pause) {
-		waiting = former.notReady(group, waiting, failed)
+	for controller.Now() < deadline && controller.Sleep(pause) {
+		waiting = controller.notReady(group, waiting, failures)
 		if waiting == nil {
 			return false
 		}
 		if len(waiting) == 0 {
 			return true
 		}
-		pause = nextLook
+		pause = readyPollInterval
 	}
 	return false
 }
 
 const (
-	// firstLook is when a member whose last group had the model is ready, and
-	// nextLook how often the others are asked.
-	firstLook = 220 * time.Millisecond
-	nextLook  = 150 * time.Millisecond
+	// firstReadyPoll is the delay before the first poll: a member whose previous group ran the
+	// same model is ready by then. readyPollInterval is the interval of the further polls.
+	firstReadyPoll    = 220 * time.Millisecond
+	readyPollInterval = 150 * time.Millisecond
 )
 
-// notReady returns the members that are still joining, nil if the group can't
-// come about.
-func (former *Former) notReady(group Group, ids []string, failed map[string]int) []string {
+// notReady returns the members that are still joining, or nil if the group can't become ready.
+func (controller *Controller) notReady(group Group, ids []string, failures map[string]int) []string {
 	waiting := []string{}
-	for number, answer := range former.ask(ids) {
-		id := ids[number]
+	for index, answer := range controller.requestReports(ids) {
+		id := ids[index]
 		membership := answer.report.Group
 		switch {
 		case answer.err != nil:
-			failed[id]++
-			if failed[id] >= looksWhileJoining {
-				former.markLost(id)
+			failures[id]++
+			if failures[id] >= maxJoinFailures {
+				controller.excludeLost(id)
 				return nil
 			}
 			waiting = append(waiting, id)
 		case membership.Name != group.Name || membership.Epoch != group.Epoch || membership.State == roster.Broken:
 			return nil
 		case membership.State == roster.Joining:
-			failed[id] = 0
+			failures[id] = 0
 			waiting = append(waiting, id)
 		}
 	}
 	return waiting
 }
 
-// abandon gives up a group that was never opened. Its head leaves it all the
-// same before its members are used: another node may see the group ready and
-// open it.
-func (former *Former) abandon(term int64, group Group) {
-	former.Counts.Abandoned.Add(1)
-	former.Logger.Warn("former: a group could not be formed.", "Group", group.Name, "Model", group.Model, "Members", group.Members)
-	former.end(term, group, nil)
+// abandonGroup ends a group that this node did not open. Its head must still leave the group before
+// the members are used again: another node may see the group ready and open it.
+func (controller *Controller) abandonGroup(term int64, group Group) {
+	controller.Counts.Abandoned.Add(1)
+	controller.Logger.Warn("former: group formation failed.", "Group", group.Name, "Model", group.Model, "Members", group.Members)
+	controller.endGroup(term, group, nil)
 }
 
-// open tells the head of a ready group to serve, and makes the group known
-// when it does.
-func (former *Former) open(term int64, group Group) {
-	head, ok := former.Servers().Servers[group.Head()]
+// openGroup orders the head of a ready group to serve, and announces the group when the head has
+// accepted.
+func (controller *Controller) openGroup(term int64, group Group) {
+	head, ok := controller.Servers().Servers[group.Head()]
 	if !ok {
 		return
 	}
-	result, err := former.give(head, Order{Kind: Open, Group: group.Name, Epoch: group.Epoch, Term: term, Expected: -1})
+	result, err := controller.sendOrder(head, Order{Kind: Open, Group: group.Name, Epoch: group.Epoch, Term: term, Expected: -1})
 	if err != nil || !result.Taken() {
-		// It may have been taken, so the head must have left before a member is
-		// used again.
-		former.end(term, group, nil)
+		// The order may have been accepted without a reply, so the head must leave before a
+		// member is used again.
+		controller.endGroup(term, group, nil)
 		return
 	}
-	former.Counts.Formed.Add(1)
-	former.Logger.Info("former: a group serves.", "Group", group.Name, "Model", group.Model, "Members", group.Members)
-	if former.Sleep(former.formTime(group.Service)) {
-		former.Announce(News{Change: Opened, Group: group})
+	controller.Counts.Formed.Add(1)
+	controller.Logger.Info("former: group opened.", "Group", group.Name, "Model", group.Model, "Members", group.Members)
+	if controller.Sleep(controller.formTime(group.Service)) {
+		controller.Announce(Announcement{Change: Opened, Group: group})
 	}
 }
 
-func (former *Former) formTime(name string) time.Duration {
-	for _, service := range former.Services() {
+// formTime returns the configured time between the opening of a group of the service and its
+// announcement.
+func (controller *Controller) formTime(name string) time.Duration {
+	for _, service := range controller.Services() {
 		if service.Name == name {
 			return service.Engine.FormTime
 		}
@@ -223,38 +224,39 @@
 	return 0
 }
 
-// stage loads a model onto a free server's host.
-func (former *Former) stage(term int64, model string, id string) {
-	server, ok := former.Servers().Servers[id]
+// stageModel loads a model onto a free server's host and waits until the server list shows it
+// there.
+func (controller *Controller) stageModel(term int64, model string, id string) {
+	server, ok := controller.Servers().Servers[id]
 	if !ok {
 		return
 	}
-	former.Counts.Staged.Add(1)
-	result, err := former.give(server, Order{Kind: Stage, Model: model, Term: term, Expected: -1})
+	controller.Counts.Staged.Add(1)
+	result, err := controller.sendOrder(server, Order{Kind: Stage, Model: model, Term: term, Expected: -1})
 	if err != nil {
-		former.markLost(id)
+		controller.excludeLost(id)
 		return
 	}
 	switch result {
 	case Begun:
-		former.awaitStaged(server, func(server *roster.Server) bool { return server.HasStaged(model) })
+		controller.awaitStaged(server, func(server *roster.Server) bool { return server.HasStaged(model) })
 	case Conflict:
-		// It is loading by an order of whoever gave them before. Asked again in
-		// each round it would refuse each time.
-		former.Sleep(conflictPause)
-		former.awaitStaged(server, func(server *roster.Server) bool { return len(server.Staged) > 0 })
+		// The server is loading by an order of the previous leader. Ordered again in each round,
+		// it would refuse each time.
+		controller.Sleep(conflictPause)
+		controller.awaitStaged(server, func(server *roster.Server) bool { return len(server.Staged) > 0 })
 	}
 }
 
-// conflictPause is how long a server that refused to load is not told again.
+// conflictPause is how long a server that refused to load is not ordered again.
 const conflictPause = 2 * time.Second
 
-// awaitStaged waits until the list shows what is wanted on the server's host. A
-// server that started again meanwhile has given up what it was loading.
-func (former *Former) awaitStaged(server *roster.Server, enough func(server *roster.Server) bool) {
-	deadline := former.Now() + joinMost
-	for former.Now() < deadline && former.Sleep(nextLook) {
-		listed, ok := former.Servers().Servers[server.ID]
+// awaitStaged waits until enough returns true for the listed server. It stops waiting if the server
+// restarts, since a restart cancels the load.
+func (controller *Controller) awaitStaged(server *roster.Server, enough func(server *roster.Server) bool) {
+	deadline := controller.Now() + joinGrace
+	for controller.Now() < deadline && controller.Sleep(readyPollInterval) {
+		listed, ok := controller.Servers().Servers[server.ID]
 		if !ok || listed.Born != server.Born || enough(listed) {
 			return
 		}
--- a/internal/fleet/formation/formation.go
+++ b/internal/fleet/formation/formation.go
@@ -1,32 +1,30 @@
-// Package formation forms replica groups out of backend servers and mends
-// them.
+// Package formation forms replica groups from backend servers and repairs them.
 //
-// One node of the fleet gives orders at a time, under a number that rises with
-// each change of hands (see package tenure). Several may believe that they do,
-// so nothing depends on there being one: a server refuses orders under a number
-// lower than one that it has seen, an order to join names the count of orders
-// that the server had taken when it was last looked at, and epochs rise in the
-// order in which they are given. Two nodes that order at once waste work and
-// break nothing.
+// One node of the fleet is the leader and sends orders. It leads under a term, a fencing number
+// that rises with each change of the leader (see package tenure). Several nodes may believe that
+// they lead, so safety does not depend on a single leader: a server refuses orders under a term
+// lower than one that it has seen, an order to join names the number of orders that the server had
+// accepted at its last report, and epochs rise in the order in which they are issued. Two nodes
+// that send orders at the same time waste work but break no guarantee.
 //
-// The promises:
+// The guarantees are:
 //
-//   - a head is told to serve only after every member was seen ready under the
-//     group's name and epoch;
-//   - a member of a group that may still be serving is told to join another
-//     only after the group's head was seen to have left it, or, if the head
-//     can't be reached, longer after another member left than a group that lost
-//     a member lives.
+//   - A head is ordered to serve only after every member was seen ready under the group's name and
+//     epoch.
+//   - A member of a group that may still be serving is ordered to join another group only after the
+//     group's head was seen to have left it. If the head can't be reached, another member is made
+//     to leave, and the order waits for longer than the stall timeout: a group that lost a member
+//     no longer serves by then.
 //
-// A View is what every node knows of groups, whoever gives orders; a Former
-// gives the orders.
+// View holds what a node knows about groups, on every node. Controller sends the orders, on the
+// leader.
 //
 // # Usage
 //
-//	view := formation.NewView()
-//	former := formation.New(formation.Parts{View: view, ...})
-//	former.Start()
-//	groups := view.Serving(servers, services)
+//	view := formation.NewView(clock.Boot, formation.WithServerList(servers.Load))
+//	controller := formation.New(formation.Dependencies{View: view, ...})
+//	controller.Start()
+//	groups := view.Serving(servers.Load(), services)
 package formation
 
 import (
@@ -39,17 +37,18 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// Group is a replica of a model, or one that is to become it.
+// Group is a set of servers that together run one replica of a model, or that are to run it.
 type Group struct {
 	Name    string
 	Epoch   int64
 	Service string
 	Model   string
-	// Members are server IDs, the head first.
+	// Members holds the server IDs in order of rank, the head first.
 	Members []string
 }
 
-// Head returns the ID of the server that takes the group's calls.
+// Head returns the ID of the server that receives the group's calls, or "" if the group has no
+// members.
 func (group *Group) Head() string {
 	if len(group.Members) == 0 {
 		return ""
@@ -57,107 +56,108 @@
 	return group.Members[0]
 }
 
-// Kind is what an order asks for.
-type Kind int
+// OrderKind is the action that an order requests.
+type OrderKind int
 
 // The kinds of orders.
 const (
-	// Join makes a server a member of a group in the making.
-	Join Kind = iota
-	// Open makes a head serve.
+	// Join makes a server a member of a group that is being formed.
+	Join OrderKind = iota
+	// Open makes a head accept calls.
 	Open
-	// Close makes a head finish what it has and serve no more.
+	// Close makes a head finish its calls and accept no new ones.
 	Close
-	// Leave takes a server out of a group at once.
+	// Leave removes a server from a group immediately.
 	Leave
 	// Stage loads a model's weights onto a server's host.
 	Stage
 )
 
-// String names the kind for logs.
-func (kind Kind) String() string {
+// String returns the kind's name for logs.
+func (kind OrderKind) String() string {
 	return [...]string{"Join", "Open", "Close", "Leave", "Stage"}[kind]
 }
 
-// Order is one order to one server.
+// Order is an instruction to one server.
 type Order struct {
-	Kind    Kind
+	Kind    OrderKind
 	Group   string
 	Epoch   int64
 	Model   string
 	Members []string
-	// Term is the fencing number under which the order is given.
+	// Term is the fencing term under which the order is sent.
 	Term int64
-	// Expected is how many orders the server must have taken so far; negative
-	// for any.
+	// Expected is the number of orders that the server must have accepted before this one. A
+	// negative number disables the check.
 	Expected int64
 }
 
-// Result is a server's answer to an order.
+// Result is a server's reply to an order.
 type Result int
 
 // The results of orders.
 const (
-	// Begun means that the order was taken and is being carried out.
+	// Begun means that the server accepted the order and is carrying it out.
 	Begun Result = iota
-	// Done means that things are already as ordered.
+	// Done means that the server already is in the ordered state.
 	Done
-	// Conflict means that the order doesn't fit what the server is doing.
+	// Conflict means that the order conflicts with the server's current state.
 	Conflict
-	// Outdated means that another node has ordered under a higher number.
+	// Outdated means that the server has seen an order under a higher term.
 	Outdated
-	// Absent means that another server has the address.
+	// Absent means that the address belongs to another server.
 	Absent
-	// Invalid means that the server doesn't know such an order.
+	// Invalid means that the server doesn't know the kind of order.
 	Invalid
 )
 
-// String names the result for logs.
+// String returns the result's name for logs.
 func (result Result) String() string {
 	return [...]string{"Begun", "Done", "Conflict", "Outdated", "Absent", "Invalid"}[result]
 }
 
-// Taken says whether the order has its effect.
+// Taken reports whether the order was accepted or was already fulfilled.
 func (result Result) Taken() bool {
 	return result == Begun || result == Done
 }
 
-// Report is what a server says of itself when asked.
+// Report is a server's state as the server itself reports it.
 type Report struct {
-	// Born is as in roster.Server.
+	// Born is the start of the server's process, as in roster.Server.
 	Born  int64
 	Group roster.Membership
 	Model string
-	// Staged are the models on the server's host.
+	// Staged lists the models on the server's host.
 	Staged []string
-	// Orders counts the orders taken in this run of the server.
+	// Orders counts the orders that the server has accepted since its process started.
 	Orders int64
-	// Busy says that an order is being carried out.
+	// Busy is set while the server is carrying out an order.
 	Busy    bool
 	Queued  int
 	Running int
-	// Pace is over 1 where the server is slower than it should be.
+	// Pace is above 1 if the server is slower than expected.
 	Pace float64
 }
 
-// ErrRefused marks the error of a question or order that a server answered, and refused. Use
-// errors.Is.
-var ErrRefused = errors.New("the server refused")
+// ErrRefused marks the error of a report request or an order that the server answered with a
+// refusal. Test for it with errors.Is.
+var ErrRefused = errors.New("server refused the report request or order")
 
-// Fleet is how a Former reaches servers.
-type Fleet struct {
+// ServerClient requests reports from servers and sends them orders.
+type ServerClient struct {
 	Report func(ctx context.Context, server *roster.Server) (Report, error)
 	Order  func(ctx context.Context, server *roster.Server, order Order) (Result, error)
 }
 
-// Bounds are the deployment's figures that a Former must keep.
+// Bounds holds the limits of the deployment that a Controller must keep.
 type Bounds struct {
-	// Stall is how long a group that lost a member goes on accepting calls.
-	Stall time.Duration
-	// LoadWindow and LoadBurst bound loads: in any window no more than the
-	// service's loads a second, times the window, times the burst.
-	LoadWindow time.Duration
-	LoadBurst  float64
+	// StallTimeout is how long a group that lost a member continues to accept calls.
+	StallTimeout time.Duration
+	// LoadWindow and LoadBurstFactor limit the loads from the weight store: the number that begins
+	// within any LoadWindow is at most the service's loads per second times the window times the
+	// factor.
+	LoadWindow      time.Duration
+	LoadBurstFactor float64
 }
 
 // Service is a service whose servers form groups.
--- a/internal/fleet/formation/formation_test.go
+++ b/internal/fleet/formation/formation_test.go
@@ -36,73 +36,73 @@
 	}
 }
 
-// node is one node that may give orders, with its own list of servers.
+// node is one gateway node that may be the leader, with its own copy of the server list.
 type node struct {
-	name   string
-	world  *backends.World
-	former *formation.Former
-	view   *formation.View
-	list   *roster.List
+	name       string
+	world      *backends.World
+	controller *formation.Controller
+	view       *formation.View
+	list       *roster.List
 
 	mu    sync.Mutex
 	term  int64
-	other []*node
-	// refused is told of a term that a server refused.
-	refused func(term int64)
-	// slow is how long an order to join takes on its way.
-	slow atomic.Int64
-	// apart says that its news doesn't reach the others.
-	apart atomic.Bool
-	// refusing is the server that refuses all questions and orders with a backoff, asked
-	// counts those that it got.
-	refusing atomic.Pointer[string]
-	asked    atomic.Int64
+	peers []*node
+	// onOutdated is called with a term that a server refused.
+	onOutdated func(term int64)
+	// joinDelay is the transit time of an order to join, in nanoseconds.
+	joinDelay atomic.Int64
+	// isolated cuts announcements between this node and the others, in both directions.
+	isolated atomic.Bool
+	// refusingServer is the server that refuses all report requests and orders because of a
+	// backoff. requestsRefused counts the requests and orders that it got.
+	refusingServer  atomic.Pointer[string]
+	requestsRefused atomic.Int64
 }
 
-// refuses says whether a server refuses.
-func (node *node) refuses(id string) bool {
-	refusing := node.refusing.Load()
+// isRefusing reports whether a server refuses all requests.
+func (node *node) isRefusing(id string) bool {
+	refusing := node.refusingServer.Load()
 	return refusing != nil && *refusing == id
 }
 
 func newNode(name string, world *backends.World, now clock.Now) *node {
 	created := &node{name: name, world: world, list: roster.New()}
-	created.view = formation.NewView(now, formation.Servers(created.list.Load))
+	created.view = formation.NewView(now, formation.WithServerList(created.list.Load))
 	logger := slog.New(slog.DiscardHandler)
 	if os.Getenv("HAZELSLIP_LOG") != "" {
 		logger = slog.New(slog.NewTextHandler(os.Stdout, nil))
 	}
-	created.former = formation.New(formation.Parts{
-		Told: func() bool { return false },
-		Fleet: formation.Fleet{
+	created.controller = formation.New(formation.Dependencies{
+		FedByUpstream: func() bool { return false },
+		ServerClient: formation.ServerClient{
 			Report: func(_ context.Context, server *roster.Server) (formation.Report, error) {
 				time.Sleep(time.Millisecond)
-				if created.refuses(server.ID) {
-					created.asked.Add(1)
+				if created.isRefusing(server.ID) {
+					created.requestsRefused.Add(1)
 					return formation.Report{}, formation.ErrRefused
 				}
 				return world.Report(name, server.ID)
 			},
 			Order: func(_ context.Context, server *roster.Server, order formation.Order) (formation.Result, error) {
 				time.Sleep(time.Millisecond)
-				if created.refuses(server.ID) {
-					created.asked.Add(1)
+				if created.isRefusing(server.ID) {
+					created.requestsRefused.Add(1)
 					return formation.Invalid, formation.ErrRefused
 				}
 				if order.Kind == formation.Join {
-					time.Sleep(time.Duration(created.slow.Load()))
+					time.Sleep(time.Duration(created.joinDelay.Load()))
 				}
 				return world.Order(name, server.ID, order)
 			},
 		},
 		View: created.view, Servers: created.list.Load,
 		Services: func() []formation.Service { return []formation.Service{{Name: service, Engine: engine()}} },
-		Term:     created.currentTerm, Outdated: created.outdated, Announce: created.announce,
-		Load:     func(string, string) formation.Usage { return formation.Usage{} },
-		Quiet:    func() bool { return false },
-		BacksOff: func(server *roster.Server) bool { return created.refuses(server.ID) },
+		Term:     created.currentTerm, TermOutdated: created.outdated, Announce: created.announce,
+		ModelUsage:         func(string, string) formation.Usage { return formation.Usage{} },
+		BeforeFirstRequest: func() bool { return false },
+		InBackoff:          func(server *roster.Server) bool { return created.isRefusing(server.ID) },
 		Bounds: formation.Bounds{
-			Stall: 6 * time.Second, LoadWindow: 5 * time.Second, LoadBurst: 1.1,
+			StallTimeout: 6 * time.Second, LoadWindow: 5 * time.Second, LoadBurstFactor: 1.1,
 		},
 		Now: now, Logger: logger,
 	})
@@ -127,22 +127,23 @@
 	if node.term == term {
 		node.term = 0
 	}
-	if node.refused != nil {
-		node.refused(term)
+	if node.onOutdated != nil {
+		node.onOutdated(term)
 	}
 }
 
-func (node *node) announce(news formation.News) {
-	node.view.Learn(news)
-	for _, other := range node.other {
-		if !node.apart.Load() && !other.apart.Load() {
-			other.view.Learn(news)
+func (node *node) announce(announcement formation.Announcement) {
+	node.view.Apply(announcement)
+	for _, other := range node.peers {
+		if !node.isolated.Load() && !other.isolated.Load() {
+			other.view.Apply(announcement)
 		}
 	}
 }
 
-// read brings the node's list of servers up to date, as of a second ago.
-func (node *node) read(now clock.Now) func() {
+// listReader returns a function that updates the node's server list to the servers' state at the
+// previous call.
+func (node *node) listReader(now clock.Now) func() {
 	position := int64(0)
 	previous := []*roster.Server{}
 	return func() {
@@ -156,7 +157,7 @@
 	}
 }
 
-// fleet is a world with nodes whose lists are read every 0.8 s.
+// fleet is a simulated world with nodes that read the server list every 0.8 s.
 type fleet struct {
 	world *backends.World
 	nodes []*node
@@ -168,26 +169,26 @@
 	world := backends.New(now, engine(), seed)
 	world.ReportLag = 200 * time.Millisecond
 	for domain := range domains {
-		for number := range size {
+		for index := range size {
 			staged := "large"
-			if number >= 5 {
+			if index >= 5 {
 				staged = "small"
 			}
-			world.Add(fmt.Sprintf("i-%d-%02d", domain, number), "domain-"+strconv.Itoa(domain), "east", staged)
+			world.Add(fmt.Sprintf("i-%d-%02d", domain, index), "domain-"+strconv.Itoa(domain), "east", staged)
 		}
 	}
-	made := &fleet{world: world}
-	for number := range count {
-		made.nodes = append(made.nodes, newNode("node-"+strconv.Itoa(number), world, now))
+	created := &fleet{world: world}
+	for index := range count {
+		created.nodes = append(created.nodes, newNode("node-"+strconv.Itoa(index), world, now))
 	}
-	for _, one := range made.nodes {
-		for _, other := range made.nodes {
-			if one != other {
-				one.other = append(one.other, other)
+	for _, node := range created.nodes {
+		for _, other := range created.nodes {
+			if node != other {
+				node.peers = append(node.peers, other)
 			}
 		}
 		reader := make(chan struct{})
-		refresh := one.read(now)
+		refresh := node.listReader(now)
 		go func() {
 			ticker := time.NewTicker(800 * time.Millisecond)
 			defer ticker.Stop()
@@ -200,22 +201,22 @@
 				}
 			}
 		}()
-		made.stop = append(made.stop, func() { close(reader); one.former.Stop() })
-		one.former.Start()
+		created.stop = append(created.stop, func() { close(reader); node.controller.Stop() })
+		node.controller.Start()
 	}
-	return made
+	return created
 }
 
 func (fleet *fleet) end() {
 	for _, stop := range fleet.stop {
 		stop()
 	}
-	// Orders that are carried out late come to their end.
+	// Delayed orders are still carried out during this time.
 	time.Sleep(20 * time.Second)
 }
 
-// headOf returns a serving head and its members.
-func headOf(node *node, model string) formation.Group {
+// servingGroupOf returns the first serving group of a model by name, or an empty group.
+func servingGroupOf(node *node, model string) formation.Group {
 	groups := node.view.Serving(node.list.Load(), []formation.Service{{Name: service, Engine: engine()}})
 	sort.Slice(groups, func(i, j int) bool { return groups[i].Name < groups[j].Name })
 	for _, group := range groups {
@@ -226,7 +227,7 @@
 	return formation.Group{}
 }
 
-func TestGroupsFormOfFreeServers(t *testing.T) {
+func TestGroupsAreFormedFromFreeServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(1, 3, 10, 1)
@@ -239,19 +240,19 @@
 	})
 }
 
-// A member of a group loses power. Callers' streams fall silent, a node tells
-// the one that gives orders, and the survivors with a staged spare of the
-// domain serve again within seconds, without a load.
-func TestLostMemberIsReplacedByASpare(t *testing.T) {
+// Guards against slow recovery from a lost member. A member loses power, the callers' streams
+// stall, and a node reports the head to the leader. The remaining members and a staged free server
+// of the same domain must serve again within seconds, without a load.
+func TestLostMemberIsReplacedByAFreeServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(2, 1, 7, 1)
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
-		group := headOf(fleet.nodes[0], "large")
+		group := servingGroupOf(fleet.nodes[0], "large")
 		expect.Expect(group.Members).To(gomega.HaveLen(4))
 		fleet.world.Kill(group.Members[2])
-		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
+		fleet.nodes[0].controller.Suspect(group.Head(), group.Name)
 		time.Sleep(3500 * time.Millisecond)
 		expect.Expect(fleet.world.Whole()["large"]).To(gomega.Equal(1))
 		expect.Expect(fleet.world.JoinLoads()).To(gomega.BeZero())
@@ -260,25 +261,24 @@
 	})
 }
 
-// The node that gives orders is cut off from a whole data centre, whose groups
-// serve on. It can reach none of a group's members, waits for the stall bound,
-// and calls the members free; after the cut, whoever gives orders then joins a
-// member to another group while the old head still serves. So a group of which
-// nobody can be reached must be left alone.
-func TestGroupOnTheFarSideOfACutIsLeftAlone(t *testing.T) {
+// Guards against releasing the members of a group that the leader can't reach at all. The leader is
+// cut off from a whole data centre whose groups continue to serve. If it waited for the stall
+// timeout and then released the members, the next leader could join a member to another group while
+// the old head still serves. So a group without a reachable member must not be ended.
+func TestFullyUnreachableGroupIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(3, 2, 10, 2)
 		first, second := fleet.nodes[0], fleet.nodes[1]
 		first.setTerm(4096)
 		time.Sleep(8 * time.Second)
-		group := headOf(first, "small")
+		group := servingGroupOf(first, "small")
 		for _, id := range group.Members {
 			fleet.world.Cut(id, first.name, true)
 		}
-		first.former.Suspect(group.Head(), group.Name)
+		first.controller.Suspect(group.Head(), group.Name)
 		time.Sleep(9 * time.Second)
-		expect.Expect(second.view.Ended(group.Name)).To(gomega.BeFalse())
+		expect.Expect(second.view.HasEnded(group.Name)).To(gomega.BeFalse())
 		first.setTerm(0)
 		second.setTerm(8192)
 		time.Sleep(8 * time.Second)
@@ -287,76 +287,76 @@
 	})
 }
 
-// The head of a group can't be reached by the node that gives orders, and
-// serves callers of other nodes. Its members may join another group only after
-// one of them has left and the head has stood still for longer than the stall
-// bound.
-func TestMembersOfAnUnreachableHeadWait(t *testing.T) {
+// Guards against reusing the members of an unreachable head too early. The leader can't reach the
+// head, which still serves callers of other nodes. The members may join another group only after
+// one of them has left and the head has been stalled for longer than the stall timeout.
+func TestMembersOfAnUnreachableHeadAreReleasedAfterTheStallTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(4, 1, 10, 1)
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
-		group := headOf(fleet.nodes[0], "large")
+		group := servingGroupOf(fleet.nodes[0], "large")
 		fleet.world.Cut(group.Head(), fleet.nodes[0].name, true)
-		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
+		fleet.nodes[0].controller.Suspect(group.Head(), group.Name)
 		time.Sleep(5 * time.Second)
-		expect.Expect(fleet.nodes[0].view.Free(group.Name)).To(gomega.BeFalse())
+		expect.Expect(fleet.nodes[0].view.MembersFree(group.Name)).To(gomega.BeFalse())
 		time.Sleep(8 * time.Second)
-		expect.Expect(fleet.nodes[0].view.Free(group.Name)).To(gomega.BeTrue())
+		expect.Expect(fleet.nodes[0].view.MembersFree(group.Name)).To(gomega.BeTrue())
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
 
-// The same, but the head has no calls: it doesn't notice that a member left, and
-// stays open. It still beats to the registry. Its members must not join another
-// group while the list shows it open.
-func TestMembersOfAnIdleUnreachableHeadWait(t *testing.T) {
+// Guards against reusing the members of an unreachable head that has no calls. Such a head doesn't
+// notice that a member left and stays open, and it still sends heartbeats to the registry. The
+// members must not join another group while the server list shows the head open.
+func TestMembersOfAnIdleUnreachableHeadAreNotReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(5, 1, 10, 1)
 		fleet.world.Idle = true
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
-		group := headOf(fleet.nodes[0], "large")
+		group := servingGroupOf(fleet.nodes[0], "large")
 		fleet.world.Cut(group.Head(), fleet.nodes[0].name, true)
-		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
+		fleet.nodes[0].controller.Suspect(group.Head(), group.Name)
 		time.Sleep(20 * time.Second)
-		expect.Expect(fleet.nodes[0].view.Free(group.Name)).To(gomega.BeFalse())
+		expect.Expect(fleet.nodes[0].view.MembersFree(group.Name)).To(gomega.BeFalse())
 		fleet.world.Cut(group.Head(), fleet.nodes[0].name, false)
 		time.Sleep(3 * time.Second)
-		expect.Expect(fleet.nodes[0].view.Free(group.Name)).To(gomega.BeTrue())
+		expect.Expect(fleet.nodes[0].view.MembersFree(group.Name)).To(gomega.BeTrue())
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
 
-// News of one group comes from several nodes and again and again. A group that
-// was released must not seem merely lost when older news of it arrives late.
-func TestLateNewsOfAGroupChangesNothing(t *testing.T) {
+// Guards against a late announcement that overrides a newer one. Announcements of one group come
+// from several nodes and repeatedly. A released group must not seem merely lost when an older
+// announcement arrives late.
+func TestLateAnnouncementIsIgnored(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	view := formation.NewView(clock.Boot)
 	group := formation.Group{Name: "g1", Members: []string{"i-1", "i-2"}}
-	expect.Expect(view.Learn(formation.News{Change: formation.Released, Group: group})).To(gomega.BeTrue())
+	expect.Expect(view.Apply(formation.Announcement{Change: formation.Released, Group: group})).To(gomega.BeTrue())
 	for _, change := range []formation.Change{formation.Lost, formation.Opened, formation.Retired, formation.Released} {
-		expect.Expect(view.Learn(formation.News{Change: change, Group: group})).To(gomega.BeFalse())
+		expect.Expect(view.Apply(formation.Announcement{Change: change, Group: group})).To(gomega.BeFalse())
 	}
-	expect.Expect(view.Free("g1")).To(gomega.BeTrue())
+	expect.Expect(view.MembersFree("g1")).To(gomega.BeTrue())
 }
 
-// Two nodes believe that they give orders. One asks free servers, and its
-// orders to join take long; meanwhile the other, under a lower number, forms a
-// group of the same servers and opens it. The late orders come under a higher
-// number; only the count of orders that they expect keeps them from taking the
-// servers out of the serving group.
-func TestLateOrdersOfASecondHolderAreRefused(t *testing.T) {
+// Guards against delayed orders of a second leader. Two nodes believe that they lead. One gets
+// reports of free servers, and its orders to join are delayed; meanwhile the other, under a lower
+// term, forms a group of the same servers and opens it. The delayed orders have the higher term, so
+// only their expected count of accepted orders prevents them from taking servers out of the serving
+// group.
+func TestDelayedOrdersOfASecondLeaderAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(6, 1, 10, 2)
 		first, second := fleet.nodes[0], fleet.nodes[1]
-		first.apart.Store(true)
-		second.slow.Store(int64(2600 * time.Millisecond))
+		first.isolated.Store(true)
+		second.joinDelay.Store(int64(2600 * time.Millisecond))
 		time.Sleep(2 * time.Second)
 		second.setTerm(8192)
 		time.Sleep(200 * time.Millisecond)
@@ -368,17 +368,17 @@
 	})
 }
 
-// Many empty servers come at once, and the right to give orders changes hands
-// while they load. Loads must stay within what the weight store allows in any
-// window, counted over all nodes.
-func TestLoadsStayWithinTheWeightStoresBound(t *testing.T) {
+// Guards against too many loads from the weight store. Many empty servers are added at once, and
+// the leader changes while they load. The loads of all nodes together must stay within the limit in
+// any window.
+func TestLoadsStayWithinTheWeightStoreLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(7, 2, 10, 2)
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(5 * time.Second)
-		for number := range 60 {
-			fleet.world.Add(fmt.Sprintf("new-%02d", number), "domain-"+strconv.Itoa(number%6), "east")
+		for index := range 60 {
+			fleet.world.Add(fmt.Sprintf("new-%02d", index), "domain-"+strconv.Itoa(index%6), "east")
 		}
 		for term := int64(2); term < 20; term++ {
 			time.Sleep(3 * time.Second)
@@ -391,11 +391,10 @@
 	})
 }
 
-// Servers die, are cut off from one node or the other, lose answers and carry
-// orders out up to twelve seconds late; the right to give orders changes hands
-// in the middle of things, and at times both nodes believe that they have it.
-// No server may be taken out of a group that serves, and no head may serve
-// before all its members were ready.
+// Checks the guarantees under random faults. Servers die, are cut off from one node or the other,
+// lose replies and carry out orders up to twelve seconds late. The leader changes at any time, and
+// at times both nodes believe that they lead. No server may be taken out of a serving group, and no
+// head may serve before all its members were ready.
 func TestRandomFaultsOfOrders(t *testing.T) {
 	rapid.Check(t, func(property *rapid.T) {
 		seed := rapid.Uint64().Draw(property, "seed")
@@ -407,7 +406,7 @@
 			time.Sleep(5 * time.Second)
 			for _, step := range steps {
 				term += 4096
-				fleet.upset(step, term)
+				fleet.injectFault(step, term)
 				time.Sleep(time.Duration(step%37) * 50 * time.Millisecond)
 			}
 			time.Sleep(5 * time.Second)
@@ -422,8 +421,8 @@
 	})
 }
 
-// upset makes one thing go wrong, or mends it.
-func (fleet *fleet) upset(step int, term int64) {
+// injectFault causes one fault or clears one.
+func (fleet *fleet) injectFault(step int, term int64) {
 	servers := fleet.world.Servers(service)
 	if len(servers) == 0 {
 		return
@@ -446,13 +445,13 @@
 	case 7:
 		node.setTerm(term)
 	case 8:
-		node.apart.Store(!node.apart.Load())
+		node.isolated.Store(!node.isolated.Load())
 	case 9:
 		fleet.world.Drain(server.ID)
 	case 10:
 		for _, other := range fleet.nodes {
-			if group := headOf(other, "large"); group.Name != "" {
-				other.former.Suspect(group.Head(), group.Name)
+			if group := servingGroupOf(other, "large"); group.Name != "" {
+				other.controller.Suspect(group.Head(), group.Name)
 			}
 		}
 	}
--- a/internal/fleet/formation/layout.go
+++ b/internal/fleet/formation/layout.go
@@ -4,144 +4,146 @@
 	"math"
 )
 
-// layout is how many groups of each model a domain should have, by the number of
-// the model.
+// layout is the number of groups of each model in a domain, by model index.
 type layout []int
 
-// The costs of a layout are in parts of what serving costs at best: the sum over
-// all models of the square of the servers wanted by the servers that serve. It is
-// least where each model has servers in proportion to its work, and rises the
-// faster the more a model lacks, so a model starves only where nothing else fits.
+// The cost of a layout is relative to the minimum cost of serving. The cost of serving is the sum
+// over all models of the square of the desired servers divided by the serving servers. It is lowest
+// if each model has servers in proportion to its demand, and rises faster the more servers a model
+// lacks, so a model is left far below its demand only if nothing else fits.
 const (
-	// bareShare is the part of a group's time that is lost in a domain without a
-	// server to spare, and spareRelief what of that is left with each server that
-	// the domain has to spare: a group that lost a member stands again after a load
-	// without one, and after a warm start with one.
-	bareShare   = 0.30
-	spareRelief = 0.35
-	// horizon is how long a layout should last at least: servers that a change
-	// takes out of service count for the part of it that they are away.
-	horizon = 20.0
-	// endTime is how long the servers of a group that is ended are away: its
-	// streams end, and the servers start again with another model, in seconds.
-	endTime = 5.0
-	// loadPrice is what a load counts beside the servers that wait for it: the
-	// weight store serves a few at once, and others wait for those.
-	loadPrice = 0.25
-	// moveGain is the least that a layout must gain, in parts of all costs, to be
-	// taken in place of another, and endGain for each group that it ends: the plan
-	// stays as it is while the work seen wavers.
-	moveGain = 0.001
-	endGain  = 0.02
+	// lossWithoutSpare is the fraction of a group's serving time that is lost in a domain without
+	// a spare server. lossFactorPerSpare is the factor by which each spare server reduces this
+	// loss. Without a spare, a group that lost a member is re-formed after a load; with a spare,
+	// after a warm start.
+	lossWithoutSpare   = 0.30
+	lossFactorPerSpare = 0.35
+	// planHorizonSeconds is the minimum time that a layout should last. Servers that a change
+	// takes out of service count for the fraction of this time that they are unavailable.
+	planHorizonSeconds = 20.0
+	// retireSeconds is how long the servers of a retired group are unavailable: its streams end,
+	// and the servers restart with another model.
+	retireSeconds = 5.0
+	// storeLoadCost is the cost of a load in addition to the servers that wait for it. The weight
+	// store serves a few loads at a time, and others wait for them.
+	storeLoadCost = 0.25
+	// minGain is the minimum gain, as a fraction of the total cost, for which one layout replaces
+	// another. minGainPerRetiredGroup is the additional gain required per group that is retired.
+	// Both keep the plan stable while the observed usage fluctuates.
+	minGain                = 0.001
+	minGainPerRetiredGroup = 0.02
 )
 
-// designer chooses the layouts of all domains together.
-type designer struct {
+// optimizer chooses the layouts of all domains together.
+type optimizer struct {
 	demands []Demand
-	sites   []*site
-	// serving is how many servers serve each model, by the layouts as they are.
+	domains []*domainLayout
+	// serving is the expected number of servers that serve each model under the chosen layouts.
 	serving []float64
-	// total is all servers, those of groups elsewhere included.
-	total float64
-	// cheap says that changes cost nothing.
-	cheap bool
+	// totalServers counts all servers, members of groups outside the domains included.
+	totalServers float64
+	// freeTransitions omits the cost of changing layouts.
+	freeTransitions bool
 }
 
-// site is a domain with the layouts that it has, can have and should have.
-type site struct {
+// domainLayout is a domain with its current, feasible and chosen layouts.
+type domainLayout struct {
 	*Domain
-	servers int
-	now     layout
-	ready   []int
-	chosen  layout
-	options []layout
+	serverCount int
+	current     layout
+	// withModel counts, by model, the servers that have the model staged or last ran it, are
+	// loading it, or are about to be released with it.
+	withModel []int
+	chosen    layout
+	feasible  []layout
 }
 
-// design returns the layout of each domain that serves the work best, counted
-// with what it costs to get there from the groups that stand.
+// optimizeLayouts returns for each domain the layout with the lowest total cost, including the cost
+// of the change from the current groups.
 //
-// It improves one domain at a time until none can be improved: with domains that
-// hold a few groups each, what one of them does depends on the others only through
-// the sums. It begins with the layouts that were planned before, and with domains
-// packed with one model first, and takes the best end.
+// It uses coordinate descent: it improves one domain at a time until no domain can be improved.
+// Each domain has few groups and depends on the other domains only through the sums per model. The
+// descent starts once from the previous plan and then, for each model, from domains packed with
+// that model first. The result with the lowest cost wins.
 //
-// While loads are cheap, what it costs to get there is left out.
-func design(domains []Domain, demands []Demand, cheap bool) []layout {
-	designer := newDesigner(domains, demands)
-	designer.cheap = cheap
-	best := designer.descend()
-	bestCost := designer.all()
-	for first := range demands {
-		for _, site := range designer.sites {
-			designer.move(site, site.packed(first, demands))
+// With freeTransitions, the cost of the change is left out; the caller sets it while loads are
+// cheap.
+func optimizeLayouts(domains []Domain, demands []Demand, freeTransitions bool) []layout {
+	optimizer := newOptimizer(domains, demands)
+	optimizer.freeTransitions = freeTransitions
+	best := optimizer.descend()
+	bestCost := optimizer.totalCost()
+	for firstModel := range demands {
+		for _, domain := range optimizer.domains {
+			optimizer.setLayout(domain, domain.packedLayout(firstModel, demands))
 		}
-		if layouts := designer.descend(); designer.all() < bestCost-moveGain {
-			best, bestCost = layouts, designer.all()
+		if layouts := optimizer.descend(); optimizer.totalCost() < bestCost-minGain {
+			best, bestCost = layouts, optimizer.totalCost()
 		}
 	}
 	return best
 }
 
-// descend improves domains one by one, and returns what was chosen.
-func (designer *designer) descend() []layout {
-	for round := 0; round < designRounds && designer.improve(); round++ {
+// descend improves the domains one by one and returns the chosen layouts.
+func (optimizer *optimizer) descend() []layout {
+	for round := 0; round < maxDescentRounds && optimizer.improve(); round++ {
 		continue
 	}
-	layouts := make([]layout, 0, len(designer.sites))
-	for _, site := range designer.sites {
-		layouts = append(layouts, site.chosen)
+	layouts := make([]layout, 0, len(optimizer.domains))
+	for _, domain := range optimizer.domains {
+		layouts = append(layouts, domain.chosen)
 	}
 	return layouts
 }
 
-// packed is a layout with as many groups of one model as the domain holds, and of
-// the others what then fits.
-func (site *site) packed(first int, demands []Demand) layout {
+// packedLayout returns the layout with as many groups of one model as the domain can hold. The
+// other models get the servers that remain, in turn.
+func (domain *domainLayout) packedLayout(firstModel int, demands []Demand) layout {
 	packed := make(layout, len(demands))
-	left := site.servers
+	left := domain.serverCount
 	for offset := range demands {
-		model := (first + offset) % len(demands)
+		model := (firstModel + offset) % len(demands)
 		packed[model] = left / max(1, demands[model].Size)
 		left -= packed[model] * demands[model].Size
 	}
 	return packed
 }
 
-// Design returns what each domain should hold, by model.
-func Design(domains []Domain, demands []Demand) []map[string]int {
+// OptimizeLayouts returns the optimized number of groups of each domain, by model.
+func OptimizeLayouts(domains []Domain, demands []Demand) []map[string]int {
 	named := make([]map[string]int, 0, len(domains))
-	for _, layout := range design(domains, demands, false) {
-		named = append(named, layout.named(demands))
+	for _, layout := range optimizeLayouts(domains, demands, false) {
+		named = append(named, layout.byModelName(demands))
 	}
 	return named
 }
 
-// Cost is what the domains cost with the given groups of each model, with what it
-// takes to get there; see the constants above for the unit.
-func Cost(domains []Domain, demands []Demand, groups []map[string]int) float64 {
-	designer := newDesigner(domains, demands)
-	for number, site := range designer.sites {
+// LayoutCost returns the total cost of the given groups of each domain, including the cost of the
+// change from the current groups. The comment on the cost constants describes the unit.
+func LayoutCost(domains []Domain, demands []Demand, groups []map[string]int) float64 {
+	optimizer := newOptimizer(domains, demands)
+	for index, domain := range optimizer.domains {
 		to := make(layout, len(demands))
 		for model := range demands {
-			to[model] = groups[number][demands[model].Name]
+			to[model] = groups[index][demands[model].Name]
 		}
-		designer.move(site, to)
+		optimizer.setLayout(domain, to)
 	}
-	return designer.all()
+	return optimizer.totalCost()
 }
 
-// all is what the layouts that are chosen cost together.
-func (designer *designer) all() float64 {
-	cost := designer.serve()
-	for _, site := range designer.sites {
-		if !designer.cheap {
-			cost += site.change(site.chosen, designer.demands, designer.total) / max(1, designer.total)
+// totalCost returns the cost of all chosen layouts together.
+func (optimizer *optimizer) totalCost() float64 {
+	cost := optimizer.servingCost()
+	for _, domain := range optimizer.domains {
+		if !optimizer.freeTransitions {
+			cost += domain.transitionCost(domain.chosen, optimizer.demands, optimizer.totalServers) / max(1, optimizer.totalServers)
 		}
 	}
 	return cost
 }
 
-func (layout layout) named(demands []Demand) map[string]int {
+func (layout layout) byModelName(demands []Demand) map[string]int {
 	named := make(map[string]int, len(demands))
 	for model := range demands {
 		named[demands[model].Name] = layout[model]
@@ -149,81 +151,82 @@
 	return named
 }
 
-// designRounds bounds the rounds of improvement. Two or three are usual.
-const designRounds = 12
+// maxDescentRounds bounds the rounds of improvement. Two or three rounds are typical.
+const maxDescentRounds = 12
 
-func newDesigner(domains []Domain, demands []Demand) *designer {
-	designer := &designer{demands: demands, serving: make([]float64, len(demands))}
-	for number := range demands {
-		designer.serving[number] = float64(demands[number].Have * demands[number].Size)
-		designer.total += designer.serving[number]
+func newOptimizer(domains []Domain, demands []Demand) *optimizer {
+	optimizer := &optimizer{demands: demands, serving: make([]float64, len(demands))}
+	for index := range demands {
+		optimizer.serving[index] = float64(demands[index].Current * demands[index].Size)
+		optimizer.totalServers += optimizer.serving[index]
 	}
-	for number := range domains {
-		site := newSite(&domains[number], demands)
-		designer.sites = append(designer.sites, site)
-		designer.total += float64(site.servers)
+	for index := range domains {
+		domain := newDomainLayout(&domains[index], demands)
+		optimizer.domains = append(optimizer.domains, domain)
+		optimizer.totalServers += float64(domain.serverCount)
 		for model := range demands {
-			held := float64(site.now[model] * demands[model].Size)
-			designer.total -= held
-			designer.serving[model] += site.serves(site.chosen, model, demands) - held
+			previous := float64(domain.current[model] * demands[model].Size)
+			optimizer.totalServers -= previous
+			optimizer.serving[model] += domain.expectedServing(domain.chosen, model, demands) - previous
 		}
 	}
-	return designer
+	return optimizer
 }
 
-func newSite(domain *Domain, demands []Demand) *site {
-	site := &site{Domain: domain, now: make(layout, len(demands)), ready: make([]int, len(demands))}
-	counted := len(domain.Spares)
+func newDomainLayout(domain *Domain, demands []Demand) *domainLayout {
+	created := &domainLayout{Domain: domain, current: make(layout, len(demands)), withModel: make([]int, len(demands))}
+	accountedServers := len(domain.FreeServers)
 	for model := range demands {
 		name, size := demands[model].Name, demands[model].Size
-		site.now[model] = domain.has(name)
-		site.ready[model] = domain.staged(name) + domain.Loading[name] + domain.Soon[name] + domain.prepared(&demands[model])
-		counted += site.now[model]*size + domain.Loading[name]
+		created.current[model] = domain.groupCount(name)
+		created.withModel[model] = domain.freeWithModel(name) + domain.Loading[name] + domain.Releasing[name] + domain.membersWithModel(&demands[model])
+		accountedServers += created.current[model]*size + domain.Loading[name]
 	}
-	site.servers = domain.Servers
-	if site.servers == 0 {
-		site.servers = counted
+	created.serverCount = domain.ServerCount
+	if created.serverCount == 0 {
+		created.serverCount = accountedServers
 	}
-	site.options = options(site.servers, demands)
-	site.chosen = site.planned(demands)
-	return site
+	created.feasible = feasibleLayouts(created.serverCount, demands)
+	created.chosen = created.initialLayout(demands)
+	return created
 }
 
-// planned is the layout that was chosen before, if the domain still has the
-// servers for it, else the one that it has. A domain that just lost a group is so
-// first thought of as it was: what stands again soonest is what stood.
-func (site *site) planned(demands []Demand) layout {
-	before := make(layout, len(demands))
+// initialLayout returns the previous plan's layout if the domain still has enough servers for it,
+// and the current layout otherwise. For a domain that has just lost a group, the descent thus
+// starts from the layout with that group, which is the fastest one to restore.
+func (domain *domainLayout) initialLayout(demands []Demand) layout {
+	planned := make(layout, len(demands))
 	for model := range demands {
-		before[model] = site.Planned[demands[model].Name]
+		planned[model] = domain.Planned[demands[model].Name]
 	}
-	if len(site.Planned) == 0 || before.servers(demands) > site.servers {
-		return site.now
+	if len(domain.Planned) == 0 || planned.serverCount(demands) > domain.serverCount {
+		return domain.current
 	}
-	return before
+	return planned
 }
 
-// optionsMost bounds the layouts that are weighed for one domain.
-const optionsMost = 512
+// maxFeasibleLayouts bounds the layouts that are evaluated per domain.
+const maxFeasibleLayouts = 512
 
-// options returns every layout that a domain of so many servers can hold.
-func options(servers int, demands []Demand) []layout {
-	found := []layout{{}}
+// feasibleLayouts returns the layouts that a domain with the given number of servers can hold, at
+// most maxFeasibleLayouts.
+func feasibleLayouts(servers int, demands []Demand) []layout {
+	layouts := []layout{{}}
 	for model := range demands {
-		longer := []layout{}
-		for _, begun := range found {
-			left := servers - begun.servers(demands[:model])
-			for count := 0; count*demands[model].Size <= left && len(longer) < optionsMost; count++ {
-				longer = append(longer, append(append(layout{}, begun...), count))
+		extended := []layout{}
+		for _, partial := range layouts {
+			left := servers - partial.serverCount(demands[:model])
+			for count := 0; count*demands[model].Size <= left && len(extended) < maxFeasibleLayouts; count++ {
+				extended = append(extended, append(append(layout{}, partial...), count))
 			}
 		}
-		found = longer
+		layouts = extended
 	}
-	return found
+	return layouts
 }
 
-// servers is how many servers the groups of a layout take.
-func (layout layout) servers(demands []Demand) int {
+// serverCount returns the number of servers that the groups of the layout need.
+func (layout layout) serverCount(demands []Demand) int {
 	sum := 0
 	for model, count := range layout {
 		sum += count * max(1, demands[model].Size)
@@ -231,32 +234,33 @@
 	return sum
 }
 
-// serves is how many servers serve a model in a layout on average, with losses.
-func (site *site) serves(layout layout, model int, demands []Demand) float64 {
-	spare := max(0, site.servers-layout.servers(demands))
-	lost := bareShare * math.Pow(spareRelief, float64(spare))
-	return float64(layout[model]*demands[model].Size) * (1 - lost)
+// expectedServing returns the expected number of servers that serve a model under a layout, after
+// losses.
+func (domain *domainLayout) expectedServing(layout layout, model int, demands []Demand) float64 {
+	spare := max(0, domain.serverCount-layout.serverCount(demands))
+	lossShare := lossWithoutSpare * math.Pow(lossFactorPerSpare, float64(spare))
+	return float64(layout[model]*demands[model].Size) * (1 - lossShare)
 }
 
-// improve moves each domain to its best layout and says whether any moved.
-func (designer *designer) improve() bool {
-	moved := false
-	for _, site := range designer.sites {
-		best, bestCost := site.chosen, designer.cost(site, site.chosen)-moveGain
-		for _, option := range site.options {
-			if cost := designer.cost(site, option); cost < bestCost {
+// improve moves each domain to its best layout and reports whether any domain changed.
+func (optimizer *optimizer) improve() bool {
+	changed := false
+	for _, domain := range optimizer.domains {
+		best, bestCost := domain.chosen, optimizer.costWith(domain, domain.chosen)-minGain
+		for _, option := range domain.feasible {
+			if cost := optimizer.costWith(domain, option); cost < bestCost {
 				best, bestCost = option, cost
 			}
 		}
-		if !best.same(site.chosen) {
-			designer.move(site, best)
-			moved = true
+		if !best.equals(domain.chosen) {
+			optimizer.setLayout(domain, best)
+			changed = true
 		}
 	}
-	return moved
+	return changed
 }
 
-func (layout layout) same(other layout) bool {
+func (layout layout) equals(other layout) bool {
 	for model := range layout {
 		if layout[model] != other[model] {
 			return false
@@ -265,72 +269,75 @@
 	return true
 }
 
-func (designer *designer) move(site *site, to layout) {
-	for model := range designer.demands {
-		designer.serving[model] += site.serves(to, model, designer.demands) - site.serves(site.chosen, model, designer.demands)
+// setLayout chooses a layout for a domain and updates the serving servers of each model.
+func (optimizer *optimizer) setLayout(domain *domainLayout, to layout) {
+	for model := range optimizer.demands {
+		optimizer.serving[model] += domain.expectedServing(to, model, optimizer.demands) - domain.expectedServing(domain.chosen, model, optimizer.demands)
 	}
-	site.chosen = to
+	domain.chosen = to
 }
 
-// leastServing stands for a model that nothing serves.
-const leastServing = 0.5
+// minServingServers is the lower bound of the divisors in the cost, for a model that nothing
+// serves.
+const minServingServers = 0.5
 
-// cost is what all costs if the domain takes the layout.
-func (designer *designer) cost(site *site, option layout) float64 {
-	held := site.chosen
-	designer.move(site, option)
-	cost := designer.serve()
-	designer.move(site, held)
-	if designer.cheap {
+// costWith returns the total cost if the domain changes to the layout.
+func (optimizer *optimizer) costWith(domain *domainLayout, option layout) float64 {
+	previous := domain.chosen
+	optimizer.setLayout(domain, option)
+	cost := optimizer.servingCost()
+	optimizer.setLayout(domain, previous)
+	if optimizer.freeTransitions {
 		return cost
 	}
-	return cost + site.change(option, designer.demands, designer.total)/max(1, designer.total)
+	return cost + domain.transitionCost(option, optimizer.demands, optimizer.totalServers)/max(1, optimizer.totalServers)
 }
 
-// serve is what serving costs with the layouts that are chosen.
-func (designer *designer) serve() float64 {
-	wanted, cost := 0.0, 0.0
-	for model := range designer.demands {
-		work := designer.demands[model].work()
-		wanted += work
-		cost += work * work / max(designer.serving[model], leastServing)
+// servingCost returns the cost of serving under the chosen layouts.
+func (optimizer *optimizer) servingCost() float64 {
+	desired, cost := 0.0, 0.0
+	for model := range optimizer.demands {
+		servers := optimizer.demands[model].desiredServers()
+		desired += servers
+		cost += servers * servers / max(optimizer.serving[model], minServingServers)
 	}
-	return cost / max(wanted, leastServing)
+	return cost / max(desired, minServingServers)
 }
 
-// work is the servers that a model should have.
-func (demand *Demand) work() float64 {
-	return max(demand.Want, leastWant) * float64(demand.Size)
+// desiredServers returns the number of servers that a model should have.
+func (demand *Demand) desiredServers() float64 {
+	return max(demand.Desired, minDesiredGroups) * float64(demand.Size)
 }
 
-// leastWant keeps a part of a group for a model that nobody asks for now.
-const leastWant = 0.25
+// minDesiredGroups is the minimum number of groups that a model counts as desired, also while it
+// has no calls.
+const minDesiredGroups = 0.25
 
-// change is how many servers the way to a layout takes out of service, each for
-// the part of the horizon that it is away: those of groups that end, and those of
-// groups that wait for a load; and how much of the weight store it takes.
-func (site *site) change(option layout, demands []Demand, total float64) float64 {
-	away := 0.0
+// transitionCost returns the cost of a change from the current layout. It counts the servers of
+// retired groups and of new groups that wait for a load, each for the fraction of the horizon
+// that it is unavailable, and the use of the weight store.
+func (domain *domainLayout) transitionCost(option layout, demands []Demand, total float64) float64 {
+	unavailable := 0.0
 	for model := range demands {
 		size := demands[model].Size
-		if ended := site.now[model] - option[model]; ended > 0 {
-			away += float64(ended) * (float64(size)*endTime/horizon + endGain*total)
+		if retired := domain.current[model] - option[model]; retired > 0 {
+			unavailable += float64(retired) * (float64(size)*retireSeconds/planHorizonSeconds + minGainPerRetiredGroup*total)
 			continue
 		}
-		added := option[model] - site.now[model]
-		loads := max(0, added*size-site.ready[model])
+		added := option[model] - domain.current[model]
+		loads := max(0, added*size-domain.withModel[model])
 		waiting := (loads + size - 1) / size * size
-		away += (float64(waiting) + float64(loads)*loadPrice) * demands[model].loadTime() / horizon
+		unavailable += (float64(waiting) + float64(loads)*storeLoadCost) * demands[model].loadSeconds() / planHorizonSeconds
 	}
-	return away
+	return unavailable
 }
 
-func (demand *Demand) loadTime() float64 {
+func (demand *Demand) loadSeconds() float64 {
 	if demand.LoadTime <= 0 {
-		return usualLoad
+		return defaultLoadSeconds
 	}
 	return demand.LoadTime.Seconds()
 }
 
-// usualLoad is what a load takes where nothing says how long, in seconds.
-const usualLoad = 15
+// defaultLoadSeconds is the load time of a model without a configured one.
+const defaultLoadSeconds = 15
--- a/internal/fleet/formation/loads.go
+++ b/internal/fleet/formation/loads.go
@@ -6,135 +6,136 @@
 	"sort"
 )
 
-// want is one load that would help.
-type want struct {
-	site  *site
-	id    string
-	model string
-	score float64
-	// urgent says that a group waits for it.
+// loadCandidate is a load of a model onto a server that would be useful.
+type loadCandidate struct {
+	domain   *domainLayout
+	serverID string
+	model    string
+	score    float64
+	// urgent is set if a group waits for the load.
 	urgent bool
 }
 
-// loadAll plans loads, those that help most first.
-func (planner *planner) loadAll() {
-	wants := []want{}
-	for _, site := range planner.sites {
-		wants = append(wants, planner.wants(site)...)
+// planLoads plans the useful loads, those with the highest score first.
+func (planner *planner) planLoads() {
+	candidates := []loadCandidate{}
+	for _, domain := range planner.domains {
+		candidates = append(candidates, planner.loadCandidates(domain)...)
 	}
-	sort.SliceStable(wants, func(i, j int) bool { return wants[i].score > wants[j].score })
-	for _, want := range wants {
-		planner.steps = append(planner.steps, Step{Stage: true, Model: want.model, Members: []string{want.id}, Loads: 1, Urgent: want.urgent})
-		want.site.load(want.id, want.model)
+	sort.SliceStable(candidates, func(i, j int) bool { return candidates[i].score > candidates[j].score })
+	for _, candidate := range candidates {
+		planner.steps = append(planner.steps, Step{Stage: true, Model: candidate.model, Members: []string{candidate.serverID}, Loads: 1, Urgent: candidate.urgent})
+		candidate.domain.startStaging(candidate.serverID, candidate.model)
 	}
 }
 
 const (
-	// completes is what the load for a group that lacks one server scores, by the
-	// group's size; a load for one that lacks more scores a part of it.
-	completes = 100
-	// insuredOnce is what is left of the score of a load for a spare with each spare
-	// that is there. Without one it is the square of the group's size: larger groups
-	// are hit more often, and more servers wait for each loss.
-	insuredOnce = 0.2
+	// missingGroupScore is the score, per server of the group, of the load for a group that lacks
+	// one server. A load for a group that lacks more servers scores a fraction of it.
+	missingGroupScore = 100
+	// valueFactorPerSpare is the factor by which each existing spare reduces the score of a load
+	// for another spare. Without a spare, the score is the number of groups times the square of
+	// their size: larger groups lose members more often, and more servers wait after each loss.
+	valueFactorPerSpare = 0.2
 )
 
-// wants returns the loads that would help in one domain.
-func (planner *planner) wants(site *site) []want {
-	found := []want{}
-	pool := append([]Spare{}, site.Spares...)
+// loadCandidates returns the useful loads of one domain.
+func (planner *planner) loadCandidates(domain *domainLayout) []loadCandidate {
+	found := []loadCandidate{}
+	available := append([]ServerInfo{}, domain.FreeServers...)
 	for model := range planner.demands {
 		demand := &planner.demands[model]
-		coming := site.Loading[demand.Name] + site.Soon[demand.Name] + site.prepared(demand)
-		for missing := site.chosen[model] - site.has(demand.Name); missing > 0; missing-- {
-			found = append(found, planner.forGroup(site, demand, &pool, &coming)...)
+		pending := domain.Loading[demand.Name] + domain.Releasing[demand.Name] + domain.membersWithModel(demand)
+		for missing := domain.chosen[model] - domain.groupCount(demand.Name); missing > 0; missing-- {
+			found = append(found, planner.loadsForMissingGroup(domain, demand, &available, &pending)...)
 		}
 	}
-	return append(found, planner.forSpares(site, pool)...)
+	return append(found, planner.loadsForSpares(domain, available)...)
 }
 
-// forGroup returns the loads that a group lacks that the domain should have. It
-// takes the servers of the group out of the pool, and out of those that come with the
-// model.
-func (planner *planner) forGroup(site *site, demand *Demand, pool *[]Spare, coming *int) []want {
-	used := min(*coming, demand.Size)
-	*coming -= used
-	rest, lacking := []Spare{}, demand.Size-used
-	for _, spare := range *pool {
-		if spare.has(demand.Name) && lacking > 0 {
+// loadsForMissingGroup returns the loads that one planned but missing group of a model needs. It
+// removes the group's servers from the available servers, and from the pending servers that will
+// become free with the model.
+func (planner *planner) loadsForMissingGroup(domain *domainLayout, demand *Demand, available *[]ServerInfo, pending *int) []loadCandidate {
+	used := min(*pending, demand.Size)
+	*pending -= used
+	remaining, lacking := []ServerInfo{}, demand.Size-used
+	for _, server := range *available {
+		if server.startsWithoutLoad(demand.Name) && lacking > 0 {
 			lacking--
 			continue
 		}
-		rest = append(rest, spare)
+		remaining = append(remaining, server)
 	}
-	score := completes * float64(demand.Size) / float64(1+lacking)
-	found := []want{}
-	sort.SliceStable(rest, func(i, j int) bool { return len(rest[i].Staged) < len(rest[j].Staged) })
-	rest = slices.DeleteFunc(rest, func(spare Spare) bool { return spare.Staging != "" })
-	for lacking > 0 && len(rest) > 0 {
-		found = append(found, want{site: site, id: rest[0].ID, model: demand.Name, score: score, urgent: true})
-		rest = rest[1:]
+	score := missingGroupScore * float64(demand.Size) / float64(1+lacking)
+	found := []loadCandidate{}
+	sort.SliceStable(remaining, func(i, j int) bool { return len(remaining[i].Staged) < len(remaining[j].Staged) })
+	remaining = slices.DeleteFunc(remaining, func(server ServerInfo) bool { return server.Staging != "" })
+	for lacking > 0 && len(remaining) > 0 {
+		found = append(found, loadCandidate{domain: domain, serverID: remaining[0].ID, model: demand.Name, score: score, urgent: true})
+		remaining = remaining[1:]
 		lacking--
 	}
-	*pool = rest
+	*available = remaining
 	return found
 }
 
-// forSpares returns the loads by which the servers that are left insure the
-// groups of the domain.
-func (planner *planner) forSpares(site *site, pool []Spare) []want {
-	found := []want{}
-	have := planner.insured(site, pool)
-	for _, spare := range pool {
-		if spare.Staging != "" || len(spare.Staged) > 0 {
+// loadsForSpares returns the loads that turn the remaining free servers into spares for the groups
+// of the domain.
+func (planner *planner) loadsForSpares(domain *domainLayout, available []ServerInfo) []loadCandidate {
+	found := []loadCandidate{}
+	replacements := planner.replacementCounts(domain, available)
+	for _, server := range available {
+		if server.Staging != "" || len(server.Staged) > 0 {
 			continue
 		}
-		model, score := planner.bestInsured(site, have)
-		have[model]++
-		found = append(found, want{site: site, id: spare.ID, model: planner.demands[model].Name, score: score})
+		model, score := planner.bestSpareModel(domain, replacements)
+		replacements[model]++
+		found = append(found, loadCandidate{domain: domain, serverID: server.ID, model: planner.demands[model].Name, score: score})
 	}
-	return append(found, planner.besideWork(site, have)...)
+	return append(found, planner.loadsOntoGroupMembers(domain, replacements)...)
 }
 
-// insured counts, by model, the servers that would replace one that is lost.
-func (planner *planner) insured(site *site, pool []Spare) []int {
-	have := make([]int, len(planner.demands))
+// replacementCounts returns, by model, the number of servers that could replace a lost member.
+func (planner *planner) replacementCounts(domain *domainLayout, available []ServerInfo) []int {
+	replacements := make([]int, len(planner.demands))
 	for model := range planner.demands {
 		name := planner.demands[model].Name
-		have[model] = site.Loading[name] + site.Soon[name] + site.prepared(&planner.demands[model]) + countWith(pool, name)
+		replacements[model] = domain.Loading[name] + domain.Releasing[name] + domain.membersWithModel(&planner.demands[model]) + countWithModel(available, name)
 	}
-	return have
+	return replacements
 }
 
-// besideWork returns the loads onto a member of a smaller group, where the domain
-// has a group of a model and nothing to replace its members. A server starts what
-// it ran last without the weights on its host, so it loses nothing by another's.
+// loadsOntoGroupMembers returns loads onto members of smaller groups, for models of which the
+// domain has a group but no replacement for a member. Staging another model costs the member
+// nothing, since a server restarts its last model without staged weights.
 //
-// It is one load a model and domain: more of them keep the weight store from groups
-// that wait.
-func (planner *planner) besideWork(site *site, have []int) []want {
-	found := []want{}
+// It returns at most one load per model and domain: more would delay the loads of waiting groups in
+// the weight store.
+func (planner *planner) loadsOntoGroupMembers(domain *domainLayout, replacements []int) []loadCandidate {
+	found := []loadCandidate{}
 	for model := range planner.demands {
 		demand := &planner.demands[model]
-		if site.has(demand.Name) == 0 || have[model] > 0 {
+		if domain.groupCount(demand.Name) == 0 || replacements[model] > 0 {
 			continue
 		}
-		if member := site.smallerMember(demand); member != nil {
-			found = append(found, want{site: site, id: member.ID, model: demand.Name, score: planner.insurance(site, model, 0) * besideShare})
+		if member := domain.memberOfSmallerGroup(demand); member != nil {
+			found = append(found, loadCandidate{domain: domain, serverID: member.ID, model: demand.Name, score: planner.spareValue(domain, model, 0) * memberLoadWeight})
 		}
 	}
 	return found
 }
 
-// besideShare is what a load beside other work counts, in parts of one for a server
-// that is free.
-const besideShare = 0.2
+// memberLoadWeight is the score of a load onto a group member relative to the same load onto a free
+// server.
+const memberLoadWeight = 0.2
 
-// smallerMember is a member of a smaller group that could hold a model, nil for
-// none: not the head, whose host is the one that calls wait for.
-func (site *site) smallerMember(demand *Demand) *Spare {
-	for number := range site.Serving {
-		members := site.Serving[number].Members
+// memberOfSmallerGroup returns a member of a group smaller than the model's size onto which the
+// model can be loaded, or nil if there is none. It never returns the head, because calls wait for
+// the head's host.
+func (domain *domainLayout) memberOfSmallerGroup(demand *Demand) *ServerInfo {
+	for index := range domain.Serving {
+		members := domain.Serving[index].Members
 		last := &members[len(members)-1]
 		if len(members) > 1 && len(members) < demand.Size && last.Staging == "" {
 			return last
@@ -143,23 +144,24 @@
 	return nil
 }
 
-// bestInsured is the model of which one more spare helps most.
-func (planner *planner) bestInsured(site *site, have []int) (model int, score float64) {
-	for number := range planner.demands {
-		if value := planner.insurance(site, number, have[number]); number == 0 || value > score {
-			model, score = number, value
+// bestSpareModel returns the model for which one more spare has the highest value, and that value.
+func (planner *planner) bestSpareModel(domain *domainLayout, replacements []int) (model int, score float64) {
+	for index := range planner.demands {
+		if value := planner.spareValue(domain, index, replacements[index]); index == 0 || value > score {
+			model, score = index, value
 		}
 	}
 	return model, score
 }
 
-// insurance is what one more spare of a model helps in a domain that has some.
-func (planner *planner) insurance(site *site, model, spares int) float64 {
+// spareValue returns the value of one more spare for a model in a domain that already has some
+// spares.
+func (planner *planner) spareValue(domain *domainLayout, model, spares int) float64 {
 	demand := &planner.demands[model]
-	groups := max(float64(site.has(demand.Name)), unformed)
-	return groups * float64(demand.Size*demand.Size) * math.Pow(insuredOnce, float64(spares))
+	groups := max(float64(domain.groupCount(demand.Name)), weightWithoutGroup)
+	return groups * float64(demand.Size*demand.Size) * math.Pow(valueFactorPerSpare, float64(spares))
 }
 
-// unformed is what a model counts of which the domain has no group: its spares
-// may be the beginning of one.
-const unformed = 0.1
+// weightWithoutGroup is the number of groups that a model counts as having in a domain without a
+// group of it. Its spares may become the first members of a group.
+const weightWithoutGroup = 0.1
--- a/internal/fleet/formation/plan.go
+++ b/internal/fleet/formation/plan.go
@@ -4,61 +4,60 @@
 	"sort"
 )
 
-// Step is one thing to do: to form a group of Members; to stage Model on the one
-// of Members, where Stage is set; or to end Group for the sake of Model, where
-// Retire is set.
+// Step is one action of a plan. By default it forms a group of Members. With Stage set, it stages
+// Model on the only member. With Retire set, it retires Group so that its servers can form a group
+// of Model.
 type Step struct {
 	Stage   bool
 	Retire  bool
 	Group   Group
 	Model   string
 	Members []string
-	// Urgent loads are for a group that waits for them, the others for spares.
+	// Urgent marks a load that a group waits for. Other loads are for spares.
 	Urgent bool
-	// Loads is how many of the members need the weights from the store.
+	// Loads is the number of members that load the weights from the weight store.
 	Loads int
 }
 
 // Plan decides what to do with the servers.
 //
-// It first designs what each domain should hold, then takes the steps that are
-// possible now: it forms the groups for which enough servers of a domain have the
-// model; it ends groups that the design has no place for, once their servers
-// complete one that it has; and it loads models, for groups that lack the fewest
-// servers first, then for spares. A group without a staged spare of its domain
-// waits for a load of many seconds, and the larger the group, the more servers
-// wait with it, so the last servers of a domain are kept for that.
+// It first chooses the layout of each domain, then returns the steps that are possible now. It
+// forms the groups for which a domain has enough servers with the model. It retires groups that
+// exceed the layout once their servers complete a group that the layout lacks. It loads models,
+// first for the groups that lack the fewest servers, then for spares. A group without a spare in
+// its domain waits many seconds for a load, and a larger group keeps more servers waiting, so the
+// last free servers of a domain are kept as spares.
 //
-// While nothing was asked of the fleet yet (fromStore), groups are also formed
-// of servers that must load first: loads cost little then, and joining loads
-// without a further start.
-func Plan(domains []Domain, demands []Demand, fromStore bool) []Step {
-	planner := &planner{demands: demands, fromStore: fromStore}
-	for number, layout := range design(domains, demands, fromStore) {
-		domain := &domains[number]
-		domain.Planned = layout.named(demands)
-		planner.sites = append(planner.sites, &site{Domain: domain, chosen: layout})
+// With loadOnJoin, which is set before the first request, groups are also formed of servers that
+// must load the model first: loads are cheap then, and a load in the join saves a restart.
+func Plan(domains []Domain, demands []Demand, loadOnJoin bool) []Step {
+	planner := &planner{demands: demands, loadOnJoin: loadOnJoin}
+	for index, layout := range optimizeLayouts(domains, demands, loadOnJoin) {
+		domain := &domains[index]
+		domain.Planned = layout.byModelName(demands)
+		planner.domains = append(planner.domains, &domainLayout{Domain: domain, chosen: layout})
 	}
-	planner.formAll()
-	planner.convertAll()
-	planner.loadAll()
+	planner.formGroups()
+	planner.planConversions()
+	planner.planLoads()
 	return planner.steps
 }
 
+// planner collects the steps of one plan.
 type planner struct {
-	sites     []*site
-	demands   []Demand
-	fromStore bool
-	steps     []Step
+	domains    []*domainLayout
+	demands    []Demand
+	loadOnJoin bool
+	steps      []Step
 }
 
-// formAll forms every group that the design has and for which there are servers,
-// of the model that lacks most first.
-func (planner *planner) formAll() {
+// formGroups forms every planned group for which there are servers, in order of the models'
+// coverage, lowest first.
+func (planner *planner) formGroups() {
 	for formed := true; formed; {
 		formed = false
-		for _, model := range planner.byNeed() {
-			if planner.formOne(model) {
+		for _, model := range planner.modelsByCoverage() {
+			if planner.formGroup(model) {
 				formed = true
 				break
 			}
@@ -66,98 +65,99 @@
 	}
 }
 
-// formOne forms one group of a model and says whether it did.
-func (planner *planner) formOne(model int) bool {
+// formGroup forms one group of a model and reports whether it did.
+func (planner *planner) formGroup(model int) bool {
 	demand := &planner.demands[model]
-	var best *site
-	bestStaged := -1
-	for _, site := range planner.sites {
-		staged := min(site.staged(demand.Name), demand.Size)
-		if site.has(demand.Name) >= site.chosen[model] || len(site.Spares) < demand.Size {
+	var best *domainLayout
+	bestWithModel := -1
+	for _, domain := range planner.domains {
+		withModel := min(domain.freeWithModel(demand.Name), demand.Size)
+		if domain.groupCount(demand.Name) >= domain.chosen[model] || len(domain.FreeServers) < demand.Size {
 			continue
 		}
-		if (staged == demand.Size || planner.fromStore) && staged > bestStaged {
-			best, bestStaged = site, staged
+		if (withModel == demand.Size || planner.loadOnJoin) && withModel > bestWithModel {
+			best, bestWithModel = domain, withModel
 		}
 	}
 	if best == nil {
 		return false
 	}
-	members := best.choose(demand.Model)
-	demand.Have++
-	best.Groups[demand.Name] = best.has(demand.Name) + 1
-	best.take(members)
-	planner.steps = append(planner.steps, Step{Model: demand.Name, Members: members, Loads: demand.Size - bestStaged})
+	members := best.selectMembers(demand.Model)
+	demand.Current++
+	best.Groups[demand.Name] = best.groupCount(demand.Name) + 1
+	best.removeFree(members)
+	planner.steps = append(planner.steps, Step{Model: demand.Name, Members: members, Loads: demand.Size - bestWithModel})
 	return true
 }
 
-// byNeed returns the numbers of the models, the one that lacks most first.
-func (planner *planner) byNeed() []int {
+// modelsByCoverage returns the indices of the models, lowest coverage first.
+func (planner *planner) modelsByCoverage() []int {
 	models := make([]int, 0, len(planner.demands))
 	for model := range planner.demands {
 		models = append(models, model)
 	}
 	sort.SliceStable(models, func(i, j int) bool {
-		return planner.demands[models[i]].share() < planner.demands[models[j]].share()
+		return planner.demands[models[i]].coverage() < planner.demands[models[j]].coverage()
 	})
 	return models
 }
 
-// convertAll ends groups that the design has no place for where their servers
-// complete a group that it has. They serve until then: a member of a group can
-// have another model staged on its host beside its work.
-func (planner *planner) convertAll() {
-	for _, site := range planner.sites {
+// planConversions retires groups that exceed the layout if their servers complete a group that the
+// layout lacks. The groups serve until then, because another model can be staged on a member's host
+// while it serves.
+func (planner *planner) planConversions() {
+	for _, domain := range planner.domains {
 		for model := range planner.demands {
-			if site.has(planner.demands[model].Name) < site.chosen[model] {
-				planner.convert(site, &planner.demands[model])
+			if domain.groupCount(planner.demands[model].Name) < domain.chosen[model] {
+				planner.convertDomain(domain, &planner.demands[model])
 			}
 		}
 	}
 }
 
-func (planner *planner) convert(site *site, demand *Demand) {
-	ready := site.staged(demand.Name)
-	if planner.fromStore {
-		ready = len(site.Spares)
+// convertDomain retires the groups of a domain whose servers complete a group of the model, unless
+// the domain has enough servers for it already or soon.
+func (planner *planner) convertDomain(domain *domainLayout, demand *Demand) {
+	available := domain.freeWithModel(demand.Name)
+	if planner.loadOnJoin {
+		available = len(domain.FreeServers)
 	}
-	ending := []int{}
-	for number := range site.Serving {
-		standing := &site.Serving[number]
-		prepared := standing.prepared(demand.Name)
-		if planner.fromStore {
-			prepared = len(standing.Members)
+	retiring := []int{}
+	for index := range domain.Serving {
+		serving := &domain.Serving[index]
+		membersWithModel := serving.membersWithModel(demand.Name)
+		if planner.loadOnJoin {
+			membersWithModel = len(serving.Members)
 		}
-		if prepared > 0 && ready < demand.Size && planner.lends(site, standing, prepared, demand) {
-			ready += prepared
-			ending = append(ending, number)
+		if membersWithModel > 0 && available < demand.Size && planner.mayRetire(domain, serving, membersWithModel, demand) {
+			available += membersWithModel
+			retiring = append(retiring, index)
 		}
 	}
-	if ready < demand.Size || site.staged(demand.Name)+site.Soon[demand.Name]+site.Loading[demand.Name] >= demand.Size {
+	if available < demand.Size || domain.freeWithModel(demand.Name)+domain.Releasing[demand.Name]+domain.Loading[demand.Name] >= demand.Size {
 		return
 	}
-	for _, number := range ending {
-		group := site.Serving[number].Group
+	for _, index := range retiring {
+		group := domain.Serving[index].Group
 		planner.steps = append(planner.steps, Step{Retire: true, Model: demand.Name, Group: group})
 	}
 }
 
-// lends says whether a group may be ended for one of another model: the design has
-// no place for it, or it is smaller and stands again at once, with spares in place
-// of those that it gives.
-func (planner *planner) lends(site *site, standing *Standing, prepared int, demand *Demand) bool {
-	if planner.surplus(site, standing) {
+// mayRetire reports whether a group may be retired for a group of another model. It may if the
+// group exceeds the layout, or if it is the smaller group and can be re-formed at once with free
+// servers that replace the ones it gives up.
+func (planner *planner) mayRetire(domain *domainLayout, serving *ServingGroup, membersWithModel int, demand *Demand) bool {
+	if planner.isSurplus(domain, serving) {
 		return true
 	}
-	return len(standing.Members) < demand.Size && site.staged(standing.Group.Model) >= prepared
+	return len(serving.Members) < demand.Size && domain.freeWithModel(serving.Group.Model) >= membersWithModel
 }
 
-// surplus says whether the design has fewer groups of a group's model than there
-// are in the domain.
-func (planner *planner) surplus(site *site, standing *Standing) bool {
+// isSurplus reports whether the domain has more groups of the group's model than its layout.
+func (planner *planner) isSurplus(domain *domainLayout, serving *ServingGroup) bool {
 	for model := range planner.demands {
-		if planner.demands[model].Name == standing.Group.Model {
-			return site.has(planner.demands[model].Name) > site.chosen[model]
+		if planner.demands[model].Name == serving.Group.Model {
+			return domain.groupCount(planner.demands[model].Name) > domain.chosen[model]
 		}
 	}
 	return true
--- a/internal/fleet/formation/repair.go
+++ b/internal/fleet/formation/repair.go
@@ -11,78 +11,80 @@
 )
 
 const (
-	// orderTries is how often an order without an answer is given again.
-	orderTries = 3
-	// looksWhileJoining is how often in a row a joining member may fail to
-	// answer before the group is given up.
-	looksWhileJoining = 2
-	// joinMost bounds how long a group may take to be ready, beyond what its
-	// slowest member should take: loads slow each other down.
-	joinMost = 30 * time.Second
-	// closeMost is how long a closing head may take to finish what it has.
-	closeMost = 9 * time.Second
-	// releaseMargin is waited beyond the life of a group without its head.
+	// orderAttempts is the number of times that an order without a reply is sent.
+	orderAttempts = 3
+	// maxJoinFailures is the number of consecutive failed reports of a joining member after which
+	// the group is abandoned.
+	maxJoinFailures = 2
+	// joinGrace is the time that a group may take to become ready in addition to the expected time
+	// of its slowest member. Concurrent loads slow each other down. It also bounds the wait for a
+	// staged model.
+	joinGrace = 30 * time.Second
+	// maxCloseTime is how long a closing head may take to finish its calls.
+	maxCloseTime = 9 * time.Second
+	// releaseMargin is added to the stall timeout when waiting to release the members of a group
+	// with an unreachable head.
 	releaseMargin = 1500 * time.Millisecond
 )
 
-var errNotListed = errors.New("the list doesn't show the server")
+var errNotListed = errors.New("request report: server is not in the server list")
 
-// answered is one server's report, or why there is none.
-type answered struct {
+// reportResult is a server's report, or the error of the request.
+type reportResult struct {
 	server *roster.Server
 	report Report
 	err    error
 }
 
-// ask asks servers for reports at once.
-func (former *Former) ask(ids []string) []answered {
-	answers := make([]answered, len(ids))
+// requestReports requests reports from servers concurrently.
+func (controller *Controller) requestReports(ids []string) []reportResult {
+	answers := make([]reportResult, len(ids))
 	waiters := conc.WaitGroup{}
-	for number, id := range ids {
-		server, ok := former.Servers().Servers[id]
+	for index, id := range ids {
+		server, ok := controller.Servers().Servers[id]
 		if !ok {
-			answers[number].err = errNotListed
+			answers[index].err = errNotListed
 			continue
 		}
 		waiters.Go(func() {
-			ctx, cancel := former.Context(answerTime)
+			ctx, cancel := controller.Context(callTimeout)
 			defer cancel()
-			former.Counts.Reports.Add(1)
-			report, err := former.Report(ctx, server)
-			answers[number] = answered{server: server, report: report, err: err}
+			controller.Counts.Reports.Add(1)
+			report, err := controller.Report(ctx, server)
+			answers[index] = reportResult{server: server, report: report, err: err}
 		})
 	}
 	waiters.Wait()
 	return answers
 }
 
-// give gives one order, again if there is no answer. An order that got none may
-// have been taken; giving it again does no harm, since a server that has taken
-// it says Done, or counts one more order than expected.
-func (former *Former) give(server *roster.Server, order Order) (Result, error) {
-	var failure error
-	for range orderTries {
-		if former.Term() != order.Term {
+// sendOrder sends an order, and repeats it while there is no reply. An order without a reply may
+// have been accepted. Repeating it is safe: a server that has accepted it replies Done, or rejects
+// the repetition because its count of accepted orders no longer equals the expected one.
+func (controller *Controller) sendOrder(server *roster.Server, order Order) (Result, error) {
+	var lastErr error
+	for range orderAttempts {
+		if controller.Term() != order.Term {
 			return Outdated, nil
 		}
-		ctx, cancel := former.Context(2 * answerTime)
-		former.Counts.Orders.Add(1)
-		result, err := former.Order(ctx, server, order)
+		ctx, cancel := controller.Context(2 * callTimeout)
+		controller.Counts.Orders.Add(1)
+		result, err := controller.Order(ctx, server, order)
 		cancel()
-		former.Logger.Info("former: an order was given.", "Server", server.ID, "Kind", order.Kind.String(),
+		controller.Logger.Info("former: order sent.", "Server", server.ID, "Kind", order.Kind.String(),
 			"Group", order.Group, "Model", order.Model, "Term", order.Term, "Result", result.String(), "Error", errorText(err))
 		switch {
 		case err == nil && result == Outdated:
-			former.Outdated(order.Term)
+			controller.TermOutdated(order.Term)
 			return result, nil
 		case err == nil:
 			return result, nil
 		case errors.Is(err, ErrRefused):
 			return Invalid, err
 		}
-		failure = err
+		lastErr = err
 	}
-	return Invalid, failure
+	return Invalid, lastErr
 }
 
 func errorText(err error) string {
@@ -92,107 +94,105 @@
 	return err.Error()
 }
 
-// examine asks all members of a group whether they are there, and ends the
-// group if one is not.
-func (former *Former) examine(term int64, group Group) {
-	dead := former.missing(group, group.Members)
-	if len(dead) == 0 {
-		former.mu.Lock()
-		former.examined[group.Name] = former.Now()
-		former.mu.Unlock()
-		former.Counts.WholeSeen.Add(1)
-		former.Logger.Info("former: a silent group is whole.", "Group", group.Name, "Model", group.Model)
+// examineGroup requests reports from all members of a group, and ends the group if one is missing.
+func (controller *Controller) examineGroup(term int64, group Group) {
+	missing := controller.missingMembers(group, group.Members)
+	if len(missing) == 0 {
+		controller.mu.Lock()
+		controller.foundCompleteAt[group.Name] = controller.Now()
+		controller.mu.Unlock()
+		controller.Counts.FoundComplete.Add(1)
+		controller.Logger.Info("former: examined group is complete.", "Group", group.Name, "Model", group.Model)
 		return
 	}
-	former.Counts.Lost.Add(1)
-	former.Logger.Warn("former: a group lost members.", "Group", group.Name, "Model", group.Model, "Members", dead)
-	for _, id := range dead {
-		former.markLost(id)
+	controller.Counts.Lost.Add(1)
+	controller.Logger.Warn("former: group lost members.", "Group", group.Name, "Model", group.Model, "Members", missing)
+	for _, id := range missing {
+		controller.excludeLost(id)
 	}
-	former.end(term, group, dead)
+	controller.endGroup(term, group, missing)
 }
 
-// missing returns which of some members don't answer or are not in the group. One that
-// refuses to be asked lives.
-func (former *Former) missing(group Group, ids []string) []string {
+// missingMembers returns the given members that don't reply or are not in the group. A member that
+// refuses the request is alive and not missing.
+func (controller *Controller) missingMembers(group Group, ids []string) []string {
 	missing := []string{}
-	for number, answer := range former.ask(ids) {
+	for index, answer := range controller.requestReports(ids) {
 		if errors.Is(answer.err, ErrRefused) {
 			continue
 		}
 		inGroup := answer.report.Group.Name == group.Name && answer.report.Group.State != roster.Broken
 		if answer.err != nil || !inGroup {
-			missing = append(missing, ids[number])
+			missing = append(missing, ids[index])
 		}
 	}
 	return missing
 }
 
-// end takes a group apart. Its members are free once its head has left it. If
-// the head can't be reached, it may live on the far side of a partition and
-// serve: then the members that can be reached leave, at which the head stands
-// still, and after the stall bound it serves nobody. If no member can be
-// reached either, nothing is known and nothing done: the group may be whole,
-// and other nodes may reach it. A refused connection proves nothing, since a
-// partition may refuse too.
-func (former *Former) end(term int64, group Group, dead []string) {
-	if former.headLeaves(term, group, dead) {
-		former.mu.Lock()
-		former.left[group.Name] = true
-		former.mu.Unlock()
-		former.Announce(News{Change: Lost, Group: group})
-		former.Announce(News{Change: Released, Group: group})
+// endGroup ends a group and releases its members once the head has left. An unreachable head may
+// still serve on the other side of a network partition. In that case the reachable members leave,
+// which stalls the head, and after the stall timeout the head no longer serves. If no member can be
+// reached, nothing is known about the group and nothing is done: it may be complete and reachable
+// from other nodes. A refused connection proves nothing, since connections may be refused in a
+// partition too.
+func (controller *Controller) endGroup(term int64, group Group, missing []string) {
+	if controller.makeHeadLeave(term, group, missing) {
+		controller.mu.Lock()
+		controller.headLeft[group.Name] = true
+		controller.mu.Unlock()
+		controller.Announce(Announcement{Change: Lost, Group: group})
+		controller.Announce(Announcement{Change: Released, Group: group})
 		return
 	}
-	if !former.memberLeaves(term, group, dead) {
-		former.Logger.Warn("former: no member of a group can be reached; it is left alone.", "Group", group.Name)
+	if !controller.makeMembersLeave(term, group, missing) {
+		controller.Logger.Warn("former: group not ended because none of its members can be reached.", "Group", group.Name)
 		return
 	}
-	former.Announce(News{Change: Lost, Group: group})
-	former.Logger.Info("former: a head can't be reached; its members wait.", "Group", group.Name, "Head", group.Head())
-	former.outwait(term, group)
+	controller.Announce(Announcement{Change: Lost, Group: group})
+	controller.Logger.Info("former: group head can't be reached, waiting for it to stall before releasing the members.", "Group", group.Name, "Head", group.Head())
+	controller.awaitHeadStall(term, group)
 }
 
-func (former *Former) headLeaves(term int64, group Group, dead []string) bool {
-	head, ok := former.Servers().Servers[group.Head()]
-	return ok && !slices.Contains(dead, head.ID) && former.leave(term, head, group)
+func (controller *Controller) makeHeadLeave(term int64, group Group, missing []string) bool {
+	head, ok := controller.Servers().Servers[group.Head()]
+	return ok && !slices.Contains(missing, head.ID) && controller.makeServerLeave(term, head, group)
 }
 
-// memberLeaves makes the members beside the head leave and says whether one of
-// them provably has.
-func (former *Former) memberLeaves(term int64, group Group, dead []string) bool {
-	left := false
+// makeMembersLeave orders all members but the head to leave, and reports whether at least one
+// provably has.
+func (controller *Controller) makeMembersLeave(term int64, group Group, missing []string) bool {
+	anyLeft := false
 	for rank, id := range group.Members {
-		server, ok := former.Servers().Servers[id]
-		if rank == 0 || !ok || slices.Contains(dead, id) {
+		server, ok := controller.Servers().Servers[id]
+		if rank == 0 || !ok || slices.Contains(missing, id) {
 			continue
 		}
-		left = former.leave(term, server, group) || left
+		anyLeft = controller.makeServerLeave(term, server, group) || anyLeft
 	}
-	return left
+	return anyLeft
 }
 
-// outwait releases the members of a group whose head couldn't be reached, when
-// the head has left after all, or when it has stood still for so long that it
-// serves nobody and the list doesn't show it serving: a head without calls may
-// not notice that a member left, and stay open for long.
-func (former *Former) outwait(term int64, group Group) {
-	until := former.Now() + former.Bounds.Stall + releaseMargin
-	for former.Now() < until || former.seemsOpen(group, until) {
-		if !former.Sleep(headAgain) || former.Term() != term {
+// awaitHeadStall releases the members of a group whose head could not be reached. It waits until
+// the head has left after all, or until the stall timeout has passed and a newer server list
+// doesn't show the head serving. The list is needed because a head without calls may not notice
+// that a member left and may stay open for long.
+func (controller *Controller) awaitHeadStall(term int64, group Group) {
+	until := controller.Now() + controller.Bounds.StallTimeout + releaseMargin
+	for controller.Now() < until || controller.mayBeServing(group, until) {
+		if !controller.Sleep(headRetryInterval) || controller.Term() != term {
 			return
 		}
-		if former.headLeaves(term, group, nil) {
+		if controller.makeHeadLeave(term, group, nil) {
 			break
 		}
 	}
-	former.Announce(News{Change: Released, Group: group})
+	controller.Announce(Announcement{Change: Released, Group: group})
 }
 
-// seemsOpen says whether a group's head may still be serving, by a list that
-// was read after the given time. An older list can't tell.
-func (former *Former) seemsOpen(group Group, since time.Duration) bool {
-	servers := former.Servers()
+// mayBeServing reports whether a group's head may still be serving according to a server list read
+// after the given time. It returns true for an older list, which can't tell.
+func (controller *Controller) mayBeServing(group Group, since time.Duration) bool {
+	servers := controller.Servers()
 	if servers.ReadAt < since {
 		return true
 	}
@@ -200,12 +200,12 @@
 	return ok && head.Group.Name == group.Name && (head.Group.State == roster.Open || head.Group.State == roster.Closing)
 }
 
-// headAgain is how often a head that could not be reached is tried.
-const headAgain = 1200 * time.Millisecond
+// headRetryInterval is the interval at which an unreachable head is ordered again to leave.
+const headRetryInterval = 1200 * time.Millisecond
 
-// leave makes a server leave a group and says whether it provably has.
-func (former *Former) leave(term int64, server *roster.Server, group Group) bool {
-	result, err := former.give(server, Order{
+// makeServerLeave orders a server to leave a group and reports whether it provably has.
+func (controller *Controller) makeServerLeave(term int64, server *roster.Server, group Group) bool {
+	result, err := controller.sendOrder(server, Order{
 		Kind: Leave, Group: group.Name, Epoch: group.Epoch, Term: term, Expected: -1,
 	})
 	if err != nil {
@@ -215,96 +215,96 @@
 	case Begun, Done, Absent:
 		return true
 	case Conflict:
-		// It is in another group, or in none.
-		report := former.ask([]string{server.ID})[0]
+		// The server is in another group or in none.
+		report := controller.requestReports([]string{server.ID})[0]
 		return report.err == nil && report.report.Group.Name != group.Name
 	default:
 		return false
 	}
 }
 
-// drain ends a group of which a member is leaving: no new calls, those it has
-// are finished, then its members are free.
-func (former *Former) drain(term int64, group Group) {
-	former.Counts.Retired.Add(1)
-	former.Announce(News{Change: Retired, Group: group})
-	head, ok := former.Servers().Servers[group.Head()]
+// drainGroup ends a group gracefully: it gets no new calls and finishes its calls, then its members
+// are released.
+func (controller *Controller) drainGroup(term int64, group Group) {
+	controller.Counts.Retired.Add(1)
+	controller.Announce(Announcement{Change: Retired, Group: group})
+	head, ok := controller.Servers().Servers[group.Head()]
 	if !ok {
-		former.end(term, group, nil)
+		controller.endGroup(term, group, nil)
 		return
 	}
-	result, err := former.give(head, Order{Kind: Close, Group: group.Name, Epoch: group.Epoch, Term: term, Expected: -1})
+	result, err := controller.sendOrder(head, Order{Kind: Close, Group: group.Name, Epoch: group.Epoch, Term: term, Expected: -1})
 	if err == nil && result.Taken() {
-		former.awaitClosed(group)
+		controller.awaitClosed(group)
 	}
-	former.end(term, group, nil)
+	controller.endGroup(term, group, nil)
 }
 
-// finish ends a group that another node was ending. One that was only closed may
-// still be at its streams.
-func (former *Former) finish(term int64, group Group) {
-	if former.View.Retired(group.Name) {
-		former.drain(term, group)
+// resumeEnding ends a group that another node was ending. A group that was only closed may still
+// have streams, so it is drained.
+func (controller *Controller) resumeEnding(term int64, group Group) {
+	if controller.View.IsRetired(group.Name) {
+		controller.drainGroup(term, group)
 		return
 	}
-	former.end(term, group, nil)
+	controller.endGroup(term, group, nil)
 }
 
-// retire ends a group of which the list doesn't show all members. Where those
-// that it shows are there, the others may be cut off from the registry alone and
-// serve: ended at once, all streams of a dozen groups moved in the same second,
-// and the repeats that the fleet may send were used up. Such a group gets no new
-// calls and finishes what it has. If a member is dead after all, its streams
-// stand still and each node moves its own.
-func (former *Former) retire(term int64, listed Group) {
-	former.mu.Lock()
-	group, known := former.whole[listed.Name]
-	former.mu.Unlock()
-	servers := former.Servers().Servers
+// retireUnlisted ends a group of which the server list doesn't show all members. If all listed
+// members are in the group, the unlisted ones may only be cut off from the registry and still
+// serve, so the group is drained. When such groups were ended immediately, all streams of a dozen
+// groups moved within the same second and used up the fleet's retry budget. If a member is dead
+// after all, the group's streams stall, and each node moves its own streams.
+func (controller *Controller) retireUnlisted(term int64, listed Group) {
+	controller.mu.Lock()
+	group, known := controller.lastComplete[listed.Name]
+	controller.mu.Unlock()
+	servers := controller.Servers().Servers
 	shown := slices.DeleteFunc(slices.Clone(group.Members), func(id string) bool { return servers[id] == nil })
-	if !known || len(shown) == len(group.Members) || len(former.missing(group, shown)) > 0 {
-		former.end(term, listed, nil)
+	if !known || len(shown) == len(group.Members) || len(controller.missingMembers(group, shown)) > 0 {
+		controller.endGroup(term, listed, nil)
 		return
 	}
-	former.Logger.Info("former: the list doesn't show all members of a group; it finishes what it has.",
+	controller.Logger.Info("former: retiring group because the server list lacks some of its members.",
 		"Group", group.Name, "Model", group.Model, "Members", group.Members, "Shown", shown)
 	if servers[group.Head()] != nil {
-		former.drain(term, group)
+		controller.drainGroup(term, group)
 		return
 	}
-	former.Counts.Retired.Add(1)
-	former.Announce(News{Change: Retired, Group: group})
-	if former.Sleep(unlistedFinish) {
-		former.end(term, group, nil)
+	controller.Counts.Retired.Add(1)
+	controller.Announce(Announcement{Change: Retired, Group: group})
+	if controller.Sleep(unlistedDrainTime) {
+		controller.endGroup(term, group, nil)
 	}
 }
 
-// unlistedFinish is how long a group whose head can't be told to close has to
-// finish its streams, which take a second or two.
-const unlistedFinish = 3 * time.Second
+// unlistedDrainTime is how long a group may finish its streams if its head is unlisted and can't be
+// ordered to close. A stream takes a second or two to end.
+const unlistedDrainTime = 3 * time.Second
 
-// lendOne ends a group whose servers complete one of another model, unless another
-// is being ended: what the first one changes is seen before a second goes.
-func (former *Former) lendOne(term int64, step Step) {
-	if former.lending.Swap(true) {
+// retireForOtherModel retires a group whose servers complete a group of another model. It does
+// nothing while another such retirement is in progress, so that the effect of the first is known
+// before a second begins.
+func (controller *Controller) retireForOtherModel(term int64, step Step) {
+	if controller.retiringForOther.Swap(true) {
 		return
 	}
-	begun := former.begin(step.Group.Name, func() {
-		defer former.lending.Store(false)
-		former.Counts.Lent.Add(1)
-		former.Logger.Info("former: a group lends its servers.", "Group", step.Group.Name, "From", step.Group.Model, "To", step.Model)
-		former.drain(term, step.Group)
+	started := controller.startGroupWork(step.Group.Name, func() {
+		defer controller.retiringForOther.Store(false)
+		controller.Counts.RetiredForOther.Add(1)
+		controller.Logger.Info("former: retiring group for another model.", "Group", step.Group.Name, "From", step.Group.Model, "To", step.Model)
+		controller.drainGroup(term, step.Group)
 	})
-	if !begun {
-		former.lending.Store(false)
+	if !started {
+		controller.retiringForOther.Store(false)
 	}
 }
 
-// awaitClosed waits until a closing head has finished what it has.
-func (former *Former) awaitClosed(group Group) {
-	deadline := former.Now() + closeMost
-	for former.Now() < deadline && former.Sleep(closeLook) {
-		answer := former.ask([]string{group.Head()})[0]
+// awaitClosed waits until a closing head has finished its calls.
+func (controller *Controller) awaitClosed(group Group) {
+	deadline := controller.Now() + maxCloseTime
+	for controller.Now() < deadline && controller.Sleep(closePollInterval) {
+		answer := controller.requestReports([]string{group.Head()})[0]
 		state := answer.report.Group.State
 		if answer.err != nil || (state != roster.Closing && state != roster.Open) {
 			return
@@ -312,6 +312,6 @@
 	}
 }
 
-// closeLook is how often a closing head is asked. A stream takes a second or
+// closePollInterval is the interval at which a closing head is polled. A stream takes a second or
 // two to end.
-const closeLook = 400 * time.Millisecond
+const closePollInterval = 400 * time.Millisecond
--- a/internal/fleet/formation/born_test.go
+++ b/internal/fleet/formation/restart_test.go
@@ -13,19 +13,19 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// A member's process ends and starts again under its ID, within a second. The marks
-// of the lost one kept it out of groups for seconds, while its group waited for a
-// fourth server and there was no other in the domain.
-func TestServerThatStartedAgainIsUsedAtOnce(t *testing.T) {
+// Guards against a restarted member being kept out of groups. A member's process ends and starts
+// again under the same ID within a second. The exclusion of its previous run used to cover the new
+// run too: the group then waited several seconds for a fourth server, and its domain had no other.
+func TestRestartedServerIsUsedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(3, 1, 4, 1)
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
-		group := headOf(fleet.nodes[0], "large")
+		group := servingGroupOf(fleet.nodes[0], "large")
 		expect.Expect(group.Members).To(gomega.HaveLen(4))
 		fleet.world.Restart(group.Members[2])
-		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
+		fleet.nodes[0].controller.Suspect(group.Head(), group.Name)
 		time.Sleep(4500 * time.Millisecond)
 		expect.Expect(fleet.world.Whole()["large"]).To(gomega.Equal(1))
 		expect.Expect(fleet.world.JoinLoads()).To(gomega.BeZero())
@@ -34,22 +34,22 @@
 	})
 }
 
-// A server of a large group had the small model loaded onto its host and started
-// again. It is no spare of the large model any more: told to join, it would load in
-// the join, past the bound on loads.
-func TestServerThatStartedAgainHasOnlyWhatLiesOnItsHost(t *testing.T) {
+// Guards against a load during a join. A member of a large group had the small model staged on its
+// host and then restarted. It can no longer start the large model: ordered to join a large group,
+// it would load the weights in the join, outside the limit on loads.
+func TestRestartedServerHasOnlyStagedModels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(4, 1, 7, 1)
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
-		group := headOf(fleet.nodes[0], "large")
+		group := servingGroupOf(fleet.nodes[0], "large")
 		expect.Expect(group.Members).To(gomega.HaveLen(4))
 		for _, id := range group.Members[1:] {
 			fleet.world.Put(id, "small")
 			fleet.world.Restart(id)
 		}
-		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
+		fleet.nodes[0].controller.Suspect(group.Head(), group.Name)
 		time.Sleep(10 * time.Second)
 		expect.Expect(fleet.world.JoinLoads()).To(gomega.BeZero())
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
@@ -57,13 +57,13 @@
 	})
 }
 
-// A node hears that a group serves, and right after that a member starts again
-// under its ID. The list shows the ID as before, so calls went on to a head that
-// could only stand still or refuse.
-func TestOpenedGroupEndsWithAMembersRun(t *testing.T) {
+// Guards against calls to a group whose member restarted just after the group was announced as
+// opened. The server list shows the ID as before, so calls went on to a head that could only stall
+// or refuse them.
+func TestOpenedGroupIsDroppedWhenAMemberRestarts(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	list := roster.New()
-	put := func(position, born int64) {
+	putServer := func(position, born int64) {
 		server := &roster.Server{ID: "b", Service: service, Born: born}
 		list.Take(roster.Reading{
 			Records: []roster.Record{{ID: "b", Position: storelog.Position{Offset: position}, Server: server}},
@@ -74,34 +74,34 @@
 		Records: []roster.Record{{ID: "a", Position: storelog.Position{Offset: 1}, Server: &roster.Server{ID: "a", Service: service, Born: 5}}},
 		End:     storelog.Position{Offset: 2}, ReadAt: time.Second,
 	})
-	put(2, 5)
-	view := formation.NewView(clock.Boot, formation.Servers(list.Load))
-	view.Learn(formation.News{Change: formation.Opened, Group: formation.Group{Name: "g", Epoch: 9, Service: service, Model: "large", Members: []string{"a", "b"}}})
+	putServer(2, 5)
+	view := formation.NewView(clock.Boot, formation.WithServerList(list.Load))
+	view.Apply(formation.Announcement{Change: formation.Opened, Group: formation.Group{Name: "g", Epoch: 9, Service: service, Model: "large", Members: []string{"a", "b"}}})
 	services := []formation.Service{{Name: service, Engine: engine()}}
 	expect.Expect(view.Serving(list.Load(), services)).To(gomega.HaveLen(1))
-	put(4, 6)
+	putServer(4, 6)
 	expect.Expect(view.Serving(list.Load(), services)).To(gomega.BeEmpty())
 }
 
-// The node that was ending a group is gone: the group's head had closed, all its
-// members were ready. Whoever gave orders next took it for one that nobody had
-// opened and opened it, while every node knew that it had ended and sent it
-// nothing. Its servers served nobody for the rest of the day.
-func TestGroupThatWasBeingEndedIsTakenApart(t *testing.T) {
+// Guards against reopening a group that was being ended. The leader closed the group's head and
+// went away while all members were ready. The next leader took the group for one that had never
+// been opened and opened it, but every node knew that the group had ended and sent it no calls. Its
+// servers stayed unused for the rest of the day.
+func TestPartlyEndedGroupIsEndedByTheNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(5, 1, 4, 2)
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
-		group := headOf(fleet.nodes[0], "large")
+		group := servingGroupOf(fleet.nodes[0], "large")
 		expect.Expect(group.Members).To(gomega.HaveLen(4))
 		fleet.nodes[0].setTerm(0)
 		_, err := fleet.world.Order("node-0", group.Head(), formation.Order{Kind: formation.Close, Group: group.Name, Epoch: group.Epoch, Term: 4096, Expected: -1})
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
-		fleet.nodes[0].announce(formation.News{Change: formation.Retired, Group: group})
+		fleet.nodes[0].announce(formation.Announcement{Change: formation.Retired, Group: group})
 		fleet.nodes[1].setTerm(8192)
 		time.Sleep(8 * time.Second)
-		next := headOf(fleet.nodes[1], "large")
+		next := servingGroupOf(fleet.nodes[1], "large")
 		expect.Expect(next.Members).To(gomega.HaveLen(4))
 		expect.Expect(next.Name).NotTo(gomega.Equal(group.Name))
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
--- a/internal/fleet/formation/view.go
+++ b/internal/fleet/formation/view.go
@@ -9,181 +9,183 @@
 	"hazelslip/internal/fleet/roster"
 )
 
-// Change is what news of a group says.
+// Change is the kind of change that an announcement states.
 type Change string
 
 // The changes of a group, in the order in which they happen.
 const (
-	// Opened: it serves.
+	// Opened means that the group serves.
 	Opened Change = "Opened"
-	// Retired: it gets no new calls and finishes those it has.
+	// Retired means that the group gets no new calls and finishes its current ones.
 	Retired Change = "Retired"
-	// Lost: it lost a member, and its calls go on elsewhere.
+	// Lost means that the group lost a member and its calls move to other groups.
 	Lost Change = "Lost"
-	// Released: its head has left it; its members may join other groups.
+	// Released means that the head has left the group or no longer serves, so the members may join
+	// other groups.
 	Released Change = "Released"
 )
 
-// News is one change of a group, made known by the node that ordered it. It is
-// ahead of the list of servers by a second or two.
-type News struct {
+// Announcement is one change of a group, published by the node that ordered it. Announcements are a
+// second or two ahead of the server list.
+type Announcement struct {
 	Change Change
 	Group  Group
 }
 
 const (
-	// newsKept is how long news is passed on to peers.
-	newsKept = 3 * time.Second
-	// openedTrust is how long a group counts as serving by news alone, by the
-	// time of the list of servers: a list that is so much newer than the news
-	// shows the group if it is there. While the registry can't be read, news
-	// stays good.
-	openedTrust = 5 * time.Second
-	// endedKept is how long names of ended groups are remembered. Names are not
-	// used again; the list forgets a group within seconds.
-	endedKept = 2 * time.Minute
+	// announcementRelayTime is how long an announcement is relayed to peers.
+	announcementRelayTime = 3 * time.Second
+	// announcedServingTTL is how long a group counts as serving by its announcement alone. It is
+	// measured against the time at which the server list was read: a list that is newer by this
+	// much shows the group if it exists. While the registry can't be read, the announcement stays
+	// valid.
+	announcedServingTTL = 5 * time.Second
+	// endedGroupTTL is how long the names of ended groups are kept. Names are not reused, and the
+	// server list drops a group within seconds.
+	endedGroupTTL = 2 * time.Minute
 )
 
-type heard struct {
-	News
-	at time.Duration
-	// born is when each member started, as the list showed it when the news came.
-	born map[string]int64
+// receivedAnnouncement is an announcement as this node received it.
+type receivedAnnouncement struct {
+	Announcement
+	receivedAt time.Duration
+	// memberStarts is when each member's process started, as listed when the announcement arrived.
+	memberStarts map[string]int64
 }
 
-// View is what a node knows of groups.
+// View holds what a node knows about groups.
 type View struct {
 	now clock.Now
-	// servers returns the list of servers, nil where there is none.
+	// servers returns the server list. It is nil for a view without a server list.
 	servers func() *roster.Snapshot
 
 	mu     sync.Mutex
-	opened map[string]heard
-	ended  map[string]heard
+	opened map[string]receivedAnnouncement
+	ended  map[string]receivedAnnouncement
 }
 
-// ViewOption changes how a View is built.
+// ViewOption configures a View.
 type ViewOption func(*View)
 
-// Servers lets the view see when the members of a group started.
-func Servers(list func() *roster.Snapshot) ViewOption {
+// WithServerList gives the view a server list, from which it detects that a member restarted.
+func WithServerList(list func() *roster.Snapshot) ViewOption {
 	return func(view *View) { view.servers = list }
 }
 
-// NewView returns a view without news.
+// NewView returns a view without announcements.
 func NewView(now clock.Now, options ...ViewOption) *View {
-	view := &View{now: now, opened: map[string]heard{}, ended: map[string]heard{}}
+	view := &View{now: now, opened: map[string]receivedAnnouncement{}, ended: map[string]receivedAnnouncement{}}
 	for _, option := range options {
 		option(view)
 	}
 	return view
 }
 
-// births is when the members of a group started, as the list shows it now.
-func (view *View) births(group *Group) map[string]int64 {
+// memberStarts returns when the process of each listed member of a group started.
+func (view *View) memberStarts(group *Group) map[string]int64 {
 	if view.servers == nil {
 		return nil
 	}
 	servers := view.servers().Servers
-	born := make(map[string]int64, len(group.Members))
+	starts := make(map[string]int64, len(group.Members))
 	for _, id := range group.Members {
 		if server, ok := servers[id]; ok {
-			born[id] = server.Born
+			starts[id] = server.Born
 		}
 	}
-	return born
+	return starts
 }
 
-// stands says whether no member started again since the group was opened: under
-// its ID it is listed as before, and knows nothing of the group.
-func (held *heard) stands(servers *roster.Snapshot) bool {
-	for id, born := range held.born {
-		if server, ok := servers.Servers[id]; ok && server.Born != born {
+// membersUnchanged reports whether no member restarted since the group was announced. A restarted
+// member is listed under the same ID as before, but is no longer in the group.
+func (received *receivedAnnouncement) membersUnchanged(servers *roster.Snapshot) bool {
+	for id, start := range received.memberStarts {
+		if server, ok := servers.Servers[id]; ok && server.Born != start {
 			return false
 		}
 	}
 	return true
 }
 
-// stages puts the changes of a group in order.
-var stages = map[Change]int{Opened: 1, Retired: 2, Lost: 3, Released: 4}
+// changeOrder gives the order of the changes in a group's life.
+var changeOrder = map[Change]int{Opened: 1, Retired: 2, Lost: 3, Released: 4}
 
-// Learn takes news and says whether it was new. News of one group may come in
-// any order and more than once; what comes later in a group's life wins.
-func (view *View) Learn(news News) bool {
+// Apply applies an announcement and reports whether it was new. Announcements of one group may
+// arrive in any order and repeatedly; the latest change in the group's life takes precedence.
+func (view *View) Apply(announcement Announcement) bool {
 	view.mu.Lock()
 	defer view.mu.Unlock()
-	name := news.Group.Name
-	held, known := view.ended[name]
+	name := announcement.Group.Name
+	previous, known := view.ended[name]
 	if !known {
-		held, known = view.opened[name]
+		previous, known = view.opened[name]
 	}
-	if stages[news.Change] == 0 || (known && stages[news.Change] <= stages[held.Change]) {
+	if changeOrder[announcement.Change] == 0 || (known && changeOrder[announcement.Change] <= changeOrder[previous.Change]) {
 		return false
 	}
-	if news.Change == Opened {
-		view.opened[name] = heard{News: news, at: view.now(), born: view.births(&news.Group)}
+	if announcement.Change == Opened {
+		view.opened[name] = receivedAnnouncement{Announcement: announcement, receivedAt: view.now(), memberStarts: view.memberStarts(&announcement.Group)}
 		return true
 	}
-	view.ended[name] = heard{News: news, at: view.now()}
+	view.ended[name] = receivedAnnouncement{Announcement: announcement, receivedAt: view.now()}
 	delete(view.opened, name)
 	return true
 }
 
-// Ended says whether the group is known to have ended.
-func (view *View) Ended(group string) bool {
+// HasEnded reports whether the group is known to have been retired, lost or released.
+func (view *View) HasEnded(group string) bool {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	_, ended := view.ended[group]
 	return ended
 }
 
-// Retired says whether the group finishes what it has, as far as is known.
-func (view *View) Retired(group string) bool {
+// IsRetired reports whether the group's latest known change is Retired.
+func (view *View) IsRetired(group string) bool {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	return view.ended[group].Change == Retired
 }
 
-// Free says whether members of the group may join others.
-func (view *View) Free(group string) bool {
+// MembersFree reports whether the members of the group may join other groups.
+func (view *View) MembersFree(group string) bool {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	return view.ended[group].Change == Released
 }
 
-// Recent returns the news to pass on to peers.
-func (view *View) Recent() []News {
+// RecentAnnouncements returns the announcements to relay to peers, and drops expired ones.
+func (view *View) RecentAnnouncements() []Announcement {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	now := view.now()
-	recent := []News{}
-	for name, held := range view.ended {
+	recent := []Announcement{}
+	for name, received := range view.ended {
 		switch {
-		case now-held.at < newsKept:
-			recent = append(recent, held.News)
-		case now-held.at > endedKept:
+		case now-received.receivedAt < announcementRelayTime:
+			recent = append(recent, received.Announcement)
+		case now-received.receivedAt > endedGroupTTL:
 			delete(view.ended, name)
 		}
 	}
-	for _, held := range view.opened {
-		if now-held.at < newsKept {
-			recent = append(recent, held.News)
+	for _, received := range view.opened {
+		if now-received.receivedAt < announcementRelayTime {
+			recent = append(recent, received.Announcement)
 		}
 	}
 	return recent
 }
 
-// Listed is a group as the list of servers shows it.
-type Listed struct {
+// ListedGroup is a group as the server list shows it.
+type ListedGroup struct {
 	Group
-	// ByRank holds the members that the list shows, nil where one is missing.
+	// ByRank holds the listed members by rank, nil for a missing one.
 	ByRank []*roster.Server
 	Size   int
 }
 
-// Complete says whether the list shows all members.
-func (listed *Listed) Complete() bool {
+// Complete reports whether all members are listed.
+func (listed *ListedGroup) Complete() bool {
 	if len(listed.ByRank) != listed.Size {
 		return false
 	}
@@ -195,16 +197,16 @@
 	return true
 }
 
-// HeadState is the state of the head, empty if the list doesn't show it.
-func (listed *Listed) HeadState() string {
+// HeadState returns the state of the head, or "" if the head is not listed.
+func (listed *ListedGroup) HeadState() string {
 	if len(listed.ByRank) == 0 || listed.ByRank[0] == nil {
 		return ""
 	}
 	return listed.ByRank[0].Group.State
 }
 
-// All says whether every member that the list shows is in the state.
-func (listed *Listed) All(state string) bool {
+// AllInState reports whether every member up to the highest listed rank is listed and in the state.
+func (listed *ListedGroup) AllInState(state string) bool {
 	for _, server := range listed.ByRank {
 		if server == nil || server.Group.State != state {
 			return false
@@ -213,8 +215,8 @@
 	return true
 }
 
-// Draining says whether a member that the list shows is leaving.
-func (listed *Listed) Draining() bool {
+// Draining reports whether a listed member is draining.
+func (listed *ListedGroup) Draining() bool {
 	for _, server := range listed.ByRank {
 		if server != nil && server.Draining {
 			return true
@@ -223,17 +225,17 @@
 	return false
 }
 
-// List gathers the groups that the list of servers shows, by name.
-func List(servers *roster.Snapshot, services []Service) []*Listed {
-	found := map[string]*Listed{}
+// ListedGroups returns the groups that the server list shows, sorted by name.
+func ListedGroups(servers *roster.Snapshot, services []Service) []*ListedGroup {
+	found := map[string]*ListedGroup{}
 	for _, service := range services {
 		for _, server := range servers.ByService[service.Name] {
 			if server.Group.Name != "" {
-				gather(found, service, server)
+				addToListedGroup(found, service, server)
 			}
 		}
 	}
-	groups := make([]*Listed, 0, len(found))
+	groups := make([]*ListedGroup, 0, len(found))
 	for _, listed := range found {
 		groups = append(groups, listed)
 	}
@@ -241,11 +243,11 @@
 	return groups
 }
 
-func gather(found map[string]*Listed, service Service, server *roster.Server) {
+func addToListedGroup(found map[string]*ListedGroup, service Service, server *roster.Server) {
 	membership := server.Group
 	listed, ok := found[membership.Name]
 	if !ok {
-		listed = &Listed{Group: Group{Name: membership.Name, Epoch: membership.Epoch, Service: service.Name}}
+		listed = &ListedGroup{Group: Group{Name: membership.Name, Epoch: membership.Epoch, Service: service.Name}}
 		found[membership.Name] = listed
 	}
 	for len(listed.ByRank) <= membership.Rank {
@@ -260,14 +262,14 @@
 	}
 }
 
-// Serving returns the groups that take calls: those that the list shows whole
-// with an open head, and those that news says were opened, less those that
+// Serving returns the groups that accept calls: the complete listed groups with an open head that
+// is not draining, and the groups that were announced as opened, without the groups that have
 // ended.
 func (view *View) Serving(servers *roster.Snapshot, services []Service) []Group {
 	serving := []Group{}
 	seen := map[string]bool{}
-	for _, listed := range List(servers, services) {
-		if listed.HeadState() != roster.Open || !listed.Complete() || view.Ended(listed.Name) {
+	for _, listed := range ListedGroups(servers, services) {
+		if listed.HeadState() != roster.Open || !listed.Complete() || view.HasEnded(listed.Name) {
 			continue
 		}
 		if listed.ByRank[0].Draining {
@@ -276,37 +278,38 @@
 		seen[listed.Name] = true
 		serving = append(serving, listed.Group)
 	}
-	for _, group := range view.fresh(servers) {
-		if !seen[group.Name] && plausible(&group, servers) {
+	for _, group := range view.announcedServing(servers) {
+		if !seen[group.Name] && isConsistentWithList(&group, servers) {
 			serving = append(serving, group)
 		}
 	}
 	return serving
 }
 
-// fresh returns the groups that count as serving by news, beside a list.
-func (view *View) fresh(servers *roster.Snapshot) []Group {
+// announcedServing returns the groups that count as serving by their announcements, in addition to
+// the listed ones.
+func (view *View) announcedServing(servers *roster.Snapshot) []Group {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	groups := []Group{}
-	for name, held := range view.opened {
-		if servers.ReadAt-held.at > openedTrust {
+	for name, received := range view.opened {
+		if servers.ReadAt-received.receivedAt > announcedServingTTL {
 			delete(view.opened, name)
 			continue
 		}
-		if !held.stands(servers) {
+		if !received.membersUnchanged(servers) {
 			continue
 		}
-		groups = append(groups, held.Group)
+		groups = append(groups, received.Group)
 	}
 	sort.Slice(groups, func(i, j int) bool { return groups[i].Name < groups[j].Name })
 	return groups
 }
 
-// plausible says whether nothing in the list speaks against a group that news
-// says was opened: all members are there, the head isn't leaving, and no member
-// is in a later group.
-func plausible(group *Group, servers *roster.Snapshot) bool {
+// isConsistentWithList reports whether the server list doesn't contradict the announcement of a
+// group: all members are listed, the head is neither draining nor broken, and no member is in a
+// later group.
+func isConsistentWithList(group *Group, servers *roster.Snapshot) bool {
 	for rank, id := range group.Members {
 		server, ok := servers.Servers[id]
 		if !ok || server.Group.Epoch > group.Epoch {
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -56,7 +56,7 @@
 // Platform speaks the platform's names and formats.
 type Platform struct {
 	Store store.Store
-	Fleet formation.Fleet
+	Fleet formation.ServerClient
 	Codec backendserver.Codec
 	// Hear sets who is told what servers say of themselves in answers to questions and
 	// orders.
@@ -88,7 +88,7 @@
 	servers       *roster.List
 	cold          *warmup.Table
 	view          *formation.View
-	former        *formation.Former
+	former        *formation.Controller
 	keeper        *tenure.Keeper
 	board         *dispatch.Board
 	demand        *demand.Demand
@@ -185,7 +185,7 @@
 	node.servers = roster.New(roster.Draining(func(id string, born int64) bool {
 		return node.notices.Draining(ratelimit.Run{Server: id, Born: born})
 	}))
-	node.view = formation.NewView(node.now, formation.Servers(node.servers.Load))
+	node.view = formation.NewView(node.now, formation.WithServerList(node.servers.Load))
 	node.quarantine = quarantine.New(quarantine.Clock(node.now))
 	node.stored.held = map[quarantine.Fingerprint]struct{}{}
 	node.limits = ratelimit.New(ratelimit.Clock(node.now), ratelimit.Incarnation(node.Incarnation), ratelimit.Settle(settings.Bounds.Settle))
@@ -219,17 +219,17 @@
 	})}
 }
 
-func (node *Node) formerParts() formation.Parts {
-	return formation.Parts{
-		Fleet: node.platform.Fleet, View: node.view, Servers: node.servers.Load, Services: node.engineServices,
-		Term: node.orderTerm, Outdated: node.outdated, Announce: node.announce, Load: node.modelLoad,
-		Told: func() bool { return node.peers.fed() },
-		Quiet: func() bool {
+func (node *Node) formerParts() formation.Dependencies {
+	return formation.Dependencies{
+		ServerClient: node.platform.Fleet, View: node.view, Servers: node.servers.Load, Services: node.engineServices,
+		Term: node.orderTerm, TermOutdated: node.outdated, Announce: node.announce, ModelUsage: node.modelLoad,
+		FedByUpstream: func() bool { return node.peers.fed() },
+		BeforeFirstRequest: func() bool {
 			return node.settings.FirstStart && node.forwarder.Counts.Requests.Load() == 0 && !node.peers.busy()
 		},
-		BacksOff: node.backsOff,
+		InBackoff: node.backsOff,
 		Bounds: formation.Bounds{
-			Stall: node.settings.Bounds.Stall, LoadWindow: node.settings.Bounds.LoadWindow, LoadBurst: node.settings.Bounds.LoadBurst,
+			StallTimeout: node.settings.Bounds.Stall, LoadWindow: node.settings.Bounds.LoadWindow, LoadBurstFactor: node.settings.Bounds.LoadBurst,
 		},
 		Now: node.now, Logger: node.logger,
 	}
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -144,7 +144,7 @@
 		"GroupsFoundSlow": paces.Found.Load(), "GroupsNotSlowAnyMore": paces.Ended.Load(), "PacesHeard": paces.Heard.Load(),
 		"GroupsFormed": formed.Formed.Load(), "GroupsAbandoned": formed.Abandoned.Load(), "GroupsLost": formed.Lost.Load(),
 		"GroupsRetired": formed.Retired.Load(), "ServersStaged": formed.Staged.Load(), "Orders": formed.Orders.Load(),
-		"GroupsLent": formed.Lent.Load(), "Reports": formed.Reports.Load(), "SilentButWhole": formed.WholeSeen.Load(),
+		"GroupsLent": formed.RetiredForOther.Load(), "Reports": formed.Reports.Load(), "SilentButWhole": formed.FoundComplete.Load(),
 		"ConnectionsDialled": calls.Dialled.Load(), "ConnectionsReused": calls.Reused.Load(),
 		"ConnectionsFailed": calls.DialFailed.Load(), "ConnectionsDiscarded": calls.Discarded.Load(),
 		"StrayAnswers": calls.StrayAnswer.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.Returns(),
--- a/internal/run/gateway/take.go
+++ b/internal/run/gateway/take.go
@@ -248,7 +248,7 @@
 }
 
 // tellNews passes news of a group on to the relays and roots.
-func (peers *peers) tellNews(news formation.News, from *overlay.Link) {
+func (peers *peers) tellNews(news formation.Announcement, from *overlay.Link) {
 	encoded := newsToWire(news)
 	peers.tell(from, core, func(channel *channel) { channel.news = append(channel.news, encoded) })
 }
--- a/internal/run/gateway/wire.go
+++ b/internal/run/gateway/wire.go
@@ -8,13 +8,13 @@
 	"hazelslip/internal/wire/frame"
 )
 
-func newsFromWire(news *frame.GroupNews) formation.News {
-	return formation.News{Change: formation.Change(news.Change), Group: formation.Group{
+func newsFromWire(news *frame.GroupNews) formation.Announcement {
+	return formation.Announcement{Change: formation.Change(news.Change), Group: formation.Group{
 		Name: news.Group, Epoch: news.Epoch, Service: news.Service, Model: news.Model, Members: news.Members,
 	}}
 }
 
-func newsToWire(news formation.News) *frame.GroupNews {
+func newsToWire(news formation.Announcement) *frame.GroupNews {
 	group := news.Group
 	return &frame.GroupNews{
 		Group: group.Name, Epoch: group.Epoch, Service: group.Service, Model: group.Model, Members: group.Members, Change: string(news.Change),
--- a/internal/run/gateway/work.go
+++ b/internal/run/gateway/work.go
@@ -225,10 +225,10 @@
 	pool := forward.PoolName(service, model)
 	occupancy := node.board.Occupancy(pool)
 	rates, _ := node.demand.Rates(pool)
-	usage := formation.Usage{Taken: occupancy.Taken, Places: occupancy.Places, Refused: rates.Refused}
+	usage := formation.Usage{UsedSlots: occupancy.Taken, Slots: occupancy.Places, RefusedPerSecond: rates.Refused}
 	if known, ok := node.configuration.Load().Service(service); ok && known.Engine != nil {
 		if of, named := known.Engine.Model(model); named {
-			usage.Duration = turnover(known.Engine, of) * time.Duration(max(1, known.Engine.Slots))
+			usage.MeanDuration = turnover(known.Engine, of) * time.Duration(max(1, known.Engine.Slots))
 		}
 	}
 	return usage
@@ -310,7 +310,7 @@
 }
 
 // announce makes news known here and to all other nodes.
-func (node *Node) announce(news formation.News) {
+func (node *Node) announce(news formation.Announcement) {
 	node.logger.Info("gateway: a group changed.", "Group", news.Group.Name, "Change", string(news.Change),
 		"Model", news.Group.Model, "Members", news.Group.Members)
 	node.learnNews(news, nil)
@@ -319,8 +319,8 @@
 // learnNews takes news of a group that came over a link, nil for this node's own, and
 // passes on what is new. Where it was decided the log tells of it; here it is
 // counted, since every relay would tell of everything once more.
-func (node *Node) learnNews(news formation.News, from *overlay.Link) {
-	if !node.view.Learn(news) {
+func (node *Node) learnNews(news formation.Announcement, from *overlay.Link) {
+	if !node.view.Apply(news) {
 		return
 	}
 	node.newsLearnt.Add(1)
@@ -385,7 +385,7 @@
 // recentNews is the news of groups to tell a node that was just connected to.
 func (node *Node) recentNews() []*frame.GroupNews {
 	recent := []*frame.GroupNews{}
-	for _, news := range node.view.Recent() {
+	for _, news := range node.view.RecentAnnouncements() {
 		recent = append(recent, newsToWire(news))
 	}
 	return recent
--- a/internal/standin/backends/orders.go
+++ b/internal/standin/backends/orders.go
@@ -78,7 +78,7 @@
 }
 
 // change carries out an order about the group that a server is in.
-func (world *World) change(found *server, kind formation.Kind) formation.Result {
+func (world *World) change(found *server, kind formation.OrderKind) formation.Result {
 	group := &found.group
 	switch kind {
 	case formation.Leave:
