--- a/internal/run/gateway/callers_test.go
+++ b/internal/run/gateway/caller_conn_test.go
@@ -11,9 +11,9 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against a caller that reads slowly and is cut, and against one that takes nothing and
-// keeps its place at a server for ever.
-func TestOnlyCallersThatTakeNothingAreCut(t *testing.T) {
+// Guards against disconnecting a caller that reads slowly, and against a caller that reads nothing and
+// occupies a server's slot forever.
+func TestWriteTimesOutOnlyForStalledCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		near, far := net.Pipe()
@@ -22,7 +22,7 @@
 		go func() {
 			defer close(read)
 			for range 200 {
-				time.Sleep(callerStall - time.Second)
+				time.Sleep(callerWriteTimeout - time.Second)
 				_, _ = io.ReadFull(far, make([]byte, 1))
 			}
 		}()
@@ -35,13 +35,13 @@
 		began = time.Now()
 		_, err = conn.Write(make([]byte, 200))
 		expect.Expect(err).To(gomega.MatchError(os.ErrDeadlineExceeded))
-		expect.Expect(time.Since(began)).To(gomega.Equal(callerStall))
+		expect.Expect(time.Since(began)).To(gomega.Equal(callerWriteTimeout))
 	})
 }
 
-// Guards against what a slow caller takes of the kernel's buffer that isn't seen, since the kernel
-// lets a writer go on only when a third of the buffer is free.
-func TestWhatTheKernelHoldsForACallerIsSeen(t *testing.T) {
+// Guards against missing the progress of a slow caller: it drains the kernel's send buffer, but the kernel
+// unblocks the writer only when a third of that buffer is free.
+func TestUnsentBytesTracksKernelSendQueue(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	expect.Expect(err).NotTo(gomega.HaveOccurred())
@@ -49,16 +49,16 @@
 	caller, err := net.Dial("tcp", listener.Addr().String())
 	expect.Expect(err).NotTo(gomega.HaveOccurred())
 	defer caller.Close()
-	accepted, err := boundCallers(listener).Accept()
+	accepted, err := newCallerListener(listener).Accept()
 	expect.Expect(err).NotTo(gomega.HaveOccurred())
 	defer accepted.Close()
 	conn := accepted.(*callerConn)
 	expect.Expect(conn.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))).To(gomega.Succeed())
 	taken, err := conn.Conn.Write(make([]byte, 64<<20))
 	expect.Expect(err).To(gomega.MatchError(os.ErrDeadlineExceeded))
-	held := conn.unsent()
+	held := conn.unsentBytes()
 	expect.Expect(held).To(gomega.And(gomega.BeNumerically(">", 0), gomega.BeNumerically("<", 1<<20)))
 	_, err = io.CopyN(io.Discard, caller, int64(taken-held/2))
 	expect.Expect(err).NotTo(gomega.HaveOccurred())
-	expect.Eventually(conn.unsent).WithTimeout(5 * time.Second).Should(gomega.BeNumerically("<", held))
+	expect.Eventually(conn.unsentBytes).WithTimeout(5 * time.Second).Should(gomega.BeNumerically("<", held))
 }
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -18,200 +18,202 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// compose makes the next frame for a link. A leaf and its relay leave out what would say
-// nothing new: between two calls that begin or end a leaf has nothing to report.
-func (peers *peers) compose(link *overlay.Link, optional bool) []byte {
+// composeFrame encodes the next frame for a link. Between a leaf and its relay, an optional frame with no new
+// information is omitted: nil is returned. A leaf has nothing to report unless a call begins or ends.
+func (peers *peers) composeFrame(link *overlay.Link, optional bool) []byte {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	channel := peers.channel(link)
+	state := peers.linkStateLocked(link)
 	switch {
-	case core(link):
-		return peers.encode(peers.coreFrame(channel))
+	case isBackbone(link):
+		return peers.encodeFrame(peers.backboneFrame(state))
 	case link.Opened:
-		if told := peers.reportFrame(channel, optional); told != nil {
-			return peers.encode(told)
+		if report := peers.reportFrame(state, optional); report != nil {
+			return peers.encodeFrame(report)
 		}
 		return nil
 	}
-	return peers.leafFrame(channel, optional)
+	return peers.composeLeafFrame(state, optional)
 }
 
-func (peers *peers) encode(told *frame.Frame) []byte {
-	body, err := proto.Marshal(told)
+func (peers *peers) encodeFrame(message *frame.Frame) []byte {
+	body, err := proto.Marshal(message)
 	if err != nil {
-		peers.node.logger.Error("gateway: a frame can't be encoded.", "Error", err.Error())
+		peers.node.logger.Error("gateway: a frame could not be encoded.", "Error", err.Error())
 		return nil
 	}
 	return body
 }
 
-// sumsLocked adds up what nodes have under way.
-func (peers *peers) sumsLocked() *sums {
+// totalsLocked adds up the load and the node counts of the fleet, and caches the result for totalsTTL.
+func (peers *peers) totalsLocked() *fleetTotals {
 	now := peers.node.now()
-	if peers.sums != nil && now-peers.sums.at < sumsKept {
-		return peers.sums
+	if peers.totals != nil && now-peers.totals.computedAt < totalsTTL {
+		return peers.totals
 	}
 	own := peers.node.board.Shares()
-	inside, others := tally.Shares{}, tally.Shares{}
-	insideNodes, outsideNodes := 1, 0
-	for link, channel := range peers.channels {
-		tally.Add(others, channel.shares)
-		if downstream(link) {
-			tally.Add(inside, channel.shares)
-			insideNodes += channel.nodes
+	subtree, others := tally.Shares{}, tally.Shares{}
+	subtreeNodes, otherNodes := 1, 0
+	for link, state := range peers.linkStates {
+		tally.Add(others, state.shares)
+		if isDownstream(link) {
+			tally.Add(subtree, state.shares)
+			subtreeNodes += state.nodes
 		} else {
-			outsideNodes += channel.nodes
+			otherNodes += state.nodes
 		}
 	}
-	tally.Add(inside, own)
-	peers.sums = &sums{at: now, own: own, inside: inside, others: others, insideNodes: insideNodes, nodes: insideNodes + outsideNodes, demands: peers.demandSumsLocked()}
-	peers.noteNodes(peers.sums.nodes, now)
-	return peers.sums
+	tally.Add(subtree, own)
+	peers.totals = &fleetTotals{computedAt: now, own: own, subtree: subtree, others: others, subtreeNodes: subtreeNodes, fleetNodes: subtreeNodes + otherNodes, demands: peers.demandTotalsLocked()}
+	peers.observeNodeCount(peers.totals.fleetNodes, now)
+	return peers.totals
 }
 
-// coreFrame is what a relay or root is told: all that this node knows, as far as
-// it lacks it.
-func (peers *peers) coreFrame(channel *channel) *frame.Frame {
-	node, link := peers.node, channel.link
-	added := peers.sumsLocked()
-	told := &frame.Frame{
-		HighestTerm: node.keeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
-		ConfigurationAgeMs: proto.Uint32(milliseconds(node.follower.ConfigurationAge())),
-		Fit:                peers.fit(), StoreAway: node.storeCalls.Away(), News: channel.news, SilentHeads: channel.silences,
-		Listing: peers.listing(channel), Suspects: peers.suspectsFor(channel), Notices: peers.noticesFor(channel),
-		Drains: drainsToWire(node.drained.Records()),
+// backboneFrame returns the frame for a relay or a root: everything that this node knows and the other side
+// may lack.
+func (peers *peers) backboneFrame(state *linkState) *frame.Frame {
+	node, link := peers.node, state.link
+	totals := peers.totalsLocked()
+	message := &frame.Frame{
+		HighestTerm: node.termKeeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
+		ConfigurationAgeMs: proto.Uint32(cappedMilliseconds(node.follower.ConfigurationAge())),
+		Fit:                peers.synced(), StoreAway: node.storeCalls.Away(), News: state.pendingGroupNews, SilentHeads: state.pendingStalls,
+		Listing: peers.listingFor(state), Suspects: peers.nextSuspects(state), Notices: peers.nextNotices(state),
+		Drains: drainsToWire(node.drains.Records()),
 	}
-	channel.news, channel.silences = nil, nil
-	told.Lost = waysToWire(peers.lostFor(link))
-	peers.addPermits(told, channel)
-	peers.addPaces(told, channel)
-	if held := peers.holder; held.term != 0 {
-		told.Holder = &frame.Holder{Term: held.term, Beat: held.beat, Released: held.released}
+	state.pendingGroupNews, state.pendingStalls = nil, nil
+	message.Lost = pathsToWire(peers.lostPathsFor(link))
+	peers.addPermits(message, state)
+	peers.addPaces(message, state)
+	if leader := peers.leader; leader.term != 0 {
+		message.Holder = &frame.Holder{Term: leader.term, Beat: leader.heartbeat, Released: leader.released}
 	}
-	if !downstream(link) {
-		told.Sequence = channel.reports.Add(added.inside)
-		told.Nodes = uint32(added.insideNodes)
-		peers.addLoads(told, channel, added.inside)
-		peers.addDemands(told, channel, &added.demands)
-		return told
+	if !isDownstream(link) {
+		message.Sequence = state.reports.Add(totals.subtree)
+		message.Nodes = uint32(totals.subtreeNodes)
+		peers.addLoads(message, state, totals.subtree)
+		peers.addDemands(message, state, &totals.demands)
+		return message
 	}
-	everywhere := tally.Shares{}
-	tally.Add(everywhere, added.others)
-	tally.Add(everywhere, added.own)
-	told.Included = channel.sequence
-	told.Nodes = uint32(added.nodes)
-	peers.addLoads(told, channel, everywhere)
-	peers.addDemands(told, channel, &added.demands)
-	return told
+	fleet := tally.Shares{}
+	tally.Add(fleet, totals.others)
+	tally.Add(fleet, totals.own)
+	message.Included = state.sequence
+	message.Nodes = uint32(totals.fleetNodes)
+	peers.addLoads(message, state, fleet)
+	peers.addDemands(message, state, &totals.demands)
+	return message
 }
 
-// addLoads tells what changed in a sum since the last frame over the link.
-func (peers *peers) addLoads(told *frame.Frame, channel *channel, sum tally.Shares) {
-	changes, whole := channel.telling.Next(sum)
-	told.Loads, told.LoadsWhole = loadsOf(changes), whole
+// addLoads adds the changes of a load sum since the last frame on the link.
+func (peers *peers) addLoads(message *frame.Frame, state *linkState, sum tally.Shares) {
+	changes, whole := state.sentLoads.Next(sum)
+	message.Loads, message.LoadsWhole = loadsToWire(changes), whole
 }
 
-// reportFrame is what a leaf tells the node above, nil if it is optional and says nothing
-// new.
-func (peers *peers) reportFrame(channel *channel, optional bool) *frame.Frame {
+// reportFrame returns a leaf's report to its upstream node, or nil if the frame is optional and nothing has
+// changed.
+func (peers *peers) reportFrame(state *linkState, optional bool) *frame.Frame {
 	own := peers.node.board.Shares()
 	version := peers.node.configuration.Load().Configuration.Version
-	same := version == channel.reportedVersion && maps.Equal(own, channel.reported)
-	told := &frame.Frame{}
-	permits := peers.addPermits(told, channel)
-	paces := peers.addPaces(told, channel)
-	asked := peers.node.demand.Own()
-	lost := peers.lostFor(channel.link)
-	same = same && slices.Equal(lost, channel.toldLost)
-	news := len(channel.silences)+len(channel.suspects)+len(channel.notices) > 0 || asked.News(channel.demands.reported)
-	if optional && same && !permits && !paces && !news {
+	unchanged := version == state.sentConfigurationVersion && maps.Equal(own, state.sentShares)
+	message := &frame.Frame{}
+	permits := peers.addPermits(message, state)
+	paces := peers.addPaces(message, state)
+	demands := peers.node.demand.Own()
+	lost := peers.lostPathsFor(state.link)
+	unchanged = unchanged && slices.Equal(lost, state.sentLostPaths)
+	pending := len(state.pendingStalls)+len(state.pendingSuspects)+len(state.pendingNotices) > 0 || demands.News(state.demands.lastReport)
+	if optional && unchanged && !permits && !paces && !pending {
 		return nil
 	}
-	channel.reported, channel.reportedVersion = own, version
-	told.Sequence, told.Nodes, told.Loads, told.SilentHeads = channel.reports.Add(own), 1, loadsOf(own), channel.silences
-	told.ConfigurationVersion, told.Suspects, told.Notices = version, peers.suspectsFor(channel), peers.noticesFor(channel)
-	channel.silences = nil
-	told.Lost, channel.toldLost = waysToWire(lost), lost
-	if !channel.toldDetour {
-		channel.toldDetour, told.DetourAddress = true, peers.node.settings.Listen.Detour
+	state.sentShares, state.sentConfigurationVersion = own, version
+	message.Sequence, message.Nodes, message.Loads, message.SilentHeads = state.reports.Add(own), 1, loadsToWire(own), state.pendingStalls
+	message.ConfigurationVersion, message.Suspects, message.Notices = version, peers.nextSuspects(state), peers.nextNotices(state)
+	state.pendingStalls = nil
+	message.Lost, state.sentLostPaths = pathsToWire(lost), lost
+	if !state.detourAddressSent {
+		state.detourAddressSent, message.DetourAddress = true, peers.node.settings.Listen.Detour
 	}
-	peers.reportDemands(told, channel, asked)
-	return told
+	peers.addLeafDemands(message, state, demands)
+	return message
 }
 
-// leafFrame is what a leaf is told: what changed in the catalogue, and what all
-// nodes have at its rows. It is the same for all that know the same version; only
-// the number of the leaf's report that it includes differs, and suspects that it lacks.
-// They stand behind the rest. It is nil if it is optional and says nothing new.
-func (peers *peers) leafFrame(channel *channel, optional bool) []byte {
+// composeLeafFrame encodes the frame that a relay sends to a leaf: the changes of the catalogue, and the load
+// of all nodes by catalogue row. That part is encoded once for all leaves with the same catalogue version.
+// The part that differs per leaf is appended to it: the sequence number of the leaf's last report that the
+// load includes, and the suspects, notices, permits and paces that the leaf lacks. The result is nil if the
+// frame is optional and nothing has changed.
+func (peers *peers) composeLeafFrame(state *linkState, optional bool) []byte {
 	now := peers.node.now()
-	held := peers.encoded
-	if held == nil || held.from != channel.catalogueSent || now-held.at >= leafFrameKept || peers.catalogue.Version() != held.to {
-		held = peers.encodeLeafFrame(channel.catalogueSent, now)
-		peers.encoded = held
+	shared := peers.leafFrameCache
+	if shared == nil || shared.fromVersion != state.catalogueSentVersion || now-shared.encodedAt >= leafFrameTTL || peers.catalogue.Version() != shared.toVersion {
+		shared = peers.encodeLeafFrame(state.catalogueSentVersion, now)
+		peers.leafFrameCache = shared
 	}
-	told := &frame.Frame{}
-	permits := peers.addPermits(told, channel)
-	paces := peers.addPaces(told, channel)
-	if optional && held.from == held.to && held.news == channel.leafNews && !permits && !paces && len(channel.suspects)+len(channel.notices) == 0 {
+	message := &frame.Frame{}
+	permits := peers.addPermits(message, state)
+	paces := peers.addPaces(message, state)
+	if optional && shared.fromVersion == shared.toVersion && shared.contentHash == state.sentLeafHash && !permits && !paces && len(state.pendingSuspects)+len(state.pendingNotices) == 0 {
 		return nil
 	}
-	channel.catalogueSent, channel.leafNews = held.to, held.news
-	told.Included, told.Suspects, told.Notices = channel.sequence, peers.suspectsFor(channel), peers.noticesFor(channel)
-	included := peers.encode(told)
-	return append(append(make([]byte, 0, len(held.body)+2*len(included)), held.body...), included...)
+	state.catalogueSentVersion, state.sentLeafHash = shared.toVersion, shared.contentHash
+	message.Included, message.Suspects, message.Notices = state.sequence, peers.nextSuspects(state), peers.nextNotices(state)
+	ownPart := peers.encodeFrame(message)
+	return append(append(make([]byte, 0, len(shared.body)+2*len(ownPart)), shared.body...), ownPart...)
 }
 
-func (peers *peers) encodeLeafFrame(from uint64, now time.Duration) *leafFrame {
-	node, added := peers.node, peers.sumsLocked()
+func (peers *peers) encodeLeafFrame(from uint64, now time.Duration) *encodedLeafFrame {
+	node, totals := peers.node, peers.totalsLocked()
 	delta := peers.catalogue.Since(from)
-	told := &frame.Frame{
-		HighestTerm: node.keeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
-		Nodes: uint32(added.nodes), Fit: peers.fit(), StoreAway: node.storeCalls.Away(),
-		Drains: drainsToWire(node.drained.Records()),
+	message := &frame.Frame{
+		HighestTerm: node.termKeeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
+		Nodes: uint32(totals.fleetNodes), Fit: peers.synced(), StoreAway: node.storeCalls.Away(),
+		Drains: drainsToWire(node.drains.Records()),
 	}
 	if !delta.Empty() {
-		told.Catalogue = catalogueToWire(delta)
+		message.Catalogue = catalogueToWire(delta)
 	}
 	for number, server := range peers.catalogue.Servers() {
-		share := added.own[server].Plus(added.others[server])
-		told.Calls = append(told.Calls, uint32(share.Calls))
-		told.Unread = append(told.Unread, uint32(share.Unread))
+		share := totals.own[server].Plus(totals.others[server])
+		message.Calls = append(message.Calls, uint32(share.Calls))
+		message.Unread = append(message.Unread, uint32(share.Unread))
 		if share.Failed >= dispatch.WorthTelling {
-			told.Failures = append(told.Failures, &frame.Failure{Number: uint32(number), Failed: uint32(share.Failed), Answered: uint32(share.Answered)})
+			message.Failures = append(message.Failures, &frame.Failure{Number: uint32(number), Failed: uint32(share.Failed), Answered: uint32(share.Answered)})
 		}
 	}
-	body := peers.encode(told)
-	demands, demandNews := peers.leafDemands(&added.demands)
-	// How old list and configuration are and what is asked for change all the time, and are no news.
-	rest := peers.encode(&frame.Frame{
-		Listing: listingOf(node.servers.Load().End, node.follower.ListAge()), ConfigurationAgeMs: proto.Uint32(milliseconds(node.follower.ConfigurationAge())),
+	body := peers.encodeFrame(message)
+	demands, demandRevision := peers.demandsForLeaves(&totals.demands)
+	// The ages of the server list and the configuration, and the demand, change all the time. The content
+	// hash doesn't cover them, so that they don't force a frame.
+	volatile := peers.encodeFrame(&frame.Frame{
+		Listing: listingPosition(node.servers.Load().End, node.follower.ListAge()), ConfigurationAgeMs: proto.Uint32(cappedMilliseconds(node.follower.ConfigurationAge())),
 		Demands: demands,
 	})
-	return &leafFrame{from: from, to: delta.Version, at: now, news: xxhash.Sum64(body) ^ demandNews, body: append(body, rest...)}
+	return &encodedLeafFrame{fromVersion: from, toVersion: delta.Version, encodedAt: now, contentHash: xxhash.Sum64(body) ^ demandRevision, body: append(body, volatile...)}
 }
 
 func catalogueToWire(delta catalogue.Delta) *frame.Catalogue {
-	told := &frame.Catalogue{Whole: delta.Whole, Lost: delta.Lost}
+	encoded := &frame.Catalogue{Whole: delta.Whole, Lost: delta.Lost}
 	for _, number := range delta.Removed {
-		told.Removed = append(told.Removed, uint32(number))
+		encoded.Removed = append(encoded.Removed, uint32(number))
 	}
 	for _, numbered := range delta.Rows {
 		row := &numbered.Row
-		told.Rows = append(told.Rows, &frame.Row{
+		encoded.Rows = append(encoded.Rows, &frame.Row{
 			Number: uint32(numbered.Number), Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
 			Group: row.Group, Service: row.Service, Model: row.Model, Slots: uint32(row.Slots), Cold: row.Cold,
 		})
 	}
-	return told
+	return encoded
 }
 
-func catalogueFromWire(told *frame.Catalogue) catalogue.Delta {
-	delta := catalogue.Delta{Whole: told.Whole, Lost: told.Lost}
-	for _, number := range told.Removed {
+func catalogueFromWire(encoded *frame.Catalogue) catalogue.Delta {
+	delta := catalogue.Delta{Whole: encoded.Whole, Lost: encoded.Lost}
+	for _, number := range encoded.Removed {
 		delta.Removed = append(delta.Removed, int(number))
 	}
-	for _, row := range told.Rows {
+	for _, row := range encoded.Rows {
 		delta.Rows = append(delta.Rows, catalogue.Numbered{Number: int(row.Number), Row: catalogue.Row{
 			Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
 			Group: row.Group, Service: row.Service, Model: row.Model, Slots: int(row.Slots), Cold: row.Cold,
@@ -220,53 +222,53 @@
 	return delta
 }
 
-// listing is how far this node knows the list of servers, with what the other side
-// lacks of it where that is this node's to tell: a relay is told by the node
-// above, and others by the one that reads the registry.
-func (peers *peers) listing(channel *channel) *frame.Listing {
+// listingFor returns how current this node's server list is, with the records that the other side lacks if
+// this node is responsible for sending them. A relay receives records from its upstream node, other nodes
+// from the node that reads the registry.
+func (peers *peers) listingFor(state *linkState) *frame.Listing {
 	servers := peers.node.servers.Load()
 	if !servers.Known() {
 		return &frame.Listing{End: -1}
 	}
 	age := peers.node.follower.ListAge()
-	told := listingOf(servers.End, age)
-	theirs := channel.listAge + peers.node.now() - channel.listAt
+	listing := listingPosition(servers.End, age)
+	remoteAge := state.listAge + peers.node.now() - state.listAgeAt
 	reader := peers.node.follower.ReadsList()
-	// While the store is away nobody reads the list, and a root that starts again is told it by others.
-	lacking := channel.listAge >= follower.UnknownAge && peers.node.storeCalls.Away()
-	if !channel.heardList || (!downstream(channel.link) && !lacking && (!reader || theirs < age+follower.ListTick)) {
-		return told
+	// While the store is unavailable no node reads the list, so a restarted root receives it from other
+	// nodes.
+	unknownToRemote := state.listAge >= follower.UnknownAge && peers.node.storeCalls.Away()
+	if !state.listReceived || (!isDownstream(state.link) && !unknownToRemote && (!reader || remoteAge < age+follower.ListTick)) {
+		return listing
 	}
-	told.Follows = true
-	for _, record := range peers.lackedRecords(channel) {
-		told.Records = append(told.Records, recordToWire(&record))
+	listing.Follows = true
+	for _, record := range peers.missingRecords(state) {
+		listing.Records = append(listing.Records, recordToWire(&record))
 	}
-	return told
+	return listing
 }
 
-// lackedRecords returns what the other side lacks of the list of servers, and notes
-// that it is told.
-func (peers *peers) lackedRecords(channel *channel) []roster.Record {
+// missingRecords returns the records of the server list that the other side lacks, and marks them as sent.
+func (peers *peers) missingRecords(state *linkState) []roster.Record {
 	var records []roster.Record
-	if channel.listSent == 0 {
-		records, channel.listSent = peers.node.servers.After(channel.listFrom)
+	if state.listSentVersion == 0 {
+		records, state.listSentVersion = peers.node.servers.After(state.listStart)
 	} else {
-		records, channel.listSent = peers.node.servers.Since(channel.listSent)
+		records, state.listSentVersion = peers.node.servers.Since(state.listSentVersion)
 	}
 	return records
 }
 
-// listingOf says how far the registry is known, without records.
-func listingOf(end storelog.Position, age time.Duration) *frame.Listing {
-	return &frame.Listing{End: end.Offset, Era: end.Era, AgeMs: milliseconds(age)}
+// listingPosition returns up to which position and with which age the registry is known, without records.
+func listingPosition(end storelog.Position, age time.Duration) *frame.Listing {
+	return &frame.Listing{End: end.Offset, Era: end.Era, AgeMs: cappedMilliseconds(age)}
 }
 
-func milliseconds(span time.Duration) uint32 {
+func cappedMilliseconds(span time.Duration) uint32 {
 	return uint32(min(follower.UnknownAge, max(0, span)).Milliseconds())
 }
 
-// loadsOf encodes what nodes have at servers.
-func loadsOf(shares tally.Shares) []*frame.Load {
+// loadsToWire encodes the load per server.
+func loadsToWire(shares tally.Shares) []*frame.Load {
 	loads := make([]*frame.Load, 0, len(shares))
 	for server, share := range shares {
 		loads = append(loads, &frame.Load{
@@ -277,7 +279,7 @@
 	return loads
 }
 
-func sharesOf(loads []*frame.Load) tally.Shares {
+func sharesFromWire(loads []*frame.Load) tally.Shares {
 	shares := make(tally.Shares, len(loads))
 	for _, load := range loads {
 		shares[load.Server] = dispatch.Share{Calls: int(load.Calls), Unread: int(load.Unread), Failed: int(load.Failed), Answered: int(load.Answered)}
--- a/internal/run/gateway/demands.go
+++ b/internal/run/gateway/demands.go
@@ -5,89 +5,88 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// demands is what was told and heard of demand over one link.
-type demands struct {
-	// reports are what this node reported, by the sequence numbers of its frames, and
-	// reported is the last of them.
-	reports  demand.Reports
-	reported demand.Sums
-	// sums are what the other side speaks for; from the node above they are those of all
-	// other nodes.
-	sums demand.Sums
+// demandState is the demand sent and received over one link.
+type demandState struct {
+	// reports are this node's reports by frame sequence number; lastReport is the latest of them.
+	reports    demand.Reports
+	lastReport demand.Sums
+	// received is the demand of the nodes in the other side's subtree. On the link to the upstream node it is
+	// the demand of all other nodes.
+	received demand.Sums
 }
 
-// demandSums are added up over nodes as the sums of loads are.
-type demandSums struct {
-	own, inside, others demand.Sums
+// demandTotals is the demand summed over nodes, with the same scopes as the load in fleetTotals.
+type demandTotals struct {
+	own, subtree, others demand.Sums
 }
 
-// everywhere is the demand of all nodes.
-func (sums *demandSums) everywhere() demand.Sums {
+// fleet returns the demand of all nodes.
+func (demandTotals *demandTotals) fleet() demand.Sums {
 	all := demand.Sums{}
-	all.Add(sums.own)
-	all.Add(sums.others)
+	all.Add(demandTotals.own)
+	all.Add(demandTotals.others)
 	return all
 }
 
-func (peers *peers) demandSumsLocked() demandSums {
-	added := demandSums{own: peers.node.demand.Own(), inside: demand.Sums{}, others: demand.Sums{}}
-	added.inside.Add(added.own)
-	for link, channel := range peers.channels {
-		added.others.Add(channel.demands.sums)
-		if downstream(link) {
-			added.inside.Add(channel.demands.sums)
+func (peers *peers) demandTotalsLocked() demandTotals {
+	totals := demandTotals{own: peers.node.demand.Own(), subtree: demand.Sums{}, others: demand.Sums{}}
+	totals.subtree.Add(totals.own)
+	for link, state := range peers.linkStates {
+		totals.others.Add(state.demands.received)
+		if isDownstream(link) {
+			totals.subtree.Add(state.demands.received)
 		}
 	}
-	return added
+	return totals
 }
 
-// addDemands tells a relay or root what the nodes are asked for that this node speaks for, or, where it is
-// attached to this node, what all are.
-func (peers *peers) addDemands(told *frame.Frame, channel *channel, sums *demandSums) {
-	if downstream(channel.link) {
-		told.Demands = demandsToWire(sums.everywhere())
+// addDemands adds demand to a frame for a relay or a root: the demand of the whole fleet if the other side is
+// downstream of this node, otherwise the demand of this node's subtree.
+func (peers *peers) addDemands(message *frame.Frame, state *linkState, totals *demandTotals) {
+	if isDownstream(state.link) {
+		message.Demands = demandsToWire(totals.fleet())
 		return
 	}
-	channel.demands.reports.Add(told.Sequence, sums.inside)
-	told.Demands = demandsToWire(sums.inside)
+	state.demands.reports.Add(message.Sequence, totals.subtree)
+	message.Demands = demandsToWire(totals.subtree)
 }
 
-// reportDemands tells the node above what this leaf is asked for.
-func (peers *peers) reportDemands(told *frame.Frame, channel *channel, own demand.Sums) {
-	channel.demands.reported = own
-	channel.demands.reports.Add(told.Sequence, own)
-	told.Demands = demandsToWire(own)
+// addLeafDemands adds a leaf's own demand to its report.
+func (peers *peers) addLeafDemands(message *frame.Frame, state *linkState, own demand.Sums) {
+	state.demands.lastReport = own
+	state.demands.reports.Add(message.Sequence, own)
+	message.Demands = demandsToWire(own)
 }
 
-// leafDemands is the demand of all nodes as leaves are told it. News is a number that
-// changes with it when it has changed enough to be told on its own.
-func (peers *peers) leafDemands(sums *demandSums) (told []*frame.PoolDemand, news uint64) {
-	all := sums.everywhere()
-	if all.News(peers.toldDemands) {
-		peers.toldDemands = all
-		peers.leafDemandNews++
+// demandsForLeaves encodes the demand of the whole fleet for leaves. The revision changes once the demand
+// differs enough from what was last sent to justify a frame.
+func (peers *peers) demandsForLeaves(totals *demandTotals) (encoded []*frame.PoolDemand, revision uint64) {
+	all := totals.fleet()
+	if all.News(peers.lastLeafDemands) {
+		peers.lastLeafDemands = all
+		peers.leafDemandRevision++
 	}
-	return demandsToWire(all), peers.leafDemandNews
+	return demandsToWire(all), peers.leafDemandRevision
 }
 
-// takeDemandsLocked takes what a frame tells of demand. Its sums replace those of the frame
-// before, and end with the link.
-func (peers *peers) takeDemandsLocked(channel *channel, received *frame.Frame) {
+// applyDemandsLocked replaces the demand received over a link by that of a new frame. The received demand is
+// dropped when the link ends.
+func (peers *peers) applyDemandsLocked(state *linkState, received *frame.Frame) {
 	sums := demandsFromWire(received.Demands)
-	if !channel.link.Upstream() {
-		channel.demands.sums = sums
+	if !state.link.Upstream() {
+		state.demands.received = sums
 		return
 	}
-	own, remembered := channel.demands.reports.At(received.Included)
+	own, remembered := state.demands.reports.At(received.Included)
 	if !remembered {
-		// The part of this node in the sums is not known, so the sums of an earlier frame stay.
+		// This node's part of the sums is no longer known, so the sums of an earlier frame stay in use.
 		return
 	}
-	channel.demands.sums = sums.Less(own)
-	if !core(channel.link) && peers.overlay.Upstream() == channel.link {
-		// A leaf that is told of no demand at all is attached to a node that has only just started: its own
-		// rates and the number of nodes are the better guess.
-		others := channel.demands.sums
+	state.demands.received = sums.Less(own)
+	if !isBackbone(state.link) && peers.overlay.Upstream() == state.link {
+		// No demand at all means that the upstream node has only just started. An estimate from this node's
+		// own rates and the number of nodes is better.
+		others := state.demands.received
 		if len(sums) == 0 {
 			others = nil
 		}
@@ -95,36 +94,36 @@
 	}
 }
 
-// spreadDemands tells what other nodes are asked for, where no frame from above does. A relay or root hears of the
-// others' demand itself, and none is an answer.
-func (peers *peers) spreadDemands() {
+// applyOtherDemands passes the demand of the other nodes to the demand counter of a node without an upstream
+// feed. A relay or a root receives that demand itself, so an empty sum counts as known.
+func (peers *peers) applyOtherDemands() {
 	peers.mu.Lock()
-	others := peers.sumsLocked().demands.others
+	others := peers.totalsLocked().demands.others
 	peers.mu.Unlock()
 	peers.node.demand.Take(others)
 }
 
 func demandsToWire(sums demand.Sums) []*frame.PoolDemand {
-	told := make([]*frame.PoolDemand, 0, len(sums))
+	encoded := make([]*frame.PoolDemand, 0, len(sums))
 	for _, pool := range sums.Pools() {
 		rates := sums[pool]
-		one := &frame.PoolDemand{Pool: pool, Refused: demand.Hundredths(rates.Refused)}
+		encodedPool := &frame.PoolDemand{Pool: pool, Refused: demand.Hundredths(rates.Refused)}
 		for _, asked := range rates.Trimmed() {
-			one.Asked = append(one.Asked, demand.Hundredths(asked))
+			encodedPool.Asked = append(encodedPool.Asked, demand.Hundredths(asked))
 		}
-		told = append(told, one)
+		encoded = append(encoded, encodedPool)
 	}
-	return told
+	return encoded
 }
 
-func demandsFromWire(told []*frame.PoolDemand) demand.Sums {
-	sums := make(demand.Sums, len(told))
-	for _, one := range told {
-		rates := demand.Rates{Refused: demand.FromHundredths(one.Refused)}
-		for rank, asked := range one.Asked {
+func demandsFromWire(encoded []*frame.PoolDemand) demand.Sums {
+	sums := make(demand.Sums, len(encoded))
+	for _, poolDemand := range encoded {
+		rates := demand.Rates{Refused: demand.FromHundredths(poolDemand.Refused)}
+		for rank, asked := range poolDemand.Asked {
 			rates.Asked[min(rank, demand.Ranks-1)] += demand.FromHundredths(asked)
 		}
-		sums[one.Pool] = rates
+		sums[poolDemand.Pool] = rates
 	}
 	return sums
 }
--- a/internal/run/gateway/demands_test.go
+++ b/internal/run/gateway/demands_test.go
@@ -16,23 +16,24 @@
 
 const demandPool = "drafts/m"
 
-// demandEnd is one end of a link between two nodes, with the frames that are on their way from it.
+// demandEnd is one end of a link between two nodes, with the frames in flight from that end.
 type demandEnd struct {
-	peers   *peers
-	channel *channel
-	sent    [][]byte
+	peers *peers
+	state *linkState
+	sent  [][]byte
 }
 
 type demandLink [2]*demandEnd
 
-// demandTree is nodes whose frames tell of demand alone, without a network.
+// demandTree is a tree of nodes that exchange only demand, without a network.
 type demandTree struct {
 	nodes []*Node
 	links []*demandLink
 	names map[string]int
 }
 
-// newDemandTree is two roots, two relays below the first one and two leaves at each of the others.
+// newDemandTree returns two roots, two relays below the first root, and two leaves below each of the other
+// inner nodes.
 func newDemandTree(t testing.TB) *demandTree {
 	tree := &demandTree{names: map[string]int{}}
 	for number, name := range []string{"root", "second", "relay-1", "relay-2", "leaf-1", "leaf-2", "leaf-3", "leaf-4", "leaf-5", "leaf-6"} {
@@ -53,48 +54,48 @@
 func (tree *demandTree) link(opener, taker string, purpose frame.Purpose) {
 	end := func(name string, opened bool) *demandEnd {
 		peers := tree.nodes[tree.names[name]].peers
-		return &demandEnd{peers: peers, channel: peers.channel(&overlay.Link{Purpose: purpose, Opened: opened, Done: make(chan struct{})})}
+		return &demandEnd{peers: peers, state: peers.linkStateLocked(&overlay.Link{Purpose: purpose, Opened: opened, Done: make(chan struct{})})}
 	}
 	tree.links = append(tree.links, &demandLink{end(opener, true), end(taker, false)})
 }
 
-// send makes the frame that compose would, of demand alone.
+// send queues a frame as composeFrame would build it, with demand only.
 func (end *demandEnd) send() {
-	sums := end.peers.demandSumsLocked()
-	told := &frame.Frame{Included: end.channel.sequence}
-	link := end.channel.link
+	totals := end.peers.demandTotalsLocked()
+	message := &frame.Frame{Included: end.state.sequence}
+	link := end.state.link
 	switch {
-	case core(link) && !downstream(link):
-		told.Sequence = end.channel.reports.Add(nil)
-		end.peers.addDemands(told, end.channel, &sums)
-	case core(link):
-		end.peers.addDemands(told, end.channel, &sums)
+	case isBackbone(link) && !isDownstream(link):
+		message.Sequence = end.state.reports.Add(nil)
+		end.peers.addDemands(message, end.state, &totals)
+	case isBackbone(link):
+		end.peers.addDemands(message, end.state, &totals)
 	case link.Opened:
-		told.Sequence = end.channel.reports.Add(nil)
-		end.peers.reportDemands(told, end.channel, sums.own)
+		message.Sequence = end.state.reports.Add(nil)
+		end.peers.addLeafDemands(message, end.state, totals.own)
 	default:
-		told.Demands, _ = end.peers.leafDemands(&sums)
+		message.Demands, _ = end.peers.demandsForLeaves(&totals)
 	}
-	body, _ := proto.Marshal(told)
+	body, _ := proto.Marshal(message)
 	end.sent = append(end.sent, body)
 }
 
-func (end *demandEnd) take(body []byte) {
+func (end *demandEnd) receive(body []byte) {
 	received := &frame.Frame{}
 	_ = proto.Unmarshal(body, received)
-	end.channel.sequence = received.Sequence
-	end.peers.takeDemandsLocked(end.channel, received)
+	end.state.sequence = received.Sequence
+	end.peers.applyDemandsLocked(end.state, received)
 }
 
-// deliver takes the oldest frame that is on its way.
+// deliver hands the oldest frame in flight to the other end.
 func (link *demandLink) deliver(from int) {
 	if end := link[from]; len(end.sent) > 0 {
-		link[1-from].take(end.sent[0])
+		link[1-from].receive(end.sent[0])
 		end.sent = end.sent[1:]
 	}
 }
 
-// settle exchanges frames until nothing changes any more.
+// settle exchanges frames until all nodes agree.
 func (tree *demandTree) settle() {
 	for range 6 {
 		for _, link := range tree.links {
@@ -108,19 +109,19 @@
 	}
 }
 
-// knows is what a node knows all nodes to be asked for, in requests a second.
-func (tree *demandTree) knows(node int) float64 {
+// knownRate returns the demand of the whole fleet as a node knows it, in requests per second.
+func (tree *demandTree) knownRate(node int) float64 {
 	peers := tree.nodes[node].peers
-	sums := peers.demandSumsLocked()
-	return sums.everywhere()[demandPool].Asked[0]
+	sums := peers.demandTotalsLocked()
+	return sums.fleet()[demandPool].Asked[0]
 }
 
-// asked is what one stream adds to a rate that is averaged over a quarter of a second.
-const asked = 4.0
+// ratePerRequest is the increase that one request causes in a rate averaged over a quarter of a second.
+const ratePerRequest = 4.0
 
-// Guards against a node whose own part, or any other part, counts twice on its way over the tree, whatever the order of
-// frames, and against parts that are left out in the end.
-func TestDemandIsSummedOverTheTreeOnce(t *testing.T) {
+// Guards against demand that is counted twice on its way over the tree, such as a node's own part, or that is
+// missing in the end. Frames are sent and delivered in random order.
+func TestDemandIsCountedOnceAcrossTree(t *testing.T) {
 	rapid.Check(t, func(check *rapid.T) {
 		tree := newDemandTree(t)
 		total := 0.0
@@ -130,15 +131,15 @@
 			switch rapid.SampledFrom([]string{"ask", "send", "send", "deliver", "deliver"}).Draw(check, "step") {
 			case "ask":
 				link[from].peers.node.demand.Asked(demandPool, 0)
-				total += asked
+				total += ratePerRequest
 			case "send":
 				link[from].send()
 			case "deliver":
 				link.deliver(from)
 			}
 			for node := range tree.nodes {
-				if known := tree.knows(node); known > total+0.001 {
-					check.Fatalf("node %d knows of %.2f of %.2f a second", node, known, total)
+				if known := tree.knownRate(node); known > total+0.001 {
+					check.Fatalf("node %d counts more than the demand: %.2f of %.2f requests/s", node, known, total)
 				}
 			}
 		}
@@ -151,15 +152,16 @@
 		}
 		tree.settle()
 		for node := range tree.nodes {
-			if known := tree.knows(node); known < total-0.001 || known > total+0.001 {
-				check.Fatalf("node %d knows of %.2f of %.2f a second in the end", node, known, total)
+			if known := tree.knownRate(node); known < total-0.001 || known > total+0.001 {
+				check.Fatalf("node %d counts %.2f of %.2f requests/s after settling", node, known, total)
 			}
 		}
 	})
 }
 
-// Guards against demand of nodes that are gone, or cut off, which would be shed for and planned for until a restart.
-func TestLinkThatEndsTakesItsSumsWithIt(t *testing.T) {
+// Guards against demand of nodes that are gone or cut off. It would affect load shedding and planning until a
+// restart.
+func TestEndedLinkRemovesItsDemand(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	tree := newDemandTree(t)
 	for node := range tree.nodes {
@@ -168,47 +170,48 @@
 		}
 	}
 	tree.settle()
-	expect.Expect(tree.knows(tree.names["leaf-6"])).To(gomega.BeNumerically("~", 55*asked, 0.01))
+	expect.Expect(tree.knownRate(tree.names["leaf-6"])).To(gomega.BeNumerically("~", 55*ratePerRequest, 0.01))
 
-	// The first relay is cut off from the root.
+	// Cut the first relay off from the root.
 	for _, end := range tree.links[1] {
-		end.peers.ended(end.channel.link)
+		end.peers.linkEnded(end.state.link)
 	}
 	tree.links = append(tree.links[:1], tree.links[2:]...)
 	tree.settle()
 	island := float64(3 + 5 + 6)
 	for _, name := range []string{"relay-1", "leaf-1", "leaf-2"} {
-		expect.Expect(tree.knows(tree.names[name])).To(gomega.BeNumerically("~", island*asked, 0.01), name)
+		expect.Expect(tree.knownRate(tree.names[name])).To(gomega.BeNumerically("~", island*ratePerRequest, 0.01), name)
 	}
 	for _, name := range []string{"root", "second", "relay-2", "leaf-3", "leaf-6"} {
-		expect.Expect(tree.knows(tree.names[name])).To(gomega.BeNumerically("~", (55-island)*asked, 0.01), name)
+		expect.Expect(tree.knownRate(tree.names[name])).To(gomega.BeNumerically("~", (55-island)*ratePerRequest, 0.01), name)
 	}
 }
 
-// Guards against frames that are sent for demand that only fades: a leaf with nothing to say stays silent, and says it when demand is gone.
-func TestDemandThatFadesForcesNoFrame(t *testing.T) {
+// Guards against a frame for every step of decaying demand. A leaf with nothing new to report stays silent,
+// and reports again when the demand is gone.
+func TestDecayingDemandSendsFewFrames(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	node, now := idleNode(t), time.Duration(0)
 	node.demand = demand.New(demand.Clock(func() time.Duration { return now }))
-	channel := node.peers.channel(&overlay.Link{Purpose: frame.Purpose_Leaf, Opened: true, Done: make(chan struct{})})
-	expect.Expect(node.peers.reportFrame(channel, false)).NotTo(gomega.BeNil())
-	expect.Expect(node.peers.reportFrame(channel, true)).To(gomega.BeNil())
+	state := node.peers.linkStateLocked(&overlay.Link{Purpose: frame.Purpose_Leaf, Opened: true, Done: make(chan struct{})})
+	expect.Expect(node.peers.reportFrame(state, false)).NotTo(gomega.BeNil())
+	expect.Expect(node.peers.reportFrame(state, true)).To(gomega.BeNil())
 	for range 10 {
 		node.demand.Asked(demandPool, 0)
 	}
-	told := node.peers.reportFrame(channel, true)
-	expect.Expect(told.GetDemands()).To(gomega.HaveLen(1))
-	expect.Expect(told.Demands[0].Asked).To(gomega.Equal([]uint32{10 * asked * 100}))
+	report := node.peers.reportFrame(state, true)
+	expect.Expect(report.GetDemands()).To(gomega.HaveLen(1))
+	expect.Expect(report.Demands[0].Asked).To(gomega.Equal([]uint32{10 * ratePerRequest * 100}))
 	now += 20 * time.Millisecond
-	expect.Expect(node.peers.reportFrame(channel, true)).To(gomega.BeNil())
+	expect.Expect(node.peers.reportFrame(state, true)).To(gomega.BeNil())
 	frames := 0
 	for now < 10*time.Second {
 		now += 50 * time.Millisecond
-		if told := node.peers.reportFrame(channel, true); told != nil {
+		if report := node.peers.reportFrame(state, true); report != nil {
 			frames++
-			expect.Expect(len(told.Demands)).To(gomega.BeNumerically("<=", 1))
+			expect.Expect(len(report.Demands)).To(gomega.BeNumerically("<=", 1))
 		}
 	}
-	expect.Expect(frames).To(gomega.BeNumerically("<=", 16), "frames until all of it has faded")
-	expect.Expect(channel.demands.reported).To(gomega.BeEmpty())
+	expect.Expect(frames).To(gomega.BeNumerically("<=", 16), "frames until the demand has decayed completely")
+	expect.Expect(state.demands.lastReport).To(gomega.BeEmpty())
 }
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -15,65 +15,70 @@
 )
 
 const (
-	// askDetoursEvery is how often other nodes are asked whether they take requests, while some way is not
-	// open; askDetoursMost how many at once.
-	askDetoursEvery = 400 * time.Millisecond
-	askDetoursMost  = 6
-	// askDetoursAgain is how many of those that are of use are asked again.
-	askDetoursAgain = 3
-	// askDetoursMostTime is how long the first of them may take to answer, askDetoursGrace how long the others may after it.
-	askDetoursMostTime = 250 * time.Millisecond
-	askDetoursGrace    = 20 * time.Millisecond
-	// detoursTold is how many nodes that hear from it a relay names.
-	detoursTold = 4
-	// detourConnect bounds connecting to another node, another one is tried after that.
-	detourConnect = 150 * time.Millisecond
-	// detourIdle is how long the connection of another node is kept: longer than that keeps it.
-	detourIdle = time.Minute
-	// detourStill is how long nothing may come of calls through another node that has answered, detourUnanswered
-	// before it answers: a node that froze says nothing at all.
-	detourStill      = 1500 * time.Millisecond
-	detourUnanswered = 1800 * time.Millisecond
+	// detourQueryInterval is how often other nodes are asked for detours while a path is not healthy, and
+	// maxDetourQueries is how many of them are asked at once.
+	detourQueryInterval = 400 * time.Millisecond
+	maxDetourQueries    = 6
+	// maxUsefulQueries is how many of the nodes already known as useful are asked again.
+	maxUsefulQueries = 3
+	// firstDetourAnswerTimeout bounds the wait for the first answer, and laterDetourAnswersTimeout the wait
+	// for each further one.
+	firstDetourAnswerTimeout  = 250 * time.Millisecond
+	laterDetourAnswersTimeout = 20 * time.Millisecond
+	// maxLeafDetours is how many of its leaves a relay advertises in an answer.
+	maxLeafDetours = 4
+	// detourConnectTimeout bounds connecting to another node; after that another node is tried.
+	detourConnectTimeout = 150 * time.Millisecond
+	// detourIdleTimeout is how long this node keeps an idle connection of another node. It is longer than the
+	// other node keeps the connection, so that the other node is the one to close it.
+	detourIdleTimeout = time.Minute
+	// detourStallTimeout bounds the time without data on calls through a node that has responded, and
+	// detourAnswerTimeout the time before it responds. A frozen node sends nothing at all, not even an error.
+	detourStallTimeout  = 1500 * time.Millisecond
+	detourAnswerTimeout = 1800 * time.Millisecond
 )
 
-// detours is what a node does about ways to servers that it has lost, and for nodes that have lost theirs.
+// detours routes requests through other nodes while this node has lost paths to servers, and serves such
+// requests for other nodes.
 type detours struct {
 	node  *Node
-	ways  *reach.Ways
+	paths *reach.Ways
 	table *detour.Table
 	pool  *backendserver.Pool
-	// served serves the requests of other nodes, nil where no address for them is set.
-	served   *http.Server
+	// server serves requests forwarded by other nodes. It is nil if no detour address is configured.
+	server   *http.Server
 	listener net.Listener
-	// wanted asks for nodes to be asked at once.
-	wanted chan struct{}
+	// queryRequests triggers an immediate query.
+	queryRequests chan struct{}
 
 	mu sync.Mutex
-	// unsure are the requests under which servers may have ended, by the way on which they were.
-	unsure map[*reach.Way][]unsureEnd
-	// withheld counts what was not told of servers since the way there is doubted.
-	withheld int
+	// uncertainFailures holds server failures that may be failures of the path, by path. They are recorded
+	// once the path is known to be healthy, and discarded if it is lost.
+	uncertainFailures map[*reach.Way][]uncertainFailure
+	// suppressedReports counts the reports about servers that were not sent because the path to the server is
+	// in doubt.
+	suppressedReports int
 }
 
 func newDetours(node *Node) *detours {
-	made := &detours{
-		node: node, ways: reach.New(reach.Clock(node.now)), wanted: make(chan struct{}, 1), unsure: map[*reach.Way][]unsureEnd{},
+	detours := &detours{
+		node: node, paths: reach.New(reach.Clock(node.now)), queryRequests: make(chan struct{}, 1), uncertainFailures: map[*reach.Way][]uncertainFailure{},
 		table: detour.New(node.settings.DataCentre, detour.Clock(node.now)),
 	}
 	codec := backendserver.Codec{
 		Encode: node.platform.Codec.Encode,
 		Decode: func(*backendserver.Call, int, http.Header) backendserver.Verdict { return backendserver.Verdict{} },
 	}
-	made.pool = backendserver.New(codec, append(node.poolOptions(), backendserver.ConnectWithin(detourConnect))...)
-	return made
+	detours.pool = backendserver.New(codec, append(node.poolOptions(), backendserver.ConnectWithin(detourConnectTimeout))...)
+	return detours
 }
 
-// enabled says whether requests may go through other nodes.
+// enabled reports whether requests may be forwarded through other nodes.
 func (detours *detours) enabled() bool {
 	return detours.node.settings.Listen.Detour != ""
 }
 
-// tableOrNil is the table for the forwarder, nil where requests don't go through other nodes.
+// tableOrNil returns the detour table for the forwarder, or nil if detours are disabled.
 func (detours *detours) tableOrNil() *detour.Table {
 	if !detours.enabled() {
 		return nil
@@ -81,72 +86,73 @@
 	return detours.table
 }
 
-// want asks for nodes to be asked at once.
-func (detours *detours) want() {
+// requestQuery triggers an immediate query for detours.
+func (detours *detours) requestQuery() {
 	select {
-	case detours.wanted <- struct{}{}:
+	case detours.queryRequests <- struct{}{}:
 	default:
 	}
 }
 
-// follow asks other nodes whether they take requests, while some way is not open.
-func (detours *detours) follow() {
+// runQueries asks other nodes for detours as long as a path is not healthy.
+func (detours *detours) runQueries() {
 	for {
-		// A node of which all ways are open isn't woken for it.
+		// The timer runs only while a path is not healthy, so that a healthy node is not woken.
 		var again <-chan time.Time
-		if detours.ways.Unsettled() {
-			again = time.After(askDetoursEvery)
+		if detours.paths.Unsettled() {
+			again = time.After(detourQueryInterval)
 		}
 		select {
 		case <-detours.node.Stopping:
 			return
-		case <-detours.wanted:
+		case <-detours.queryRequests:
 		case <-again:
 		}
-		if detours.ways.Unsettled() && detours.enabled() {
-			detours.ask()
+		if detours.paths.Unsettled() && detours.enabled() {
+			detours.query()
 		}
 	}
 }
 
-// asked are the nodes to ask: those again that are of use, then others, those of the own data centre first, and one of
-// another if there is one. Once enough are of use only one more is asked: the first nodes of each data centre are those that
-// all others know.
-func (detours *detours) asked() []string {
-	most, useful := askDetoursMost, detours.table.Useful(detours.ways.Lost(true))
-	rand.Shuffle(len(useful), func(one, other int) { useful[one], useful[other] = useful[other], useful[one] })
-	if len(useful) >= askDetoursAgain {
-		useful, most = useful[:askDetoursAgain], askDetoursAgain+1
+// queryTargets returns the nodes to ask: first those known as useful, then others, with nodes of the same
+// data centre first and, if there are any, one node of another data centre. Once enough useful nodes are
+// known, only one further node is asked: all nodes know the first nodes of each data centre, so these would
+// otherwise be asked by everyone.
+func (detours *detours) queryTargets() []string {
+	limit, useful := maxDetourQueries, detours.table.Useful(detours.paths.Lost(true))
+	rand.Shuffle(len(useful), func(a, b int) { useful[a], useful[b] = useful[b], useful[a] })
+	if len(useful) >= maxUsefulQueries {
+		useful, limit = useful[:maxUsefulQueries], maxUsefulQueries+1
 	}
-	others := slices.Concat(useful, slices.DeleteFunc(detours.node.peers.overlay.Others(), func(address string) bool { return slices.Contains(useful, address) }))
-	if len(others) > most {
-		others[most-1] = others[most-1+rand.IntN(len(others)-most+1)]
-		others = others[:most]
+	targets := slices.Concat(useful, slices.DeleteFunc(detours.node.peers.overlay.Others(), func(address string) bool { return slices.Contains(useful, address) }))
+	if len(targets) > limit {
+		targets[limit-1] = targets[limit-1+rand.IntN(len(targets)-limit+1)]
+		targets = targets[:limit]
 	}
-	return others
+	return targets
 }
 
-// ask asks some nodes whether they take requests.
-func (detours *detours) ask() {
-	others := detours.asked()
-	answers := make(chan bool, len(others))
-	for _, address := range others {
+// query asks some nodes whether they accept detours, and records their answers.
+func (detours *detours) query() {
+	targets := detours.queryTargets()
+	answers := make(chan bool, len(targets))
+	for _, address := range targets {
 		detours.node.GoAs("detours", func() {
 			found := detours.node.peers.overlay.AskDetours(address)
-			for _, told := range found {
-				detours.heard(told)
+			for _, answered := range found {
+				detours.record(answered)
 			}
 			answers <- len(found) > 0
 		})
 	}
-	// Those that live answer within some milliseconds of each other.
-	timer := time.NewTimer(askDetoursMostTime)
+	// Live nodes answer within a few milliseconds of each other.
+	timer := time.NewTimer(firstDetourAnswerTimeout)
 	defer timer.Stop()
-	for range others {
+	for range targets {
 		select {
-		case told := <-answers:
-			if told {
-				timer.Reset(askDetoursGrace)
+		case answered := <-answers:
+			if answered {
+				timer.Reset(laterDetourAnswersTimeout)
 			}
 		case <-timer.C:
 			detours.table.Asked()
@@ -158,62 +164,62 @@
 	detours.table.Asked()
 }
 
-func (detours *detours) heard(told *frame.Detour) {
-	if told.Address == detours.node.settings.Listen.Detour {
+func (detours *detours) record(advertised *frame.Detour) {
+	if advertised.Address == detours.node.settings.Listen.Detour {
 		return
 	}
 	detours.table.Heard(detour.Node{
-		Address: told.Address, Peer: told.Peer, DataCentre: told.DataCentre, Lost: waysFromWire(told.Lost), Calls: int(told.Calls),
+		Address: advertised.Address, Peer: advertised.Peer, DataCentre: advertised.DataCentre, Lost: pathsFromWire(advertised.Lost), Calls: int(advertised.Calls),
 	})
 }
 
-// told are the nodes that take requests of others: this one, and some that hear from it, those first that have lost the
-// fewest ways.
-func (detours *detours) told() []*frame.Detour {
+// advertisements returns the nodes that accept detours: this node, and some of its leaves, those with the
+// fewest lost paths first.
+func (detours *detours) advertisements() []*frame.Detour {
 	settings := &detours.node.settings
 	if !detours.enabled() || detours.node.Ready() != nil {
 		return nil
 	}
-	told := []*frame.Detour{{
+	advertised := []*frame.Detour{{
 		Address: settings.Listen.Detour, Peer: settings.Listen.advertised(), DataCentre: settings.DataCentre,
-		Lost: waysToWire(detours.ways.Lost(true)), Calls: uint32(max(0, detours.node.board.Calls())),
+		Lost: pathsToWire(detours.paths.Lost(true)), Calls: uint32(max(0, detours.node.board.Calls())),
 	}}
-	return append(told, detours.node.peers.leavesTaking(detoursTold)...)
+	return append(advertised, detours.node.peers.leafDetours(maxLeafDetours)...)
 }
 
-// leavesTaking returns some of the leaves of this node that take requests of others.
-func (peers *peers) leavesTaking(most int) []*frame.Detour {
+// leafDetours returns some of this node's leaves that accept detours, those with the fewest lost paths first.
+func (peers *peers) leafDetours(limit int) []*frame.Detour {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	found := []*frame.Detour{}
-	for link, channel := range peers.channels {
-		if !core(link) && !link.Opened && channel.detour != "" {
+	for link, state := range peers.linkStates {
+		if !isBackbone(link) && !link.Opened && state.detourAddress != "" {
 			calls := 0
-			for _, share := range channel.shares {
+			for _, share := range state.shares {
 				calls += share.Calls
 			}
 			found = append(found, &frame.Detour{
-				Address: channel.detour, Peer: link.Remote.Address, DataCentre: link.Remote.DataCentre, Lost: waysToWire(channel.lost), Calls: uint32(max(0, calls)),
+				Address: state.detourAddress, Peer: link.Remote.Address, DataCentre: link.Remote.DataCentre, Lost: pathsToWire(state.lostPaths), Calls: uint32(max(0, calls)),
 			})
 		}
 	}
-	rand.Shuffle(len(found), func(one, other int) { found[one], found[other] = found[other], found[one] })
-	slices.SortStableFunc(found, func(one, other *frame.Detour) int { return len(one.Lost) - len(other.Lost) })
-	return found[:min(most, len(found))]
+	rand.Shuffle(len(found), func(a, b int) { found[a], found[b] = found[b], found[a] })
+	slices.SortStableFunc(found, func(a, b *frame.Detour) int { return len(a.Lost) - len(b.Lost) })
+	return found[:min(limit, len(found))]
 }
 
-// look looks for ways that are lost, and for nodes that stand still.
-func (detours *detours) look() {
+// check looks for lost paths and for stalled detour nodes, and starts the path probes that are due.
+func (detours *detours) check() {
 	detours.node.board.WatchWays()
-	for _, address := range detours.table.Stalled(detourStill, detourUnanswered) {
-		detours.node.logger.Warn("gateway: a node that requests go through stands still.", "Peer", address)
+	for _, address := range detours.table.Stalled(detourStallTimeout, detourAnswerTimeout) {
+		detours.node.logger.Warn("gateway: a detour node stalled; its connections are dropped.", "Peer", address)
 		detours.pool.Drop(address)
 	}
 	probes := detours.node.board.WayProbes()
 	for number := range probes {
 		probe := &probes[number]
 		if probe.Way.Standing() == reach.Doubted {
-			detours.want()
+			detours.requestQuery()
 		}
 		detours.node.GoAs("probe", func() { detours.probe(probe) })
 	}
--- a/internal/run/gateway/drains.go
+++ b/internal/run/gateway/drains.go
@@ -7,43 +7,43 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// drainsChanged is told of data centres whose drain began or ended, and by whom this node
-// heard of it.
+// drainsChanged applies the drains of data centres that began or ended. The source is the store or the
+// address of the node that reported them.
 func (node *Node) drainsChanged(changes []drain.Record, source string) {
 	for _, change := range changes {
-		line := "gateway: the drain of a data centre has ended."
+		message := "gateway: the drain of a data centre has ended."
 		if change.Drained {
-			line = "gateway: a data centre is drained."
+			message = "gateway: a data centre is drained."
 		}
-		node.logger.Info(line, "DrainedDataCentre", change.DataCentre, "Era", change.Position.Era, "Offset", change.Position.Offset, "Source", source)
+		node.logger.Info(message, "DrainedDataCentre", change.DataCentre, "Era", change.Position.Era, "Offset", change.Position.Offset, "Source", source)
 	}
-	node.changed()
-	node.peers.tellVersion()
+	node.requestTargetUpdate()
+	node.peers.broadcastVersion()
 }
 
-// takeDrains takes the drains that another node knows.
-func (peers *peers) takeDrains(link *overlay.Link, told []*frame.DataCentreDrain) {
-	if len(told) == 0 {
+// handleDrains merges the data centre drains that another node knows.
+func (peers *peers) handleDrains(link *overlay.Link, received []*frame.DataCentreDrain) {
+	if len(received) == 0 {
 		return
 	}
-	if changes := peers.node.drained.Told(drainsFromWire(told)); len(changes) > 0 {
+	if changes := peers.node.drains.Told(drainsFromWire(received)); len(changes) > 0 {
 		peers.node.drainsChanged(changes, link.Remote.Address)
 	}
 }
 
 func drainsToWire(records []drain.Record) []*frame.DataCentreDrain {
-	told := make([]*frame.DataCentreDrain, 0, len(records))
+	encoded := make([]*frame.DataCentreDrain, 0, len(records))
 	for _, record := range records {
-		told = append(told, &frame.DataCentreDrain{
+		encoded = append(encoded, &frame.DataCentreDrain{
 			DataCentre: record.DataCentre, Era: record.Position.Era, Offset: record.Position.Offset, Drained: record.Drained,
 		})
 	}
-	return told
+	return encoded
 }
 
-func drainsFromWire(told []*frame.DataCentreDrain) []drain.Record {
-	records := make([]drain.Record, 0, len(told))
-	for _, record := range told {
+func drainsFromWire(encoded []*frame.DataCentreDrain) []drain.Record {
+	records := make([]drain.Record, 0, len(encoded))
+	for _, record := range encoded {
 		records = append(records, drain.Record{
 			DataCentre: record.DataCentre, Position: storelog.Position{Era: record.Era, Offset: record.Offset}, Drained: record.Drained,
 		})
--- a/internal/run/gateway/fetch.go
+++ b/internal/run/gateway/fetch.go
@@ -7,75 +7,74 @@
 	"hazelslip/internal/fleet/overlay"
 )
 
-// newerPatience is how long a node waits for others to bring it a newer
-// configuration that it has heard of before it asks the store: a few hundred KB over
-// 20 Mbit/s, and one more try.
-const newerPatience = 700 * time.Millisecond
+// newerVersionWait is how long a node waits for its peers to deliver a newer configuration that it has heard
+// of before it asks the store. It covers the transfer of a few hundred KB at 20 Mbit/s and one retry.
+const newerVersionWait = 700 * time.Millisecond
 
-// fetchSlow is from which time on a fetch is told in the log, and another node is asked.
-const fetchSlow = 300 * time.Millisecond
+// slowFetch is the duration from which a fetch is logged as slow and a second node is asked.
+const slowFetch = 300 * time.Millisecond
 
-// newerVersion is a version that another node has and this one doesn't.
-type newerVersion struct {
+// seenVersion is a configuration version that another node has and this node lacks.
+type seenVersion struct {
 	version int64
 	since   time.Duration
 }
 
-// fetches are the nodes that a configuration is being fetched from, and since when.
-type fetches struct {
-	mu    sync.Mutex
-	since map[string]time.Duration
+// fetchTracker records which nodes a configuration is being fetched from, and since when.
+type fetchTracker struct {
+	mu        sync.Mutex
+	startedAt map[string]time.Duration
 }
 
-// fetchesMost is how many nodes are asked at once.
-const fetchesMost = 2
+// maxFetches is how many nodes are asked at once.
+const maxFetches = 2
 
-// begin says whether a node is to be asked, and notes that it is: the first that tells of a
-// version, and another where that one takes long, since it may stand still.
-func (fetches *fetches) begin(address string, now time.Duration) bool {
-	fetches.mu.Lock()
-	defer fetches.mu.Unlock()
-	if _, asked := fetches.since[address]; asked || len(fetches.since) >= fetchesMost {
+// begin reports whether to fetch from a node, and records the fetch if so. The first node that announces a
+// version is asked. Another one is asked in addition if the first takes longer than slowFetch, since it may
+// hang.
+func (fetchTracker *fetchTracker) begin(address string, now time.Duration) bool {
+	fetchTracker.mu.Lock()
+	defer fetchTracker.mu.Unlock()
+	if _, asked := fetchTracker.startedAt[address]; asked || len(fetchTracker.startedAt) >= maxFetches {
 		return false
 	}
-	for _, since := range fetches.since {
-		if now-since < fetchSlow {
+	for _, since := range fetchTracker.startedAt {
+		if now-since < slowFetch {
 			return false
 		}
 	}
-	if fetches.since == nil {
-		fetches.since = map[string]time.Duration{}
+	if fetchTracker.startedAt == nil {
+		fetchTracker.startedAt = map[string]time.Duration{}
 	}
-	fetches.since[address] = now
+	fetchTracker.startedAt[address] = now
 	return true
 }
 
-func (fetches *fetches) end(address string) {
-	fetches.mu.Lock()
-	defer fetches.mu.Unlock()
-	delete(fetches.since, address)
+func (fetchTracker *fetchTracker) end(address string) {
+	fetchTracker.mu.Lock()
+	defer fetchTracker.mu.Unlock()
+	delete(fetchTracker.startedAt, address)
 }
 
-// heardVersion fetches the configuration from a node that has a newer one, on a
-// connection of its own. Within a link it would hold up everything else on a
-// slow one.
-func (peers *peers) heardVersion(link *overlay.Link, version int64) {
-	peers.heardVersionAt(link.Remote.Address, version)
+// fetchIfNewer fetches the configuration from a node that announces a newer version. The fetch uses a
+// connection of its own: on a slow link it would delay all other frames.
+func (peers *peers) fetchIfNewer(link *overlay.Link, version int64) {
+	peers.fetchIfNewerFrom(link.Remote.Address, version)
 }
 
-// heardVersionAt is the same for a node that there may be no link with, and whose address may not be known.
-func (peers *peers) heardVersionAt(address string, version int64) {
+// fetchIfNewerFrom does the same for a node without a link to this one. The address may be empty.
+func (peers *peers) fetchIfNewerFrom(address string, version int64) {
 	if address == "" || version <= peers.node.configuration.Load().Configuration.Version {
 		return
 	}
-	if held := peers.newer.Load(); held == nil || held.version < version {
-		peers.newer.Store(&newerVersion{version: version, since: peers.node.now()})
+	if newest := peers.newestSeen.Load(); newest == nil || newest.version < version {
+		peers.newestSeen.Store(&seenVersion{version: version, since: peers.node.now()})
 	}
-	if !peers.fetching.begin(address, peers.node.now()) {
+	if !peers.fetches.begin(address, peers.node.now()) {
 		return
 	}
 	peers.overlay.Go(func() {
-		defer peers.fetching.end(address)
+		defer peers.fetches.end(address)
 		peers.fetch(address, version)
 	})
 }
@@ -85,20 +84,20 @@
 	body, err := peers.overlay.Fetch(address)
 	elapsed := peers.node.now() - began
 	if err != nil {
-		peers.node.logger.Warn("gateway: a configuration could not be fetched.", "Peer", address,
+		peers.node.logger.Warn("gateway: a configuration fetch failed.", "Peer", address,
 			"ConfigurationVersion", version, "Milliseconds", elapsed.Milliseconds(), "Error", err.Error())
 		return
 	}
-	if elapsed > fetchSlow {
-		peers.node.logger.Warn("gateway: a configuration took long to fetch.", "Peer", address,
+	if elapsed > slowFetch {
+		peers.node.logger.Warn("gateway: a configuration fetch was slow.", "Peer", address,
 			"ConfigurationVersion", version, "Milliseconds", elapsed.Milliseconds())
 	}
 	peers.node.follower.Offer(body, address)
 }
 
-// missesVersion says whether this node has known for a while that there is a newer
-// configuration than its own.
-func (peers *peers) missesVersion() bool {
-	held := peers.newer.Load()
-	return held != nil && held.version > peers.node.configuration.Load().Configuration.Version && peers.node.now()-held.since > newerPatience
+// newerVersionOverdue reports whether this node has lacked a newer configuration for longer than
+// newerVersionWait.
+func (peers *peers) newerVersionOverdue() bool {
+	newest := peers.newestSeen.Load()
+	return newest != nil && newest.version > peers.node.configuration.Load().Configuration.Version && peers.node.now()-newest.since > newerVersionWait
 }
--- a/internal/run/gateway/fetch_test.go
+++ b/internal/run/gateway/fetch_test.go
@@ -7,16 +7,16 @@
 	"github.com/onsi/gomega"
 )
 
-// A node that stands still while a configuration is fetched from it doesn't hold up the fetch
-// from another.
-func TestFetchGoesOnBesideANodeThatHangs(t *testing.T) {
+// Guards against a fetch from a hanging node that keeps this node from fetching the configuration from
+// another one.
+func TestFetchFallsBackWhenPeerHangs(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	fetches := fetches{}
+	fetches := fetchTracker{}
 	expect.Expect(fetches.begin("a", 0)).To(gomega.BeTrue())
-	expect.Expect(fetches.begin("b", fetchSlow-time.Millisecond)).To(gomega.BeFalse())
-	expect.Expect(fetches.begin("a", fetchSlow)).To(gomega.BeFalse())
-	expect.Expect(fetches.begin("b", fetchSlow)).To(gomega.BeTrue())
-	expect.Expect(fetches.begin("c", 3*fetchSlow)).To(gomega.BeFalse())
+	expect.Expect(fetches.begin("b", slowFetch-time.Millisecond)).To(gomega.BeFalse())
+	expect.Expect(fetches.begin("a", slowFetch)).To(gomega.BeFalse())
+	expect.Expect(fetches.begin("b", slowFetch)).To(gomega.BeTrue())
+	expect.Expect(fetches.begin("c", 3*slowFetch)).To(gomega.BeFalse())
 	fetches.end("a")
-	expect.Expect(fetches.begin("c", 3*fetchSlow)).To(gomega.BeTrue())
+	expect.Expect(fetches.begin("c", 3*slowFetch)).To(gomega.BeTrue())
 }
--- a/internal/run/gateway/control_test.go
+++ b/internal/run/gateway/frame_bench_test.go
@@ -13,29 +13,28 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// silentListener never has a connection.
-type silentListener struct{ done chan struct{} }
+// idleListener never accepts a connection.
+type idleListener struct{ done chan struct{} }
 
-func (listener *silentListener) Accept() (net.Conn, error) {
+func (listener *idleListener) Accept() (net.Conn, error) {
 	<-listener.done
 	return nil, net.ErrClosed
 }
-func (listener *silentListener) Close() error   { return nil }
-func (listener *silentListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (listener *idleListener) Close() error   { return nil }
+func (listener *idleListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// idleNode is a node that is never started.
+// idleNode returns a node that is never started.
 func idleNode(b testing.TB) *Node {
 	node, err := New(Settings{Name: "n", DataCentre: "east", Store: "store:1", Listen: Listen{Caller: "c", Readiness: "r", Peer: "p"}}, Platform{},
-		Network(func(string) (net.Listener, error) { return &silentListener{done: make(chan struct{})}, nil }, nil))
+		Network(func(string) (net.Listener, error) { return &idleListener{done: make(chan struct{})}, nil }, nil))
 	if err != nil {
 		b.Fatal(err)
 	}
 	return node
 }
 
-// fleetOf publishes the catalogue of a fleet: half as many groups as nodes, and four
-// calls at each.
-func fleetOf(relay *Node, nodes int) {
+// publishFleet publishes the catalogue of a fleet with one group per two nodes, and four calls at each group.
+func publishFleet(relay *Node, nodes int) {
 	rows := []catalogue.Row{}
 	for group := range max(1, nodes/2) {
 		rows = append(rows, catalogue.Row{
@@ -44,52 +43,52 @@
 		})
 	}
 	relay.peers.catalogue.Publish(rows)
-	channel := relay.peers.channel(&overlay.Link{Purpose: frame.Purpose_Root, Done: make(chan struct{})})
+	state := relay.peers.linkStateLocked(&overlay.Link{Purpose: frame.Purpose_Root, Done: make(chan struct{})})
 	for _, row := range rows {
-		channel.shares[row.Server] = dispatch.Share{Calls: 4, Unread: 900}
+		state.shares[row.Server] = dispatch.Share{Calls: 4, Unread: 900}
 	}
 }
 
-// BenchmarkLeafControl is what a leaf does for one frame from its relay and its own
-// report, without the network: it should hardly grow with the fleet.
+// BenchmarkLeafControl measures a leaf's work for one frame from its relay and one report in return, without
+// the network.
 func BenchmarkLeafControl(b *testing.B) {
 	for _, nodes := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			relay, leaf := idleNode(b), idleNode(b)
-			fleetOf(relay, nodes)
+			publishFleet(relay, nodes)
 			down := &overlay.Link{Purpose: frame.Purpose_Leaf, Done: make(chan struct{})}
 			up := &overlay.Link{Purpose: frame.Purpose_Leaf, Opened: true, Done: make(chan struct{})}
-			leaf.peers.take(up, decode(b, relay.peers.compose(down, false)))
-			body := relay.peers.compose(down, false)
+			leaf.peers.handleFrame(up, decode(b, relay.peers.composeFrame(down, false)))
+			body := relay.peers.composeFrame(down, false)
 			b.SetBytes(int64(len(body)))
 			b.ReportAllocs()
 			for b.Loop() {
-				leaf.peers.take(up, decode(b, body))
-				leaf.peers.compose(up, false)
+				leaf.peers.handleFrame(up, decode(b, body))
+				leaf.peers.composeFrame(up, false)
 			}
 		})
 	}
 }
 
-// BenchmarkRelayFrame is what a relay does for one leaf and frame, without the
-// network, with twenty leaves that share what is encoded.
+// BenchmarkRelayFrame measures a relay's work for one report and one frame of a leaf, without the network.
+// Twenty leaves share the encoded part.
 func BenchmarkRelayFrame(b *testing.B) {
 	for _, nodes := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			relay, leaf := idleNode(b), idleNode(b)
-			fleetOf(relay, nodes)
+			publishFleet(relay, nodes)
 			up := &overlay.Link{Purpose: frame.Purpose_Leaf, Opened: true, Done: make(chan struct{})}
-			report := leaf.peers.compose(up, false)
+			report := leaf.peers.composeFrame(up, false)
 			links := []*overlay.Link{}
 			for range 20 {
 				links = append(links, &overlay.Link{Purpose: frame.Purpose_Leaf, Done: make(chan struct{})})
-				relay.peers.compose(links[len(links)-1], false)
+				relay.peers.composeFrame(links[len(links)-1], false)
 			}
 			b.ReportAllocs()
 			for turn := 0; b.Loop(); turn++ {
 				link := links[turn%len(links)]
-				relay.peers.take(link, decode(b, report))
-				relay.peers.compose(link, false)
+				relay.peers.handleFrame(link, decode(b, report))
+				relay.peers.composeFrame(link, false)
 			}
 		})
 	}
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -1,14 +1,23 @@
-// Package gateway puts an entry node together: it takes callers' requests,
-// forwards them to backend servers, forms and mends the groups that run models,
-// and shares with the other nodes what it learns.
+// Package gateway assembles an entry node of the fleet. An entry node accepts callers' requests, forwards them to
+// backend servers, forms and repairs the groups of servers that run models, and shares its state with the other nodes.
 //
-// Every node is the same and keeps nothing on disk. What the operator states
-// and which servers there are comes from the platform's store, read by one node
-// and passed on to the others, or read by any node whose knowledge grows old.
-// One node at a time gives orders to servers; all others go on without it.
+// All nodes are equal and keep nothing on disk. The operator's configuration and the registry of servers come from the
+// platform's store. One node reads the store and distributes the content to the others; a node whose copy grows old
+// reads the store itself. One node at a time, the leader, sends commands to servers. All other functions of a node work
+// without the leader.
 //
-// The platform's own names and formats are not known here. Platform holds the
-// functions that speak them.
+// The package doesn't know the platform's names and formats. Platform holds the functions that implement them.
+//
+// # Tree of nodes
+//
+// The nodes of a data centre form a tree: leaves attach to relays, relays to the root, and the roots of all data centres
+// connect to each other. Nodes exchange frames over these links. The files of this package follow that exchange:
+//
+//   - peers.go holds the state of each link, compose.go builds frames, and receive.go applies received frames.
+//   - demands.go, drains.go, limits.go, notices.go, paces.go and suspects.go each exchange one kind of state.
+//   - background.go runs periodic tasks: call targets, group checks, leadership and cleanup.
+//   - paths.go tracks lost paths to servers, and detours.go forwards requests through other nodes meanwhile.
+//   - store.go and fetch.go obtain state from the store and from peers.
 //
 // # Usage
 //
@@ -53,93 +62,93 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// Platform speaks the platform's names and formats.
+// Platform holds the functions that implement the platform's names and formats.
 type Platform struct {
 	Store store.Store
 	Fleet formation.Fleet
 	Codec backendserver.Codec
-	// Hear sets who is told what servers say of themselves in answers to questions and
-	// orders.
-	Hear func(heard func(server *roster.Server, source string, said backendserver.Said))
-	// DecodeCaller reads a caller's request but for its body.
+	// SetNoticeHandler sets the function that receives what servers state about themselves in responses to
+	// queries and commands.
+	SetNoticeHandler func(heard func(server *roster.Server, source string, said backendserver.Said))
+	// DecodeCaller decodes a caller's request, except for its body.
 	DecodeCaller func(request *http.Request) *forward.Request
-	// ReadinessPath is where the balancer asks.
+	// ReadinessPath is the URL path of the load balancer's readiness check.
 	ReadinessPath string
-	// Close ends idle connections to the platform.
+	// Close closes idle connections to the platform.
 	Close func()
 }
 
-// Node is an entry node.
+// Node is an entry node of the fleet.
 type Node struct {
 	*lifecycle.Part
 	Incarnation uint64
 
-	settings Settings
-	platform Platform
-	logger   *slog.Logger
-	now      clock.Now
-	listen   func(address string) (net.Listener, error)
-	dial     func(ctx context.Context, network, address string) (net.Conn, error)
-	relays   int
+	settings   Settings
+	platform   Platform
+	logger     *slog.Logger
+	now        clock.Now
+	listen     func(address string) (net.Listener, error)
+	dial       func(ctx context.Context, network, address string) (net.Conn, error)
+	relayCount int
 
-	configuration *configuration.Table
-	rawVersion    atomic.Pointer[rawConfiguration]
-	drained       *drain.Table
-	servers       *roster.List
-	cold          *warmup.Table
-	view          *formation.View
-	former        *formation.Former
-	keeper        *tenure.Keeper
-	board         *dispatch.Board
-	demand        *demand.Demand
-	pool          *backendserver.Pool
-	memory        *memory.Budget
-	forwarder     *forward.Forwarder
-	peers         *peers
-	detours       *detours
-	quarantine    *quarantine.List
-	limits        *ratelimit.Limits
-	notices       *notice.Notices
-	// stored is used by the part that keeps it alone.
-	stored       storedSuspects
-	storeCalls   *store.Calls
-	follower     *follower.Follower
-	measures     *measures
-	services     atomic.Pointer[engineServices]
-	startedAt    time.Duration
-	dirty        chan struct{}
-	suspectsNews chan struct{}
-	// known is closed once the node knows a configuration and the servers.
-	known      chan struct{}
-	knownOnce  sync.Once
-	stopping   atomic.Bool
-	newsLearnt atomic.Uint64
-	waysLost   atomic.Uint64
-	// suspectsGone says that the store may lack what was written of suspects.
-	suspectsGone atomic.Bool
+	configuration    *configuration.Table
+	rawConfiguration atomic.Pointer[rawConfiguration]
+	drains           *drain.Table
+	servers          *roster.List
+	warmups          *warmup.Table
+	groupView        *formation.View
+	former           *formation.Former
+	termKeeper       *tenure.Keeper
+	board            *dispatch.Board
+	demand           *demand.Demand
+	pool             *backendserver.Pool
+	memory           *memory.Budget
+	forwarder        *forward.Forwarder
+	peers            *peers
+	detours          *detours
+	quarantine       *quarantine.List
+	limits           *ratelimit.Limits
+	notices          *notice.Notices
+	// storedSuspects is used only by the goroutine that runs runSuspectSync.
+	storedSuspects     storedSuspects
+	storeCalls         *store.Calls
+	follower           *follower.Follower
+	requestMetrics     *requestMetrics
+	engineServiceCache atomic.Pointer[cachedEngineServices]
+	startedAt          time.Duration
+	targetsDirty       chan struct{}
+	suspectsDirty      chan struct{}
+	// stateKnown is closed once the node has both a configuration and the servers.
+	stateKnown      chan struct{}
+	stateKnownOnce  sync.Once
+	stopping        atomic.Bool
+	groupNewsLearnt atomic.Uint64
+	pathsLost       atomic.Uint64
+	// storedSuspectsLost is set when the store may have lost the suspects written to it.
+	storedSuspectsLost atomic.Bool
 
-	mu      sync.Mutex
-	budgets map[string]*retry.Window
+	mu           sync.Mutex
+	retryBudgets map[string]*retry.Window
 
-	listeners []net.Listener
-	caller    *http.Server
-	readiness *http.Server
-	operator  *http.Server
+	listeners       []net.Listener
+	callerServer    *http.Server
+	readinessServer *http.Server
+	operatorServer  *http.Server
 }
 
-// rawConfiguration is the version in force as the store holds it, for peers.
+// rawConfiguration is the configuration in force as encoded in the store, for peers to fetch.
 type rawConfiguration struct {
 	version int64
 	body    []byte
 }
 
-// engineServices are the services that form groups, of one version.
-type engineServices struct {
+// cachedEngineServices holds the services with engine groups of one configuration version.
+type cachedEngineServices struct {
 	version  int64
 	services []formation.Service
 }
 
-// Option changes how a Node is built.
+// Option configures a Node.
 type Option func(*Node)
 
 // Logger sets the logger.
@@ -152,62 +161,62 @@
 	return func(node *Node) { node.now = now }
 }
 
-// Network sets how the node listens and how it connects to others.
+// Network sets the functions that open listeners and connections.
 func Network(listen func(address string) (net.Listener, error), dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(node *Node) { node.listen, node.dial = listen, dial }
 }
 
-// Relays sets how many nodes of a data centre keep all that there is to know and
-// tell the others.
+// Relays sets how many nodes of a data centre hold the whole fleet state and distribute it to the other
+// nodes.
 func Relays(nodes int) Option {
-	return func(node *Node) { node.relays = nodes }
+	return func(node *Node) { node.relayCount = nodes }
 }
 
 func listenTCP(address string) (net.Listener, error) {
 	return net.Listen("tcp", address)
 }
 
-// New returns a node that listens and is yet to be started.
+// New returns a node whose listeners are open. Start runs it.
 func New(settings Settings, platform Platform, options ...Option) (*Node, error) {
 	node := &Node{
 		Part: lifecycle.New("gateway"), Incarnation: rand.Uint64() | 1, settings: settings, platform: platform,
 		logger: slog.New(slog.DiscardHandler), now: clock.Boot, listen: listenTCP,
-		configuration: configuration.NewTable(), budgets: map[string]*retry.Window{},
-		dirty: make(chan struct{}, 1), known: make(chan struct{}), suspectsNews: make(chan struct{}, 1), measures: newMeasures(), relays: tree.Relays,
+		configuration: configuration.NewTable(), retryBudgets: map[string]*retry.Window{},
+		targetsDirty: make(chan struct{}, 1), stateKnown: make(chan struct{}), suspectsDirty: make(chan struct{}, 1), requestMetrics: newRequestMetrics(), relayCount: tree.Relays,
 	}
-	node.services.Store(&engineServices{version: -1})
+	node.engineServiceCache.Store(&cachedEngineServices{version: -1})
 	node.memory = memory.New(memory.Part(settings.Limits.MemoryBytes))
 	for _, option := range options {
 		option(node)
 	}
-	node.storeCalls = store.NewCalls(store.Clock(node.now), store.Lost(node.storeLost), store.Returned(node.storeReturned), store.Hung(node.storeHung))
-	node.drained, node.cold = drain.New(drain.Clock(node.now)), warmup.NewTable(node.now)
+	node.storeCalls = store.NewCalls(store.Clock(node.now), store.Lost(node.storeBecameUnavailable), store.Returned(node.storeRecovered), store.Hung(node.logHungStoreCall))
+	node.drains, node.warmups = drain.New(drain.Clock(node.now)), warmup.NewTable(node.now)
 	node.servers = roster.New(roster.Draining(func(id string, born int64) bool {
 		return node.notices.Draining(ratelimit.Run{Server: id, Born: born})
 	}))
-	node.view = formation.NewView(node.now, formation.Servers(node.servers.Load))
+	node.groupView = formation.NewView(node.now, formation.Servers(node.servers.Load))
 	node.quarantine = quarantine.New(quarantine.Clock(node.now))
-	node.stored.held = map[quarantine.Fingerprint]struct{}{}
-	node.limits = ratelimit.New(ratelimit.Clock(node.now), ratelimit.Incarnation(node.Incarnation), ratelimit.Settle(settings.Bounds.Settle))
+	node.storedSuspects.recorded = map[quarantine.Fingerprint]struct{}{}
+	node.limits = ratelimit.New(ratelimit.Clock(node.now), ratelimit.Incarnation(node.Incarnation), ratelimit.Settle(settings.Bounds.PropagationTime))
 	node.notices = notice.New(node.limits, notice.Clock(node.now))
 	node.demand = demand.New(demand.Clock(node.now))
 	node.detours = newDetours(node)
-	node.board = dispatch.New(dispatch.Clock(node.now), dispatch.DataCentre(settings.DataCentre), dispatch.Notices(node.notices), dispatch.Demands(node.demand), dispatch.Ways(node.detours.ways),
+	node.board = dispatch.New(dispatch.Clock(node.now), dispatch.DataCentre(settings.DataCentre), dispatch.Notices(node.notices), dispatch.Demands(node.demand), dispatch.Ways(node.detours.paths),
 		dispatch.Idle(func(address string) bool { return node.pool.Idle(address) }),
-		dispatch.Drains(node.drained.Mark), dispatch.Lots(node.Incarnation, func() int { return node.peers.nodes() }),
-		dispatch.Counted(func() int { return int(node.peers.counted.Load()) }))
+		dispatch.Drains(node.drains.Mark), dispatch.Lots(node.Incarnation, func() int { return node.peers.budgetNodes() }),
+		dispatch.Counted(func() int { return int(node.peers.reportingNodes.Load()) }))
 	node.pool = backendserver.New(platform.Codec, node.poolOptions()...)
-	node.keeper = tenure.New(node.Incarnation, node.claim, node.now)
-	node.former = formation.New(node.formerParts())
-	node.follower = follower.New(node.followerParts())
-	node.forwarder = forward.New(node.forwarderParts())
-	if platform.Hear != nil {
-		platform.Hear(node.heardControl)
+	node.termKeeper = tenure.New(node.Incarnation, node.claimTerm, node.now)
+	node.former = formation.New(node.formationDependencies())
+	node.follower = follower.New(node.followerDependencies())
+	node.forwarder = forward.New(node.forwarderDependencies())
+	if platform.SetNoticeHandler != nil {
+		platform.SetNoticeHandler(node.handleControlNotice)
 	}
-	return node, node.open()
+	return node, node.openListeners()
 }
 
-// poolOptions makes the pool connect as the node does, where that is set.
+// poolOptions makes the connection pools use the node's own dial function, if one is set.
 func (node *Node) poolOptions() []backendserver.Option {
 	if node.dial == nil {
 		return nil
@@ -219,15 +228,15 @@
 	})}
 }
 
-func (node *Node) formerParts() formation.Parts {
+func (node *Node) formationDependencies() formation.Parts {
 	return formation.Parts{
-		Fleet: node.platform.Fleet, View: node.view, Servers: node.servers.Load, Services: node.engineServices,
-		Term: node.orderTerm, Outdated: node.outdated, Announce: node.announce, Load: node.modelLoad,
-		Told: func() bool { return node.peers.fed() },
+		Fleet: node.platform.Fleet, View: node.groupView, Servers: node.servers.Load, Services: node.engineServices,
+		Term: node.orderTerm, Outdated: node.handleOutdatedTerm, Announce: node.announceGroupNews, Load: node.modelUsage,
+		Told: func() bool { return node.peers.fedByUpstream() },
 		Quiet: func() bool {
-			return node.settings.FirstStart && node.forwarder.Counts.Requests.Load() == 0 && !node.peers.busy()
+			return node.settings.FirstStart && node.forwarder.Counts.Requests.Load() == 0 && !node.peers.othersBusy()
 		},
-		BacksOff: node.backsOff,
+		BacksOff: node.backingOff,
 		Bounds: formation.Bounds{
 			Stall: node.settings.Bounds.Stall, LoadWindow: node.settings.Bounds.LoadWindow, LoadBurst: node.settings.Bounds.LoadBurst,
 		},
@@ -235,20 +244,20 @@
 	}
 }
 
-func (node *Node) forwarderParts() forward.Parts {
+func (node *Node) forwarderDependencies() forward.Parts {
 	return forward.Parts{
 		Configuration: node.configuration, Board: node.board, Pool: node.pool, Decode: node.platform.DecodeCaller,
-		DataCentre: node.settings.DataCentre, Budget: node.budget, Ready: node.known, Stopping: node.stopping.Load,
-		Quarantine: node.quarantine, Suspected: node.suspected, Heard: node.heard,
-		AskPermits: node.refreshPermits, Returns: ratelimit.NewReturns(node.now), Nodes: func() int { return node.peers.nodes() },
-		Detours: node.detours.tableOrNil(), DetourPool: node.detours.pool, DetourWanted: node.detours.want, Unsure: node.detours.unsureOf,
-		Name: node.settings.Name, NewerAt: func(address string, version int64) { node.peers.heardVersionAt(address, version) },
-		Memory: node.memory, Failed: node.callFailed, Ended: node.measures.ended, Logger: node.logger, Now: node.now,
+		DataCentre: node.settings.DataCentre, Budget: node.retryBudget, Ready: node.stateKnown, Stopping: node.stopping.Load,
+		Quarantine: node.quarantine, Suspected: node.suspectChanged, Heard: node.handleNotice,
+		AskPermits: node.refreshPermits, Returns: ratelimit.NewReturns(node.now), Nodes: func() int { return node.peers.budgetNodes() },
+		Detours: node.detours.tableOrNil(), DetourPool: node.detours.pool, DetourWanted: node.detours.requestQuery, Unsure: node.detours.deferFailure,
+		Name: node.settings.Name, NewerAt: func(address string, version int64) { node.peers.fetchIfNewerFrom(address, version) },
+		Memory: node.memory, Failed: node.handleCallFailure, Ended: node.requestMetrics.record, Logger: node.logger, Now: node.now,
 	}
 }
 
-// open listens at all addresses, so that one that is taken is told at start.
-func (node *Node) open() error {
+// openListeners opens all listeners, so that an address in use is reported at startup.
+func (node *Node) openListeners() error {
 	addresses := []string{node.settings.Listen.Caller, node.settings.Listen.Readiness, node.settings.Listen.Peer}
 	if node.settings.Listen.Operator != "" {
 		addresses = append(addresses, node.settings.Listen.Operator)
@@ -268,28 +277,28 @@
 			return errors.Wrapf(err, "listen at %s", node.settings.Listen.Detour)
 		}
 		node.detours.listener = listener
-		node.detours.served = &http.Server{Handler: node.forwarder.Inward(), ReadHeaderTimeout: headerTimeout, IdleTimeout: detourIdle, ErrorLog: silent()}
+		node.detours.server = &http.Server{Handler: node.forwarder.Inward(), ReadHeaderTimeout: headerTimeout, IdleTimeout: detourIdleTimeout, ErrorLog: discardLogger()}
 	}
 	if node.memory.Bounded() {
-		node.listeners[0] = boundCallers(node.listeners[0])
+		node.listeners[0] = newCallerListener(node.listeners[0])
 		if node.detours.enabled() {
-			node.detours.listener = boundCallers(node.detours.listener)
+			node.detours.listener = newCallerListener(node.detours.listener)
 		}
 	}
 	node.peers = newPeers(node, node.listeners[2])
-	node.caller = &http.Server{Handler: node.forwarder, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: silent()}
-	node.readiness = &http.Server{Handler: http.HandlerFunc(node.serveReadiness), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: silent()}
-	node.operator = &http.Server{Handler: node.operatorHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: silent()}
+	node.callerServer = &http.Server{Handler: node.forwarder, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, ErrorLog: discardLogger()}
+	node.readinessServer = &http.Server{Handler: http.HandlerFunc(node.serveReadiness), ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, ErrorLog: discardLogger()}
+	node.operatorServer = &http.Server{Handler: node.operatorHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, ErrorLog: discardLogger()}
 	return nil
 }
 
 const (
-	// headerTimeout bounds reading the head of a request.
+	// headerTimeout bounds reading a request header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long an idle caller's connection is kept: longer than
-	// any caller keeps one, so that the caller is the one that closes it and no
-	// request crosses a close.
-	idleTimeout = 5 * time.Minute
+	// callerIdleTimeout is how long an idle caller connection is kept. It is longer than any caller keeps
+	// one, so that the caller closes the connection and no request arrives on a connection that is being
+	// closed.
+	callerIdleTimeout = 5 * time.Minute
 )
 
 func (node *Node) closeListeners() {
@@ -298,37 +307,37 @@
 	}
 }
 
-// Start runs every part.
+// Start starts all parts of the node.
 func (node *Node) Start() {
 	node.startedAt = node.now()
 	node.peers.start()
 	node.follower.Start()
-	node.GoAs("targets", node.followTargets)
-	node.PacedAs("watch", node.watchPause, node.watch)
-	node.PacedAs("tenure", node.pace(tenureTick), node.lookTenure)
+	node.GoAs("targets", node.runTargetUpdates)
+	node.PacedAs("watch", node.nextWatchInterval, node.watch)
+	node.PacedAs("tenure", node.leafAwareInterval(leadershipInterval), node.updateLeadership)
 	node.EveryAs("sweep", time.Second, node.sweep)
-	node.GoAs("suspects", node.followSuspects)
+	node.GoAs("suspects", node.runSuspectSync)
 	node.former.Start()
-	node.GoAs("detours", node.detours.follow)
-	if served := node.detours.served; served != nil {
-		node.GoAs("http", func() { node.serve(served, node.detours.listener) })
+	node.GoAs("detours", node.detours.runQueries)
+	if detourServer := node.detours.server; detourServer != nil {
+		node.GoAs("http", func() { node.serve(detourServer, node.detours.listener) })
 	}
-	servers := []*http.Server{node.caller, node.readiness, nil, node.operator}
+	servers := []*http.Server{node.callerServer, node.readinessServer, nil, node.operatorServer}
 	for number, listener := range node.listeners {
 		if server := servers[number]; server != nil {
 			node.GoAs("http", func() { node.serve(server, listener) })
 		}
 	}
-	node.logger.Info("gateway: started.", "Name", node.settings.Name, "DataCentre", node.settings.DataCentre, "Incarnation", node.Incarnation)
+	node.logger.Info("gateway: the node started.", "Name", node.settings.Name, "DataCentre", node.settings.DataCentre, "Incarnation", node.Incarnation)
 }
 
 func (node *Node) serve(server *http.Server, listener net.Listener) {
 	if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		node.logger.Error("gateway: a listener failed.", "Address", listener.Addr().String(), "Error", err.Error())
+		node.logger.Error("gateway: an HTTP server failed.", "Address", listener.Addr().String(), "Error", err.Error())
 	}
 }
 
-// Ready returns nil when the node can take requests, else what it lacks.
+// Ready returns nil if the node can accept requests, otherwise an error with the reason.
 func (node *Node) Ready() error {
 	switch {
 	case node.stopping.Load():
@@ -353,23 +362,23 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// budget returns the window of repeats of a service.
-func (node *Node) budget(service string) *retry.Window {
+// retryBudget returns the retry budget of a service.
+func (node *Node) retryBudget(service string) *retry.Window {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	window, ok := node.budgets[service]
+	window, ok := node.retryBudgets[service]
 	if !ok {
 		bounds := node.settings.Bounds
-		window = retry.NewWindow(retry.Allowance{Ratio: bounds.RetryRatio, Least: bounds.RetryLeast, Span: bounds.RetryWindow}, node.peers.nodes, node.now,
+		window = retry.NewWindow(retry.Allowance{Ratio: bounds.RetryRatio, Least: bounds.RetryLeast, Span: bounds.RetryWindow}, node.peers.budgetNodes, node.now,
 			retry.Lot(rendezvous.Draw(service, node.Incarnation)))
-		node.budgets[service] = window
+		node.retryBudgets[service] = window
 	}
 	return window
 }
 
-// Reload is told that the settings were read again. What changed in them takes
-// effect when the node is started again, which the log says.
+// Reload is called when the settings were read again. Changed settings take effect only after a restart,
+// which the log states.
 func (node *Node) Reload(settings Settings) {
 	changed := settings.Bounds != node.settings.Bounds || settings.Listen != node.settings.Listen || settings.Limits != node.settings.Limits
-	node.logger.Info("gateway: the settings were read again; changes take effect at the next start.", "Changed", changed)
+	node.logger.Info("gateway: the settings were reloaded; changes take effect after a restart.", "Changed", changed)
 }
--- a/internal/run/gateway/limits.go
+++ b/internal/run/gateway/limits.go
@@ -11,122 +11,123 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// permits is what was told over one link of limits and their permits.
-type permits struct {
-	// number names the link's other end among those that permits are borrowed from and
-	// lent to.
-	number ratelimit.Neighbour
-	// limits are to be told with the next frame, claims and loans as they were told last.
-	limits map[ratelimit.Run]struct{}
-	claims map[ratelimit.Run]ratelimit.Claim
-	loans  map[ratelimit.Run]ratelimit.Loan
-}
-
-func newPermits(number ratelimit.Neighbour, limits []ratelimit.Limit) permits {
-	permits := permits{
-		number: number, limits: map[ratelimit.Run]struct{}{},
-		claims: map[ratelimit.Run]ratelimit.Claim{}, loans: map[ratelimit.Run]ratelimit.Loan{},
+// permitState is what was sent over one link about rate limits and their permits.
+type permitState struct {
+	// neighbour identifies the other end of the link as a lender or borrower of permits.
+	neighbour ratelimit.Neighbour
+	// pendingLimits are the limits to send with the next frame. sentClaims and sentLoans hold the claims and
+	// loans as last sent.
+	pendingLimits map[ratelimit.Run]struct{}
+	sentClaims    map[ratelimit.Run]ratelimit.Claim
+	sentLoans     map[ratelimit.Run]ratelimit.Loan
+}
+
+func newPermitState(number ratelimit.Neighbour, limits []ratelimit.Limit) permitState {
+	state := permitState{
+		neighbour: number, pendingLimits: map[ratelimit.Run]struct{}{},
+		sentClaims: map[ratelimit.Run]ratelimit.Claim{}, sentLoans: map[ratelimit.Run]ratelimit.Loan{},
 	}
 	for _, limit := range limits {
-		permits.limits[limit.Run] = struct{}{}
+		state.pendingLimits[limit.Run] = struct{}{}
 	}
-	return permits
+	return state
 }
 
-// limitNews makes known what this node learnt of a limit.
-func (node *Node) limitNews(run ratelimit.Run) {
-	node.peers.tellLimit(run, func(*overlay.Link) bool { return true })
+// announceLimit sends a limit that this node learned to all linked nodes.
+func (node *Node) announceLimit(run ratelimit.Run) {
+	node.peers.queueLimit(run, func(*overlay.Link) bool { return true })
 	node.refreshPermits()
 }
 
-// refreshPermits brings the permits up to now.
+// refreshPermits updates the permits that this node holds, borrows and lends.
 func (node *Node) refreshPermits() {
 	if node.limits.Any() {
-		node.peers.hasten(node.limits.Refresh(node.peers.duties()))
+		node.peers.sendNow(node.limits.Refresh(node.peers.permitSources()))
 	}
 }
 
-// limitPause is the least time between two limits that are told at once: a server may name
-// another one with each answer.
-const limitPause = 20 * time.Millisecond
+// limitSendInterval is the minimum interval between limits that are sent immediately, since a server may
+// state another limit with each response. Limits in between go out with the next regular frame.
+const limitSendInterval = 20 * time.Millisecond
 
-// tellLimit tells what is known of a limit over some links, at once if none was told so just
-// before.
-func (peers *peers) tellLimit(run ratelimit.Run, over func(link *overlay.Link) bool) {
+// queueLimit queues a limit for the matching links, and sends it immediately unless another limit was sent
+// within limitSendInterval.
+func (peers *peers) queueLimit(run ratelimit.Run, match func(link *overlay.Link) bool) {
 	now := peers.node.now()
 	peers.mu.Lock()
-	for link, channel := range peers.channels {
-		if over(link) {
-			channel.permits.limits[run] = struct{}{}
+	for link, state := range peers.linkStates {
+		if match(link) {
+			state.permits.pendingLimits[run] = struct{}{}
 		}
 	}
-	due := now-peers.limitToldAt >= limitPause
-	if due {
-		peers.limitToldAt = now
+	immediately := now-peers.limitsSentAt >= limitSendInterval
+	if immediately {
+		peers.limitsSentAt = now
 	}
 	peers.mu.Unlock()
-	if due {
-		peers.overlay.Poke(over)
+	if immediately {
+		peers.overlay.Poke(match)
 	}
 }
 
-// hasten sends frames at once to some neighbours.
-func (peers *peers) hasten(neighbours []ratelimit.Neighbour) {
+// sendNow sends frames immediately to some neighbours.
+func (peers *peers) sendNow(neighbours []ratelimit.Neighbour) {
 	if len(neighbours) == 0 {
 		return
 	}
 	links := map[*overlay.Link]struct{}{}
 	peers.mu.Lock()
-	for link, channel := range peers.channels {
-		if slices.Contains(neighbours, channel.permits.number) {
+	for link, state := range peers.linkStates {
+		if slices.Contains(neighbours, state.permits.neighbour) {
 			links[link] = struct{}{}
 		}
 	}
 	peers.mu.Unlock()
-	peers.overlay.Poke(func(link *overlay.Link) bool { _, due := links[link]; return due })
+	peers.overlay.Poke(func(link *overlay.Link) bool { _, found := links[link]; return found })
 }
 
-// root is a node that speaks for a data centre, by the link to it; Self is this node.
-type root struct {
+// rootNode is the root of a data centre. Its neighbour is the link to it, or ratelimit.Self for this node.
+type rootNode struct {
 	dataCentre  string
 	incarnation uint64
 	neighbour   ratelimit.Neighbour
 }
 
-// duties returns where this node gets the permits of each server from: a leaf or a relay
-// from the node above, a root from the one of the server's data centre.
-func (peers *peers) duties() func(run ratelimit.Run) ratelimit.Duty {
+// permitSources returns a function that tells where this node gets the permits of each server from. A leaf or
+// a relay borrows them from its upstream node. A root borrows them from the root that issues the server's
+// permits, or issues them itself.
+func (peers *peers) permitSources() func(run ratelimit.Run) ratelimit.Duty {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	if peers.overlay.Role() != overlay.Root {
 		lender := ratelimit.Self
-		if channel := peers.channels[peers.overlay.Upstream()]; channel != nil {
-			lender = channel.permits.number
+		if state := peers.linkStates[peers.overlay.Upstream()]; state != nil {
+			lender = state.permits.neighbour
 		}
 		return func(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Lender: lender} }
 	}
-	self := root{dataCentre: peers.node.settings.DataCentre, incarnation: peers.node.Incarnation}
-	roots := []root{self}
-	for link, channel := range peers.channels {
+	self := rootNode{dataCentre: peers.node.settings.DataCentre, incarnation: peers.node.Incarnation}
+	roots := []rootNode{self}
+	for link, state := range peers.linkStates {
 		if link.Purpose == frame.Purpose_Root {
-			roots = append(roots, root{dataCentre: link.Remote.DataCentre, incarnation: link.Incarnation, neighbour: channel.permits.number})
+			roots = append(roots, rootNode{dataCentre: link.Remote.DataCentre, incarnation: link.Incarnation, neighbour: state.permits.neighbour})
 		}
 	}
-	slices.SortFunc(roots, func(one, other root) int { return cmp.Compare(one.incarnation, other.incarnation) })
-	part := min(1, float64(peers.sumsLocked().nodes)/float64(peers.nodes()))
-	places := peers.node.board.ServerRuns()
+	slices.SortFunc(roots, func(a, b rootNode) int { return cmp.Compare(a.incarnation, b.incarnation) })
+	fraction := min(1, float64(peers.totalsLocked().fleetNodes)/float64(peers.budgetNodes()))
+	dataCentres := peers.node.board.ServerRuns()
 	return func(run ratelimit.Run) ratelimit.Duty {
-		home := homeOf(run, places[run], roots)
-		if home.neighbour == ratelimit.Self {
-			return ratelimit.Duty{Home: true, Part: part}
+		issuer := issuingRoot(run, dataCentres[run], roots)
+		if issuer.neighbour == ratelimit.Self {
+			return ratelimit.Duty{Home: true, Part: fraction}
 		}
-		return ratelimit.Duty{Lender: home.neighbour}
+		return ratelimit.Duty{Lender: issuer.neighbour}
 	}
 }
 
-// homeOf returns the root that issues a server's permits: the one of its data centre, or
-// the same one of the others for all of them.
-func homeOf(run ratelimit.Run, dataCentre string, roots []root) root {
+// issuingRoot returns the root that issues a server's permits: the root of the server's data centre, or, if
+// there is none, a root on which all nodes agree by rendezvous hashing.
+func issuingRoot(run ratelimit.Run, dataCentre string, roots []rootNode) rootNode {
 	incarnations := make([]uint64, 0, len(roots))
 	for _, root := range roots {
 		if root.dataCentre == dataCentre {
@@ -134,89 +135,90 @@
 		}
 		incarnations = append(incarnations, root.incarnation)
 	}
-	home, _ := rendezvous.Pick(run.Server, incarnations)
-	return roots[slices.Index(incarnations, home)]
+	chosen, _ := rendezvous.Pick(run.Server, incarnations)
+	return roots[slices.Index(incarnations, chosen)]
 }
 
-// addPermits tells what the other side of a link lacks of limits and permits, and says
-// whether that is anything.
-func (peers *peers) addPermits(told *frame.Frame, channel *channel) bool {
-	permits := &channel.permits
+// addPermits adds the limits, claims and loans that the other side of a link lacks, and reports whether there
+// are any.
+func (peers *peers) addPermits(message *frame.Frame, state *linkState) bool {
+	permits := &state.permits
 	limits := peers.node.limits
-	if len(permits.limits) > 0 {
-		told.Limits = limitsToWire(limits, permits.limits, peers.node.now())
-		clear(permits.limits)
+	if len(permits.pendingLimits) > 0 {
+		message.Limits = limitsToWire(limits, permits.pendingLimits, peers.node.now())
+		clear(permits.pendingLimits)
 	}
 	if !limits.Any() {
-		clear(permits.claims)
-		clear(permits.loans)
-		return len(told.Limits) > 0
-	}
-	for _, claim := range limits.Claims(permits.number) {
-		if before, known := permits.claims[claim.Run]; !known || before != claim {
-			permits.claims[claim.Run] = claim
-			told.Claims = append(told.Claims, claimToWire(&claim))
+		clear(permits.sentClaims)
+		clear(permits.sentLoans)
+		return len(message.Limits) > 0
+	}
+	for _, claim := range limits.Claims(permits.neighbour) {
+		if sent, known := permits.sentClaims[claim.Run]; !known || sent != claim {
+			permits.sentClaims[claim.Run] = claim
+			message.Claims = append(message.Claims, claimToWire(&claim))
 		}
 	}
-	for _, loan := range limits.Loans(permits.number) {
-		if before, known := permits.loans[loan.Run]; !known || before != loan {
-			permits.loans[loan.Run] = loan
-			told.Loans = append(told.Loans, loanToWire(&loan))
+	for _, loan := range limits.Loans(permits.neighbour) {
+		if sent, known := permits.sentLoans[loan.Run]; !known || sent != loan {
+			permits.sentLoans[loan.Run] = loan
+			message.Loans = append(message.Loans, loanToWire(&loan))
 		}
 	}
-	return len(told.Limits)+len(told.Claims)+len(told.Loans) > 0
+	return len(message.Limits)+len(message.Claims)+len(message.Loans) > 0
 }
 
-// takePermits takes what another node tells of limits and permits.
-func (peers *peers) takePermits(link *overlay.Link, received *frame.Frame) {
-	for _, told := range received.Limits {
-		peers.takeLimit(link, told)
+// handlePermits applies the limits, claims and loans that another node sent.
+func (peers *peers) handlePermits(link *overlay.Link, received *frame.Frame) {
+	for _, limit := range received.Limits {
+		peers.handleLimit(link, limit)
 	}
 	if len(received.Claims)+len(received.Loans) == 0 {
 		return
 	}
 	peers.mu.Lock()
-	number := peers.channel(link).permits.number
+	number := peers.linkStateLocked(link).permits.neighbour
 	peers.mu.Unlock()
 	for _, claim := range received.Claims {
-		peers.takeLimit(link, &frame.ServerLimit{Server: claim.Server, Born: claim.Born, Rate: claim.Rate, Version: claim.Version})
+		peers.handleLimit(link, &frame.ServerLimit{Server: claim.Server, Born: claim.Born, Rate: claim.Rate, Version: claim.Version})
 	}
-	duties := peers.duties()
+	duties := peers.permitSources()
 	limits := peers.node.limits
-	peers.hasten(limits.TakeClaims(number, claimsFromWire(received.Claims), duties))
-	peers.hasten(limits.TakeLoans(number, loansFromWire(received.Loans), duties))
+	peers.sendNow(limits.TakeClaims(number, claimsFromWire(received.Claims), duties))
+	peers.sendNow(limits.TakeLoans(number, loansFromWire(received.Loans), duties))
 }
 
-// takeLimit takes a limit that another node knows, and passes on what is news.
-func (peers *peers) takeLimit(link *overlay.Link, told *frame.ServerLimit) {
+// handleLimit merges a limit that another node sent, and forwards it if it is new. If the other node has an
+// older limit, the current one is sent back to it.
+func (peers *peers) handleLimit(link *overlay.Link, received *frame.ServerLimit) {
 	node := peers.node
-	age := time.Duration(told.AgeMs) * time.Millisecond
-	run := ratelimit.Run{Server: told.Server, Born: told.Born}
-	before, known := node.limits.Limit(run)
-	limit := ratelimit.Limit{Run: run, Rate: told.Rate, Version: told.Version, Ended: told.Ended, At: node.now() - age}
+	age := time.Duration(received.AgeMs) * time.Millisecond
+	run := ratelimit.Run{Server: received.Server, Born: received.Born}
+	previous, known := node.limits.Limit(run)
+	limit := ratelimit.Limit{Run: run, Rate: received.Rate, Version: received.Version, Ended: received.Ended, At: node.now() - age}
 	switch node.limits.Take(limit) {
 	case ratelimit.Same:
 		return
 	case ratelimit.Old:
-		peers.tellLimit(run, func(other *overlay.Link) bool { return other == link })
+		peers.queueLimit(run, func(other *overlay.Link) bool { return other == link })
 		return
 	}
-	if !known || limit.Differs(&before) {
-		node.logger.Info("gateway: a limit was told.", "Server", told.Server, "Rate", told.Rate, "Ended", told.Ended,
-			"AgeMilliseconds", told.AgeMs, "From", link.Remote.Address, "SentLately", node.limits.Gate(run).SentLately())
+	if !known || limit.Differs(&previous) {
+		node.logger.Info("gateway: another node reported a server's rate limit.", "Server", received.Server, "Rate", received.Rate, "Ended", received.Ended,
+			"AgeMilliseconds", received.AgeMs, "From", link.Remote.Address, "SentLately", node.limits.Gate(run).SentLately())
 	}
-	peers.tellLimit(run, func(other *overlay.Link) bool { return other != link })
+	peers.queueLimit(run, func(other *overlay.Link) bool { return other != link })
 	node.refreshPermits()
 }
 
 func limitsToWire(limits *ratelimit.Limits, runs map[ratelimit.Run]struct{}, now time.Duration) []*frame.ServerLimit {
-	told := make([]*frame.ServerLimit, 0, len(runs))
+	encoded := make([]*frame.ServerLimit, 0, len(runs))
 	for run := range runs {
 		if limit, known := limits.Known(run); known {
-			told = append(told, &frame.ServerLimit{Server: run.Server, Born: run.Born, Rate: limit.Rate, Version: limit.Version, Ended: limit.Ended, AgeMs: milliseconds(now - limit.At)})
+			encoded = append(encoded, &frame.ServerLimit{Server: run.Server, Born: run.Born, Rate: limit.Rate, Version: limit.Version, Ended: limit.Ended, AgeMs: cappedMilliseconds(now - limit.At)})
 		}
 	}
-	return told
+	return encoded
 }
 
 func claimToWire(claim *ratelimit.Claim) *frame.PermitClaim {
@@ -226,9 +228,9 @@
 	}
 }
 
-func claimsFromWire(told []*frame.PermitClaim) []ratelimit.Claim {
-	claims := make([]ratelimit.Claim, 0, len(told))
-	for _, claim := range told {
+func claimsFromWire(encoded []*frame.PermitClaim) []ratelimit.Claim {
+	claims := make([]ratelimit.Claim, 0, len(encoded))
+	for _, claim := range encoded {
 		claims = append(claims, ratelimit.Claim{
 			Run: ratelimit.Run{Server: claim.Server, Born: claim.Born}, Session: claim.Session, Borrower: claim.Borrower,
 			Used: claim.Used, Returned: claim.Returned, Wanted: int(claim.Wanted), Waiting: int(claim.Waiting), SentFree: int(claim.SentFree),
@@ -241,9 +243,9 @@
 	return &frame.PermitLoan{Server: loan.Server, Born: loan.Born, Session: loan.Session, Borrower: loan.Borrower, Lent: loan.Lent}
 }
 
-func loansFromWire(told []*frame.PermitLoan) []ratelimit.Loan {
-	loans := make([]ratelimit.Loan, 0, len(told))
-	for _, loan := range told {
+func loansFromWire(encoded []*frame.PermitLoan) []ratelimit.Loan {
+	loans := make([]ratelimit.Loan, 0, len(encoded))
+	for _, loan := range encoded {
 		loans = append(loans, ratelimit.Loan{Run: ratelimit.Run{Server: loan.Server, Born: loan.Born}, Session: loan.Session, Borrower: loan.Borrower, Lent: loan.Lent})
 	}
 	return loans
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -14,159 +14,159 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// limitLines are the log lines of what answers change of limits.
-var limitLines = map[ratelimit.Change]string{
-	ratelimit.Learnt:  "gateway: a server named a limit.",
-	ratelimit.Changed: "gateway: a server changed its limit.",
-	ratelimit.Ended:   "gateway: a server names no limit any more.",
-	ratelimit.Spoilt:  "gateway: a server named a limit that can't be read.",
+// limitMessages are the log messages for changes of a server's rate limit.
+var limitMessages = map[ratelimit.Change]string{
+	ratelimit.Learnt:  "gateway: a server stated a rate limit.",
+	ratelimit.Changed: "gateway: a server changed its rate limit.",
+	ratelimit.Ended:   "gateway: a server no longer states a rate limit.",
+	ratelimit.Spoilt:  "gateway: a server stated an invalid rate limit.",
 }
 
-// backoffLines are the same of backoffs.
-var backoffLines = map[notice.Change]string{
-	notice.Learnt:    "gateway: a server asked for a backoff.",
-	notice.Prolonged: "gateway: a server prolonged its backoff.",
-	notice.Ended:     "gateway: a server takes calls again after its backoff.",
-	notice.Spoilt:    "gateway: a server asked for a backoff that can't be read.",
+// backoffMessages are the log messages for changes of a server's backoff.
+var backoffMessages = map[notice.Change]string{
+	notice.Learnt:    "gateway: a server requested a backoff.",
+	notice.Prolonged: "gateway: a server extended its backoff.",
+	notice.Ended:     "gateway: a server accepts calls again after its backoff.",
+	notice.Spoilt:    "gateway: a server requested an invalid backoff.",
 }
 
-// heard takes what an answer says of its server.
-func (node *Node) heard(heard forward.Heard) {
-	if !heard.Stray {
-		node.heardLimit(&heard)
+// handleNotice applies what a response states about its server: rate limit, backoff and draining.
+func (node *Node) handleNotice(received forward.Heard) {
+	if !received.Stray {
+		node.handleLimitNotice(&received)
 	}
-	said := &heard.Said
-	changes := node.notices.Heard(heard.Record, heard.Answer())
+	content := &received.Said
+	changes := node.notices.Heard(received.Record, received.Answer())
 	if changes.Backoff != notice.Unchanged {
-		node.logHeard(backoffLines[changes.Backoff], &heard,
-			slog.Int64("BackoffMilliseconds", said.Backoff.Span.Milliseconds()), slog.String("Value", said.Backoff.Unreadable))
+		node.logNotice(backoffMessages[changes.Backoff], &received,
+			slog.Int64("BackoffMilliseconds", content.Backoff.Span.Milliseconds()), slog.String("Value", content.Backoff.Unreadable))
 	}
 	if changes.Draining != notice.Unchanged {
-		node.logHeard("gateway: a server says that it is draining.", &heard)
-		node.drains()
+		node.logNotice("gateway: a server is draining.", &received)
+		node.applyDraining()
 	}
 	if changes.Tell {
-		node.peers.tellNotice(heard.Record.Run, nil)
+		node.peers.queueNotice(received.Record.Run, nil)
 	}
 }
 
-// drains takes the servers that are draining out of the lists.
-func (node *Node) drains() {
+// applyDraining refreshes the server list and the call targets, so that draining servers get no new calls.
+func (node *Node) applyDraining() {
 	node.servers.Refresh()
-	node.changed()
+	node.requestTargetUpdate()
 }
 
-// tellNotice makes all other nodes be told what a server said of itself.
-func (peers *peers) tellNotice(run ratelimit.Run, from *overlay.Link) {
+// queueNotice queues what a server stated for all links except the one that it came over.
+func (peers *peers) queueNotice(run ratelimit.Run, from *overlay.Link) {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	for link, channel := range peers.channels {
+	for link, state := range peers.linkStates {
 		if link != from {
-			channel.notices[run] = struct{}{}
+			state.pendingNotices[run] = struct{}{}
 		}
 	}
 }
 
-// noticesAtOnce bounds what is told of servers in one frame.
-const noticesAtOnce = 100
+// maxNoticesPerFrame bounds the number of notices in one frame.
+const maxNoticesPerFrame = 100
 
-// noticesFor returns what the other side of a link lacks, as it is now.
-func (peers *peers) noticesFor(channel *channel) []*frame.ServerNotice {
-	if len(channel.notices) == 0 {
+// nextNotices returns the queued notices for a link, with their current content.
+func (peers *peers) nextNotices(state *linkState) []*frame.ServerNotice {
+	if len(state.pendingNotices) == 0 {
 		return nil
 	}
-	told := make([]*frame.ServerNotice, 0, min(len(channel.notices), noticesAtOnce))
-	for run := range channel.notices {
-		if len(told) == noticesAtOnce {
+	encoded := make([]*frame.ServerNotice, 0, min(len(state.pendingNotices), maxNoticesPerFrame))
+	for run := range state.pendingNotices {
+		if len(encoded) == maxNoticesPerFrame {
 			break
 		}
-		delete(channel.notices, run)
+		delete(state.pendingNotices, run)
 		if known, any := peers.node.notices.Told(run); any {
-			told = append(told, &frame.ServerNotice{Server: run.Server, Born: run.Born, Draining: known.Draining, BackoffMs: milliseconds(known.Backoff)})
+			encoded = append(encoded, &frame.ServerNotice{Server: run.Server, Born: run.Born, Draining: known.Draining, BackoffMs: cappedMilliseconds(known.Backoff)})
 		}
 	}
-	return told
+	return encoded
 }
 
-// takeNotices takes what servers said to other nodes, and passes on what is news.
-func (peers *peers) takeNotices(link *overlay.Link, received []*frame.ServerNotice) {
+// handleNotices applies the notices that other nodes received from servers, and forwards those that are new.
+func (peers *peers) handleNotices(link *overlay.Link, received []*frame.ServerNotice) {
 	node := peers.node
-	for _, one := range received {
-		told := notice.Told{
-			Run:      ratelimit.Run{Server: one.Server, Born: one.Born},
-			Draining: one.Draining, Backoff: time.Duration(one.BackoffMs) * time.Millisecond,
+	for _, encoded := range received {
+		decoded := notice.Told{
+			Run:      ratelimit.Run{Server: encoded.Server, Born: encoded.Born},
+			Draining: encoded.Draining, Backoff: time.Duration(encoded.BackoffMs) * time.Millisecond,
 		}
-		if !node.notices.Take(told) {
+		if !node.notices.Take(decoded) {
 			continue
 		}
-		peers.tellNotice(told.Run, link)
-		// Backoffs of other nodes are counted alone: in a large fleet each node hears of
-		// dozens a second.
-		if told.Draining {
-			node.logger.Info("gateway: another node was told that a server is draining.", "Server", told.Server, "Born", told.Born, "From", link.Remote.Address)
-			node.drains()
+		peers.queueNotice(decoded.Run, link)
+		// Backoffs received by other nodes are counted but not logged: in a large fleet each node hears of
+		// dozens per second.
+		if decoded.Draining {
+			node.logger.Info("gateway: another node reported that a server is draining.", "Server", decoded.Server, "Born", decoded.Born, "From", link.Remote.Address)
+			node.applyDraining()
 		}
 	}
 }
 
-// logHeard writes a line of what an answer changed.
-func (node *Node) logHeard(line string, heard *forward.Heard, attributes ...slog.Attr) {
+// logNotice logs a change that a response caused.
+func (node *Node) logNotice(message string, received *forward.Heard, attributes ...slog.Attr) {
 	attributes = append(attributes,
-		slog.String("Server", heard.Record.Server), slog.Int64("Born", heard.Record.Born), slog.String("Group", heard.Group),
-		slog.String("Source", heard.Source), slog.String("RequestID", heard.RequestID),
-		slog.Int64("SentMillisecondsAgo", (node.now()-heard.Sent).Milliseconds()), slog.Int("SentLately", heard.Record.Gate.SentLately()))
-	node.logger.LogAttrs(context.Background(), slog.LevelInfo, line, attributes...)
+		slog.String("Server", received.Record.Server), slog.Int64("Born", received.Record.Born), slog.String("Group", received.Group),
+		slog.String("Source", received.Source), slog.String("RequestID", received.RequestID),
+		slog.Int64("SentMillisecondsAgo", (node.now()-received.Sent).Milliseconds()), slog.Int("SentLately", received.Record.Gate.SentLately()))
+	node.logger.LogAttrs(context.Background(), slog.LevelInfo, message, attributes...)
 }
 
-// heardLimit takes what an answer says of its server's limit.
-func (node *Node) heardLimit(heard *forward.Heard) {
-	told, run := heard.Said.Limit, heard.Record.Run
-	if !told.Named && told.Unreadable == "" && !node.limits.Any() {
+// handleLimitNotice applies what a response states about the rate limit of its server.
+func (node *Node) handleLimitNotice(received *forward.Heard) {
+	limit, run := received.Said.Limit, received.Record.Run
+	if !limit.Named && limit.Unreadable == "" && !node.limits.Any() {
 		return
 	}
-	before, _ := node.limits.Limit(run)
+	previous, _ := node.limits.Limit(run)
 	change := node.limits.Answered(run, ratelimit.Answer{
-		Named: told.Named, Rate: told.Rate, Unreadable: told.Unreadable, Refused: !heard.Taken, Began: heard.Chosen,
+		Named: limit.Named, Rate: limit.Rate, Unreadable: limit.Unreadable, Refused: !received.Taken, Began: received.Chosen,
 	})
 	if change == ratelimit.Unchanged {
 		return
 	}
 	if change != ratelimit.Spoilt {
-		node.limitNews(run)
+		node.announceLimit(run)
 	}
-	if now, _ := node.limits.Limit(run); change == ratelimit.Changed && !now.Differs(&before) {
+	if now, _ := node.limits.Limit(run); change == ratelimit.Changed && !now.Differs(&previous) {
 		return
 	}
-	node.logHeard(limitLines[change], heard,
-		slog.Float64("Rate", told.Rate), slog.Float64("Before", before.Rate), slog.String("Value", told.Unreadable))
+	node.logNotice(limitMessages[change], received,
+		slog.Float64("Rate", limit.Rate), slog.Float64("Before", previous.Rate), slog.String("Value", limit.Unreadable))
 }
 
-// heardControl takes what a server says of itself in its answer to a question or an order,
-// which say nothing of whether it takes calls.
-func (node *Node) heardControl(server *roster.Server, source string, said backendserver.Said) {
-	if said == (backendserver.Said{}) {
+// handleControlNotice applies what a server states about itself in its response to a query or a command. Such
+// a response doesn't show whether the server accepts calls.
+func (node *Node) handleControlNotice(server *roster.Server, source string, content backendserver.Said) {
+	if content == (backendserver.Said{}) {
 		return
 	}
 	now := node.now()
-	node.heard(forward.Heard{
-		Record: node.notices.Record(ratelimit.Run{Server: server.ID, Born: server.Born}), Said: said, Source: source,
+	node.handleNotice(forward.Heard{
+		Record: node.notices.Record(ratelimit.Run{Server: server.ID, Born: server.Born}), Said: content, Source: source,
 		Group: server.Group.Name, Chosen: now, Sent: now,
 	})
 }
 
-// backsOff says whether a server asked this node for a backoff that lasts.
-func (node *Node) backsOff(server *roster.Server) bool {
+// backingOff reports whether a backoff that a server requested from this node is in effect.
+func (node *Node) backingOff(server *roster.Server) bool {
 	return node.notices.BacksOff(server.ID)
 }
 
-// sweepNotices forgets what servers said that doesn't count any more.
-func (node *Node) sweepNotices(listed map[ratelimit.Run]string) {
+// sweepNotices drops expired notices, and notices of servers that are neither called nor listed.
+func (node *Node) sweepNotices(targets map[ratelimit.Run]string) {
 	servers := node.servers.Load().Servers
 	for _, id := range node.notices.Sweep(func(run ratelimit.Run) bool {
-		_, used := listed[run]
+		_, used := targets[run]
 		entry := servers[run.Server]
 		return used || (entry != nil && entry.Born == run.Born)
 	}) {
-		node.logger.Info("gateway: a server's backoff has passed, and no call was sent there since.", "Server", id)
+		node.logger.Info("gateway: a server's backoff expired without a call to the server since.", "Server", id)
 	}
 }
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -23,65 +23,64 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// State is the dump of a node's state.
+// State is a dump of the node's state.
 type State struct {
 	Name                 string
 	DataCentre           string
 	Incarnation          uint64
 	Ready                string
 	ConfigurationVersion int64
-	// StoreEra counts how often the store came back from an older copy, -1 before it
-	// has answered.
+	// StoreEra is how many times the store was restored from an older backup, or -1 before the store has
+	// responded.
 	StoreEra int64
-	// ConfigurationAgeMilliseconds is how long ago the store is known to have had no newer
-	// configuration, an hour at the most. Store says how the store answers this node.
+	// ConfigurationAgeMilliseconds is the time since the store is known to have had no newer configuration,
+	// at most one hour. Store is the availability of the store as this node sees it.
 	ConfigurationAgeMilliseconds int64
 	Store                        store.State
-	// ReadsStore says that this node reads the store for all.
+	// ReadsStore is true if this node reads the store on behalf of the fleet.
 	ReadsStore          bool
 	ListEnd             storelog.Position
 	ListAgeMilliseconds int64
 	Servers             int
-	// Nodes counts the nodes of the fleet that this one hears of, itself among them.
+	// Nodes is the number of nodes in the fleet that this node hears of, including itself.
 	Nodes   int
 	Overlay overlay.State
-	// Targets are the servers and heads of groups that take calls, by what they
-	// serve.
+	// Targets are the servers and group heads that accept calls, by pool.
 	Targets map[string][]dispatch.TargetState
 	Former  formation.State
 	Budgets map[string]retry.WindowState
-	// Suspects are the requests under which servers ended and that were not answered
-	// since, as far as this node knows.
+	// Suspects are the requests during which servers failed and that no server has answered since, as far as
+	// this node knows.
 	Suspects []quarantine.State
-	// Limits are those that servers name, as far as this node knows.
+	// Limits are the rate limits that servers state, as far as this node knows.
 	Limits []ratelimit.State
-	// Notices are the servers that asked this node for a backoff, or told it that they
-	// are draining.
+	// Notices are the servers that requested a backoff from this node or reported that they are draining.
 	Notices []notice.State
-	// DrainedDataCentres are those whose servers get no new calls.
+	// DrainedDataCentres are the data centres whose servers get no new calls.
 	DrainedDataCentres []string
-	// Memory is what is buffered between callers and servers, by workspace.
+	// Memory is the memory buffered between callers and servers, by workspace.
 	Memory memory.State
-	// Demands are what is asked of each pool.
+	// Demands is the demand of each pool.
 	Demands []demand.State
-	// Ways are the ways to servers that are not open, Detours the nodes that requests go through.
+	// Ways are the paths to servers that are not healthy. Detours are the nodes that accept forwarded
+	// requests.
 	Ways    []reach.State
 	Detours []detour.State
 }
 
-// State returns the dump of the node's state.
+// State returns a dump of the node's state.
 func (node *Node) State() State {
 	servers := node.servers.Load()
 	state := State{
 		Name: node.settings.Name, DataCentre: node.settings.DataCentre, Incarnation: node.Incarnation, Ready: "ready",
 		ConfigurationVersion: node.configuration.Load().Configuration.Version, StoreEra: node.follower.Era(),
-		ConfigurationAgeMilliseconds: node.follower.ConfigurationAge().Milliseconds(), Store: node.storeCalls.State(), ReadsStore: node.peers.standing().Reads(), ListEnd: servers.End,
+		ConfigurationAgeMilliseconds: node.follower.ConfigurationAge().Milliseconds(), Store: node.storeCalls.State(), ReadsStore: node.peers.readerStanding().Reads(), ListEnd: servers.End,
 		ListAgeMilliseconds: node.follower.ListAge().Milliseconds(), Servers: len(servers.Servers),
 		Targets: node.board.State(), Former: node.former.State(),
-		Budgets: node.budgetStates(), Nodes: node.peers.count(), Overlay: node.peers.overlay.State(),
+		Budgets: node.retryBudgetStates(), Nodes: node.peers.reachableNodes(), Overlay: node.peers.overlay.State(),
 		Suspects: node.quarantine.State(), Limits: node.limits.State(), Notices: node.notices.State(),
-		DrainedDataCentres: node.drained.Drained(), Demands: node.demand.State(), Memory: node.memory.State(),
-		Ways: node.detours.ways.State(), Detours: node.detours.table.State(),
+		DrainedDataCentres: node.drains.Drained(), Demands: node.demand.State(), Memory: node.memory.State(),
+		Ways: node.detours.paths.State(), Detours: node.detours.table.State(),
 	}
 	if err := node.Ready(); err != nil {
 		state.Ready = err.Error()
@@ -89,34 +88,33 @@
 	return state
 }
 
-// Metrics are the node's counters, which only grow but for Goroutines and MemoryHeld, and its latencies.
+// Metrics holds the node's counters and latencies. All counters only grow, except Goroutines and MemoryHeld.
 type Metrics struct {
-	// Outcomes counts requests by route and by how they ended.
+	// Outcomes counts requests by route and outcome.
 	Outcomes map[string]map[forward.Outcome]uint64
 	// Latencies are in milliseconds.
 	Latencies map[string]Quantiles
 	Counters  map[string]uint64
-	// Ages are in milliseconds; -1 for what was never known.
+	// Ages are in milliseconds, -1 for data that was never read.
 	Ages map[string]int64
-	// Term is under which this node gives orders, 0 if it doesn't.
+	// Term is the term under which this node leads the fleet, 0 if it doesn't.
 	Term    int64
 	Budgets map[string]retry.WindowState
-	// Serving counts the servers and heads of groups that take calls, by what they
-	// serve.
+	// Serving is the number of servers and group heads that accept calls, by pool.
 	Serving map[string]int
-	// Limits are those that servers name, Notices what else they say of themselves.
+	// Limits are the rate limits that servers state. Notices are their backoffs and drains.
 	Limits  []ratelimit.State
 	Notices []notice.State
-	// DrainedDataCentres are those whose servers get no new calls.
+	// DrainedDataCentres are the data centres whose servers get no new calls.
 	DrainedDataCentres []string
 }
 
 // Metrics returns the node's metrics.
 func (node *Node) Metrics() Metrics {
 	metrics := Metrics{
-		Outcomes: node.measures.byRoute(), Latencies: node.measures.latencies(), Counters: node.counters(),
-		Ages: map[string]int64{"ServerList": -1, "Configuration": -1}, Term: node.keeper.Term(), Budgets: node.budgetStates(), Serving: map[string]int{},
-		Limits: node.limits.State(), Notices: node.notices.State(), DrainedDataCentres: node.drained.Drained(),
+		Outcomes: node.requestMetrics.outcomesByRoute(), Latencies: node.requestMetrics.latencies(), Counters: node.counters(),
+		Ages: map[string]int64{"ServerList": -1, "Configuration": -1}, Term: node.termKeeper.Term(), Budgets: node.retryBudgetStates(), Serving: map[string]int{},
+		Limits: node.limits.State(), Notices: node.notices.State(), DrainedDataCentres: node.drains.Drained(),
 	}
 	servers := node.servers.Load()
 	if servers.Known() {
@@ -132,9 +130,9 @@
 }
 
 func (node *Node) counters() map[string]uint64 {
-	formed, calls, links := &node.former.Counts, &node.pool.Counts, &node.peers.overlay.Counts
+	groups, connections, links := &node.former.Counts, &node.pool.Counts, &node.peers.overlay.Counts
 	paces := &node.board.PaceCounts
-	held, most, refused := node.memory.Sums()
+	held, peak, refused := node.memory.Sums()
 	return map[string]uint64{
 		"Requests": node.forwarder.Counts.Requests.Load(), "Repeats": node.forwarder.Counts.Repeats.Load(),
 		"Quarantined": node.forwarder.Counts.Quarantined.Load(), "ServerEnds": node.forwarder.Counts.ServerEnds.Load(),
@@ -142,28 +140,28 @@
 		"BackoffsLearnt": node.notices.Counts.Backoffs.Load(), "BackoffsHinted": node.notices.Counts.Hints.Load(), "BackoffsUnreadable": node.notices.Counts.Unreadable.Load(),
 		"DrainsLearnt": node.notices.Counts.Drains.Load(), "CallsWithheld": node.notices.Counts.Withheld.Load(),
 		"GroupsFoundSlow": paces.Found.Load(), "GroupsNotSlowAnyMore": paces.Ended.Load(), "PacesHeard": paces.Heard.Load(),
-		"GroupsFormed": formed.Formed.Load(), "GroupsAbandoned": formed.Abandoned.Load(), "GroupsLost": formed.Lost.Load(),
-		"GroupsRetired": formed.Retired.Load(), "ServersStaged": formed.Staged.Load(), "Orders": formed.Orders.Load(),
-		"GroupsLent": formed.Lent.Load(), "Reports": formed.Reports.Load(), "SilentButWhole": formed.WholeSeen.Load(),
-		"ConnectionsDialled": calls.Dialled.Load(), "ConnectionsReused": calls.Reused.Load(),
-		"ConnectionsFailed": calls.DialFailed.Load(), "ConnectionsDiscarded": calls.Discarded.Load(),
-		"StrayAnswers": calls.StrayAnswer.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.Returns(),
+		"GroupsFormed": groups.Formed.Load(), "GroupsAbandoned": groups.Abandoned.Load(), "GroupsLost": groups.Lost.Load(),
+		"GroupsRetired": groups.Retired.Load(), "ServersStaged": groups.Staged.Load(), "Orders": groups.Orders.Load(),
+		"GroupsLent": groups.Lent.Load(), "Reports": groups.Reports.Load(), "SilentButWhole": groups.WholeSeen.Load(),
+		"ConnectionsDialled": connections.Dialled.Load(), "ConnectionsReused": connections.Reused.Load(),
+		"ConnectionsFailed": connections.DialFailed.Load(), "ConnectionsDiscarded": connections.Discarded.Load(),
+		"StrayAnswers": connections.StrayAnswer.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.Returns(),
 		"LinksAttached": links.Attached.Load(), "LinksFailed": links.AttachFailed.Load(), "LinksEnded": links.LinksEnded.Load(),
 		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesTaken.Load(), "FrameBytesSent": links.BytesSent.Load(),
-		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.newsLearnt.Load(),
-		"MemoryHeld": uint64(held), "MemoryMost": uint64(most), "MemoryRefused": refused,
+		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.groupNewsLearnt.Load(),
+		"MemoryHeld": uint64(held), "MemoryMost": uint64(peak), "MemoryRefused": refused,
 		"DemandAsked": node.demand.Counts.Asked.Load(), "DemandRefused": node.demand.Counts.Refused.Load(), "DemandTaken": node.demand.Counts.Taken.Load(),
-		"WaysLost": node.waysLost.Load(), "DetoursSent": node.forwarder.Counts.DetoursSent.Load(),
+		"WaysLost": node.pathsLost.Load(), "DetoursSent": node.forwarder.Counts.DetoursSent.Load(),
 		"DetoursTaken": node.forwarder.Counts.DetoursTaken.Load(), "DetoursRefused": node.forwarder.Counts.DetoursRefused.Load(),
 		"Goroutines": uint64(runtime.NumGoroutine()),
 	}
 }
 
-func (node *Node) budgetStates() map[string]retry.WindowState {
+func (node *Node) retryBudgetStates() map[string]retry.WindowState {
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	states := map[string]retry.WindowState{}
-	for service, window := range node.budgets {
+	for service, window := range node.retryBudgets {
 		states[service] = window.State()
 	}
 	return states
@@ -177,13 +175,14 @@
 	router.GET("/state", func(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		jsonhttp.Write(writer, node.State())
 	})
-	router.PUT("/quarantine/:fingerprint", node.changeQuarantine(node.quarantine.Refuse))
-	router.DELETE("/quarantine/:fingerprint", node.changeQuarantine(node.quarantine.Lift))
+	router.PUT("/quarantine/:fingerprint", node.quarantineHandler(node.quarantine.Refuse))
+	router.DELETE("/quarantine/:fingerprint", node.quarantineHandler(node.quarantine.Lift))
 	return router
 }
 
-// changeQuarantine serves an operator's decision on a request, which all nodes hear of.
-func (node *Node) changeQuarantine(change func(fingerprint quarantine.Fingerprint) bool) httprouter.Handle {
+// quarantineHandler serves an operator's decision to quarantine or release a request. The decision is sent to
+// all nodes.
+func (node *Node) quarantineHandler(change func(fingerprint quarantine.Fingerprint) bool) httprouter.Handle {
 	return func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 		fingerprint, err := quarantine.Parse(params.ByName("fingerprint"))
 		if err != nil {
@@ -191,8 +190,8 @@
 			return
 		}
 		changed := change(fingerprint)
-		node.logger.Info("gateway: an operator decided on a request.", "Method", request.Method, "Fingerprint", fingerprint.String(), "Changed", changed)
-		node.suspected(fingerprint)
+		node.logger.Info("gateway: an operator changed the quarantine of a request.", "Method", request.Method, "Fingerprint", fingerprint.String(), "Changed", changed)
+		node.suspectChanged(fingerprint)
 		writer.WriteHeader(http.StatusNoContent)
 	}
 }
--- a/internal/run/gateway/paces.go
+++ b/internal/run/gateway/paces.go
@@ -9,72 +9,73 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// pacesAtOnce bounds what one frame tells of paces; the others follow with the next.
-const pacesAtOnce = 32
+// maxPacesPerFrame bounds the number of pace factors in one frame. The rest follow in the next frames.
+const maxPacesPerFrame = 32
 
-// lookPaces puts the paces of groups in force, and tells the other nodes what changed by what this one
-// measured.
-func (node *Node) lookPaces() {
-	for _, news := range node.board.Paces() {
-		if news.Tell {
-			node.peers.tellPace(news.Target.Run(), nil)
+// updatePaces recomputes the pace factors of all groups, logs groups that became slow or normal, and
+// announces what this node measured to the other nodes.
+func (node *Node) updatePaces() {
+	for _, change := range node.board.Paces() {
+		if change.Tell {
+			node.peers.queuePace(change.Target.Run(), nil)
 		}
-		line := ""
+		message := ""
 		switch {
-		case news.Found:
-			line = "gateway: a group is slow."
-		case news.Ended:
-			line = "gateway: a group is not slow any more, or is tried again."
+		case change.Found:
+			message = "gateway: a group is slow."
+		case change.Ended:
+			message = "gateway: a group is no longer slow, or is tried again."
 		default:
 			continue
 		}
-		node.logger.Info(line, "Group", news.Target.Group, "Head", news.Target.ID, "Born", news.Target.Born,
-			"Pace", news.Factor, "Calls", news.Target.Taken())
+		node.logger.Info(message, "Group", change.Target.Group, "Head", change.Target.ID, "Born", change.Target.Born,
+			"Pace", change.Factor, "Calls", change.Target.Taken())
 	}
 }
 
-// tellPace makes all other nodes be told how slow a target is.
-func (peers *peers) tellPace(run string, from *overlay.Link) {
+// queuePace queues the pace factor of a target for all links except the one that it came over.
+func (peers *peers) queuePace(run string, from *overlay.Link) {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	for link, channel := range peers.channels {
-		if link != from && !slices.Contains(channel.paces, run) {
-			channel.paces = append(channel.paces, run)
+	for link, state := range peers.linkStates {
+		if link != from && !slices.Contains(state.pendingPaces, run) {
+			state.pendingPaces = append(state.pendingPaces, run)
 		}
 	}
 }
 
-// addPaces adds what the other side of a link lacks, as it is now, and says whether there is any.
-func (peers *peers) addPaces(told *frame.Frame, channel *channel) bool {
-	count := min(len(channel.paces), pacesAtOnce)
-	for _, run := range channel.paces[:count] {
+// addPaces adds the queued pace factors with their current values to a frame, and reports whether there are
+// any.
+func (peers *peers) addPaces(message *frame.Frame, state *linkState) bool {
+	count := min(len(state.pendingPaces), maxPacesPerFrame)
+	for _, run := range state.pendingPaces[:count] {
 		if known, ok := peers.node.board.TellPace(run); ok {
-			told.Paces = append(told.Paces, paceToWire(&known))
+			message.Paces = append(message.Paces, paceToWire(&known))
 		}
 	}
-	channel.paces = slices.Delete(channel.paces, 0, count)
-	return len(told.Paces) > 0
+	state.pendingPaces = slices.Delete(state.pendingPaces, 0, count)
+	return len(message.Paces) > 0
 }
 
-// takePaces takes what other nodes measured, and passes on what is news.
-func (peers *peers) takePaces(link *overlay.Link, received []*frame.ServerPace) {
-	for _, one := range received {
-		told := paceFromWire(one)
-		if peers.node.board.TakePace(&told) {
-			peers.tellPace(told.Run(), link)
+// handlePaces merges the pace factors that other nodes measured, and forwards those that are new.
+func (peers *peers) handlePaces(link *overlay.Link, received []*frame.ServerPace) {
+	for _, encoded := range received {
+		decoded := paceFromWire(encoded)
+		if peers.node.board.TakePace(&decoded) {
+			peers.queuePace(decoded.Run(), link)
 		}
 	}
 }
 
-func paceToWire(told *dispatch.ToldPace) *frame.ServerPace {
+func paceToWire(pace *dispatch.ToldPace) *frame.ServerPace {
 	return &frame.ServerPace{
-		Server: told.Server, Born: told.Born, Group: told.Group, Hundredths: uint32(told.Factor*100 + 0.5), AgeMs: milliseconds(told.Age),
+		Server: pace.Server, Born: pace.Born, Group: pace.Group, Hundredths: uint32(pace.Factor*100 + 0.5), AgeMs: cappedMilliseconds(pace.Age),
 	}
 }
 
-func paceFromWire(told *frame.ServerPace) dispatch.ToldPace {
+func paceFromWire(encoded *frame.ServerPace) dispatch.ToldPace {
 	return dispatch.ToldPace{
-		Server: told.Server, Born: told.Born, Group: told.Group, Factor: float64(told.Hundredths) / 100,
-		Age: time.Duration(told.AgeMs) * time.Millisecond,
+		Server: encoded.Server, Born: encoded.Born, Group: encoded.Group, Factor: float64(encoded.Hundredths) / 100,
+		Age: time.Duration(encoded.AgeMs) * time.Millisecond,
 	}
 }
--- a/internal/run/gateway/paces_test.go
+++ b/internal/run/gateway/paces_test.go
@@ -13,8 +13,8 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// withGroups is a node that is never started and knows some groups.
-func withGroups(t *testing.T, groups int) *Node {
+// nodeWithGroups returns a node that is never started and knows some groups.
+func nodeWithGroups(t *testing.T, groups int) *Node {
 	node := idleNode(t)
 	specs := []dispatch.Spec{}
 	for number := range groups {
@@ -27,9 +27,9 @@
 	return node
 }
 
-// pass sends what a node has for another, and returns the paces of it.
-func pass(t *testing.T, from *Node, over *overlay.Link, to *Node, into *overlay.Link) []*frame.ServerPace {
-	body := from.peers.compose(over, true)
+// exchangeFrame sends a node's next frame to another node, and returns the pace factors in it.
+func exchangeFrame(t *testing.T, from *Node, over *overlay.Link, to *Node, into *overlay.Link) []*frame.ServerPace {
+	body := from.peers.composeFrame(over, true)
 	if body == nil {
 		return nil
 	}
@@ -37,68 +37,68 @@
 	if err := proto.Unmarshal(body, received); err != nil {
 		t.Fatal(err)
 	}
-	to.peers.take(into, received)
+	to.peers.handleFrame(into, received)
 	return received.Paces
 }
 
-func linkTo(purpose frame.Purpose, opened bool) *overlay.Link {
+func testLink(purpose frame.Purpose, opened bool) *overlay.Link {
 	return &overlay.Link{Purpose: purpose, Opened: opened, Done: make(chan struct{})}
 }
 
-func paceOf(node *Node, group int) float64 {
+func groupPace(node *Node, group int) float64 {
 	node.board.Paces()
 	return node.board.State()["drafts/m"][group].Pace
 }
 
-// Guards against leaves and relays that don't hear how slow a group is, or hear it over and over.
-func TestPacesPassOverTheTree(t *testing.T) {
+// Guards against nodes that don't receive the pace factor of a slow group, or receive it repeatedly.
+func TestPacesPropagateOverTree(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	finder, relay, root, other := withGroups(t, 6), withGroups(t, 6), withGroups(t, 6), withGroups(t, 6)
-	finderUp, finderDown := linkTo(frame.Purpose_Leaf, true), linkTo(frame.Purpose_Leaf, false)
-	otherUp, otherDown := linkTo(frame.Purpose_Leaf, true), linkTo(frame.Purpose_Leaf, false)
-	relayUp, relayDown := linkTo(frame.Purpose_Relay, true), linkTo(frame.Purpose_Relay, false)
-	pass(t, finder, finderUp, relay, finderDown)
-	pass(t, relay, finderDown, finder, finderUp)
-	pass(t, relay, otherDown, other, otherUp)
-	pass(t, relay, relayUp, root, relayDown)
-	expect.Expect(pass(t, finder, finderUp, relay, finderDown)).To(gomega.BeEmpty())
+	finder, relay, root, other := nodeWithGroups(t, 6), nodeWithGroups(t, 6), nodeWithGroups(t, 6), nodeWithGroups(t, 6)
+	finderUp, finderDown := testLink(frame.Purpose_Leaf, true), testLink(frame.Purpose_Leaf, false)
+	otherUp, otherDown := testLink(frame.Purpose_Leaf, true), testLink(frame.Purpose_Leaf, false)
+	relayUp, relayDown := testLink(frame.Purpose_Relay, true), testLink(frame.Purpose_Relay, false)
+	exchangeFrame(t, finder, finderUp, relay, finderDown)
+	exchangeFrame(t, relay, finderDown, finder, finderUp)
+	exchangeFrame(t, relay, otherDown, other, otherUp)
+	exchangeFrame(t, relay, relayUp, root, relayDown)
+	expect.Expect(exchangeFrame(t, finder, finderUp, relay, finderDown)).To(gomega.BeEmpty())
 
 	expect.Expect(finder.board.TakePace(&dispatch.ToldPace{Server: "i-2", Group: "g-2", Factor: 4, Age: 300 * time.Millisecond})).To(gomega.BeTrue())
-	finder.peers.tellPace("i-2/g-2/0", nil)
-	told := pass(t, finder, finderUp, relay, finderDown)
-	expect.Expect(told).To(gomega.HaveLen(1))
-	expect.Expect(told[0].Hundredths).To(gomega.Equal(uint32(400)))
-	expect.Expect(told[0].AgeMs).To(gomega.BeNumerically(">=", 300))
-	expect.Expect(pass(t, finder, finderUp, relay, finderDown)).To(gomega.BeEmpty(), "it is told once")
-	expect.Expect(finder.peers.compose(finderUp, true)).To(gomega.BeNil(), "a frame that says nothing new is left out")
+	finder.peers.queuePace("i-2/g-2/0", nil)
+	sent := exchangeFrame(t, finder, finderUp, relay, finderDown)
+	expect.Expect(sent).To(gomega.HaveLen(1))
+	expect.Expect(sent[0].Hundredths).To(gomega.Equal(uint32(400)))
+	expect.Expect(sent[0].AgeMs).To(gomega.BeNumerically(">=", 300))
+	expect.Expect(exchangeFrame(t, finder, finderUp, relay, finderDown)).To(gomega.BeEmpty(), "a pace factor is sent only once")
+	expect.Expect(finder.peers.composeFrame(finderUp, true)).To(gomega.BeNil(), "an optional frame without changes is omitted")
 
-	expect.Expect(pass(t, relay, relayUp, root, relayDown)).To(gomega.HaveLen(1))
-	expect.Expect(pass(t, relay, otherDown, other, otherUp)).To(gomega.HaveLen(1))
-	expect.Expect(relay.peers.channels[finderDown].paces).To(gomega.BeEmpty(), "it isn't told to the node that it came from")
+	expect.Expect(exchangeFrame(t, relay, relayUp, root, relayDown)).To(gomega.HaveLen(1))
+	expect.Expect(exchangeFrame(t, relay, otherDown, other, otherUp)).To(gomega.HaveLen(1))
+	expect.Expect(relay.peers.linkStates[finderDown].pendingPaces).To(gomega.BeEmpty(), "a pace factor is not sent back to the node that it came from")
 	for _, node := range []*Node{relay, root, other} {
-		expect.Expect(paceOf(node, 2)).To(gomega.BeNumerically(">", 3))
-		expect.Expect(paceOf(node, 1)).To(gomega.Equal(1.0))
+		expect.Expect(groupPace(node, 2)).To(gomega.BeNumerically(">", 3))
+		expect.Expect(groupPace(node, 1)).To(gomega.Equal(1.0))
 	}
 
-	newcomer := withGroups(t, 6)
-	up, down := linkTo(frame.Purpose_Leaf, true), linkTo(frame.Purpose_Leaf, false)
-	expect.Expect(pass(t, relay, down, newcomer, up)).To(gomega.HaveLen(1), "a node that attaches is told")
-	expect.Expect(paceOf(newcomer, 2)).To(gomega.BeNumerically(">", 3))
+	newcomer := nodeWithGroups(t, 6)
+	up, down := testLink(frame.Purpose_Leaf, true), testLink(frame.Purpose_Leaf, false)
+	expect.Expect(exchangeFrame(t, relay, down, newcomer, up)).To(gomega.HaveLen(1), "a newly attached node receives the pace factor")
+	expect.Expect(groupPace(newcomer, 2)).To(gomega.BeNumerically(">", 3))
 }
 
-// Guards against frames that grow with the number of slow groups.
-func TestPacesOfOneFrameAreBounded(t *testing.T) {
+// Guards against frames whose size grows with the number of slow groups.
+func TestPacesPerFrameAreLimited(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	relay, leaf := withGroups(t, 3*pacesAtOnce), withGroups(t, 3*pacesAtOnce)
-	up, down := linkTo(frame.Purpose_Leaf, true), linkTo(frame.Purpose_Leaf, false)
-	pass(t, relay, down, leaf, up)
-	for number := range pacesAtOnce + 3 {
-		told := dispatch.ToldPace{Server: fmt.Sprintf("i-%d", number), Group: fmt.Sprintf("g-%d", number), Factor: 4}
-		expect.Expect(relay.board.TakePace(&told)).To(gomega.BeTrue())
-		relay.peers.tellPace(told.Run(), nil)
-		relay.peers.tellPace(told.Run(), nil)
+	relay, leaf := nodeWithGroups(t, 3*maxPacesPerFrame), nodeWithGroups(t, 3*maxPacesPerFrame)
+	up, down := testLink(frame.Purpose_Leaf, true), testLink(frame.Purpose_Leaf, false)
+	exchangeFrame(t, relay, down, leaf, up)
+	for number := range maxPacesPerFrame + 3 {
+		measured := dispatch.ToldPace{Server: fmt.Sprintf("i-%d", number), Group: fmt.Sprintf("g-%d", number), Factor: 4}
+		expect.Expect(relay.board.TakePace(&measured)).To(gomega.BeTrue())
+		relay.peers.queuePace(measured.Run(), nil)
+		relay.peers.queuePace(measured.Run(), nil)
 	}
-	expect.Expect(pass(t, relay, down, leaf, up)).To(gomega.HaveLen(pacesAtOnce))
-	expect.Expect(pass(t, relay, down, leaf, up)).To(gomega.HaveLen(3))
-	expect.Expect(pass(t, relay, down, leaf, up)).To(gomega.BeEmpty())
+	expect.Expect(exchangeFrame(t, relay, down, leaf, up)).To(gomega.HaveLen(maxPacesPerFrame))
+	expect.Expect(exchangeFrame(t, relay, down, leaf, up)).To(gomega.HaveLen(3))
+	expect.Expect(exchangeFrame(t, relay, down, leaf, up)).To(gomega.BeEmpty())
 }
--- /dev/null
+++ b/internal/run/gateway/paths.go
@@ -0,0 +1,146 @@
+package gateway
+
+import (
+	"slices"
+
+	"hazelslip/internal/fleet/overlay"
+	"hazelslip/internal/fleet/tenure"
+	"hazelslip/internal/policy/dispatch"
+	"hazelslip/internal/policy/quarantine"
+	"hazelslip/internal/policy/reach"
+	"hazelslip/internal/wire/frame"
+)
+
+// maxUncertainFailures bounds the uncertain server failures kept per path.
+const maxUncertainFailures = 256
+
+// uncertainFailure is a server failure during a request that may have been a failure of the path to the
+// server.
+type uncertainFailure struct {
+	fingerprint quarantine.Fingerprint
+	run         string
+}
+
+// probe connects to servers of a path.
+func (detours *detours) probe(probe *dispatch.WayProbe) {
+	connects := func(server string) bool { return detours.node.pool.Opens(probe.Addresses[server], probeTimeout) }
+	reached := detours.node.probeAll(probe.Servers, connects, probe.Whole)
+	if result := probe.Done(reached); result.Changed() {
+		detours.pathChanged(probe.Way, &result)
+	}
+}
+
+// pathChanged handles a path that is lost or healthy again.
+func (detours *detours) pathChanged(path *reach.Way, result *reach.Result) {
+	node, destination := detours.node, path.Place
+	detours.mu.Lock()
+	failures, suppressed := detours.uncertainFailures[path], detours.suppressedReports
+	delete(detours.uncertainFailures, path)
+	detours.suppressedReports = 0
+	detours.mu.Unlock()
+	switch result.After {
+	case reach.Lost:
+		node.pathsLost.Add(1)
+		node.logger.Warn("gateway: the path to the servers of a service is lost.", "Service", destination.Service, "DataCentre", destination.DataCentre,
+			"Tried", result.Tried, "Reached", result.Reached, "DoubtedMilliseconds", result.For.Milliseconds(),
+			"CallsMoved", node.board.Leave(path), "EndsNotBelieved", len(failures), "ReportsWithheld", suppressed)
+	case reach.Open:
+		for _, failure := range failures {
+			if _, isNew := node.quarantine.Ended(failure.fingerprint, failure.run); isNew {
+				node.suspectChanged(failure.fingerprint)
+			}
+		}
+		if result.Before == reach.Lost {
+			node.logger.Info("gateway: the path to the servers of a service is restored.", "Service", destination.Service, "DataCentre", destination.DataCentre,
+				"LostMilliseconds", result.For.Milliseconds(), "ReportsWithheld", suppressed)
+		}
+	}
+}
+
+// deferFailure keeps a possible server failure during a request until the state of the path to the server is
+// known.
+func (detours *detours) deferFailure(target *dispatch.Target, fingerprint quarantine.Fingerprint) {
+	path := target.Way()
+	detours.mu.Lock()
+	defer detours.mu.Unlock()
+	if path.Standing() == reach.Doubted && len(detours.uncertainFailures[path]) < maxUncertainFailures {
+		detours.uncertainFailures[path] = append(detours.uncertainFailures[path], uncertainFailure{fingerprint: fingerprint, run: target.Run()})
+	}
+}
+
+// suppressReport reports whether observations of a server are unreliable because the path to it is in doubt,
+// and counts the reports suppressed for that reason.
+func (detours *detours) suppressReport(target *dispatch.Target) bool {
+	if target.Reached() {
+		return false
+	}
+	detours.mu.Lock()
+	defer detours.mu.Unlock()
+	detours.suppressedReports++
+	return true
+}
+
+// lacksEngineServers reports whether this node can reach no engine server at all and therefore can't lead the
+// fleet.
+func (node *Node) lacksEngineServers() bool {
+	return node.detours.lacksEngineServers(node.detours.paths.Lost(false))
+}
+
+// lacksEngineServers reports whether a node with the given lost paths reaches no server of any service with
+// engine groups.
+func (detours *detours) lacksEngineServers(lost []reach.Place) bool {
+	if len(lost) == 0 {
+		return false
+	}
+	services := detours.node.engineServices()
+	for number := range services {
+		if !detours.paths.Without(services[number].Name, lost) {
+			return false
+		}
+	}
+	return len(services) > 0
+}
+
+// orderTerm returns the term under which this node may send commands now, 0 for none.
+func (node *Node) orderTerm() int64 {
+	if node.lacksEngineServers() {
+		return 0
+	}
+	return node.termKeeper.Term()
+}
+
+// releaseTerm gives up this node's term if this node reaches no engine server and another node could lead.
+// Otherwise the term stays here, as it would only pass from one unsuitable node to the next.
+func (node *Node) releaseTerm(candidates []tenure.Peer) {
+	term := node.termKeeper.Term()
+	if term == 0 || !node.lacksEngineServers() || !slices.ContainsFunc(candidates, func(peer tenure.Peer) bool { return peer.Fit }) {
+		return
+	}
+	node.logger.Warn("gateway: this node reaches no engine server and gives up leadership.", "Term", term)
+	node.termKeeper.Outdated(term)
+}
+
+// lostPathsFor returns the lost paths of this node to report over a link. Nothing is reported to downstream
+// nodes.
+func (peers *peers) lostPathsFor(link *overlay.Link) []reach.Place {
+	if isDownstream(link) {
+		return nil
+	}
+	return peers.node.detours.paths.Lost(false)
+}
+
+func pathsToWire(destinations []reach.Place) []*frame.Way {
+	encoded := make([]*frame.Way, 0, len(destinations))
+	for _, destination := range destinations {
+		encoded = append(encoded, &frame.Way{Service: destination.Service, DataCentre: destination.DataCentre})
+	}
+	return encoded
+}
+
+func pathsFromWire(encoded []*frame.Way) []reach.Place {
+	destinations := make([]reach.Place, 0, len(encoded))
+	for _, path := range encoded {
+		destinations = append(destinations, reach.Place{Service: path.Service, DataCentre: path.DataCentre})
+	}
+	return destinations
+}
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -24,154 +24,154 @@
 )
 
 const (
-	// holderFor is how long the node that gives orders counts as alive after its
-	// beat was last seen to rise: a few lost frames on a way of some links, and short
-	// enough that its duties move on within a second.
-	holderFor = 750 * time.Millisecond
-	// sumsKept is how long a sum over nodes is used before it is added up again.
-	sumsKept = 10 * time.Millisecond
-	// leafFrameKept is how long a frame for leaves is sent as it was encoded. Twenty
-	// leaves' frames fall into any 50 ms; each made anew cost a relay as much as
-	// sending them.
-	leafFrameKept = 20 * time.Millisecond
+	// leaderTimeout is how long the leader counts as alive after its heartbeat was last seen to rise. It
+	// allows for a few lost frames on a path of several links, and lets another node take over within a
+	// second.
+	leaderTimeout = 750 * time.Millisecond
+	// totalsTTL is how long the totals over all nodes are reused before they are computed again.
+	totalsTTL = 10 * time.Millisecond
+	// leafFrameTTL is how long the encoded frame for leaves is reused. A relay sends twenty leaves a frame
+	// each within any 50 ms, and encoding each of them anew cost as much as sending them.
+	leafFrameTTL = 20 * time.Millisecond
 )
 
-// channel is what was told and heard over one link.
-type channel struct {
+// linkState is what was sent and received over one link.
+type linkState struct {
 	link *overlay.Link
-	// reports are what this node reported over the link.
+	// reports are the loads that this node reported over the link.
 	reports tally.Reports
-	// shares and nodes are what the other side told last, sequence the number of
-	// it. From the node above they are those of the whole fleet but for what this
-	// node reported.
+	// shares and nodes are the load and the node count that the other side sent last, and sequence is the
+	// number of that frame. From the upstream node, shares and nodes cover the whole fleet except for what
+	// this node reported.
 	shares tally.Shares
 	nodes  int
-	// calls counts those of other nodes, as a leaf is told.
-	calls     int
-	sequence  uint64
-	fit       bool
-	storeAway bool
-	// lost are the ways to servers that the other side has lost, detour where it takes
-	// requests of others.
-	lost   []reach.Place
-	detour string
-	// telling and told are the two sides of a sum of which only the changes are sent.
-	telling tally.Changes
-	told    tally.Copy
-	// heardList says that the other side told how far it knows the list of servers,
-	// at first up to listFrom. listSent is the version of this node's list up to which
-	// it has been sent what it lacked, 0 for nothing yet. listAge is how old its list
-	// was at listAt.
-	heardList bool
-	listFrom  storelog.Position
-	listSent  uint64
-	listAge   time.Duration
-	listAt    time.Duration
-	// catalogueSent is the version of the catalogue that a leaf was told, copied
-	// what this node was told as a leaf.
-	catalogueSent uint64
-	copied        *catalogue.Copy
-	// reported and reportedVersion are what this node reported last as a leaf, leafNews
-	// is a hash of what a leaf was told last.
-	toldLost        []reach.Place
-	toldDetour      bool
-	reported        tally.Shares
-	reportedVersion int64
-	leafNews        uint64
-	// news and silences are to be told with the next frame, and what is known of
-	// suspects.
-	news     []*frame.GroupNews
-	silences []*frame.SilentHead
-	suspects map[quarantine.Fingerprint]struct{}
-	permits  permits
-	demands  demands
-	// notices are the runs of servers that are to be told of with the next frame.
-	notices map[ratelimit.Run]struct{}
-	// paces are the targets whose paces are to be told with the next frame.
-	paces []string
+	// otherCalls is the number of calls of all other nodes, as sent to a leaf.
+	otherCalls       int
+	sequence         uint64
+	synced           bool
+	storeUnavailable bool
+	// lostPaths are the paths to servers that the other side has lost. detourAddress is where it accepts
+	// forwarded requests.
+	lostPaths     []reach.Place
+	detourAddress string
+	// sentLoads and receivedLoads track a load sum of which only changes are sent.
+	sentLoads     tally.Changes
+	receivedLoads tally.Copy
+	// listReceived is set once the other side has sent the position of its server list, which was listStart
+	// at first. listSentVersion is the version of this node's list up to which missing records were sent, 0
+	// for none. listAge is the age of the other side's list at the time listAgeAt.
+	listReceived    bool
+	listStart       storelog.Position
+	listSentVersion uint64
+	listAge         time.Duration
+	listAgeAt       time.Duration
+	// catalogueSentVersion is the catalogue version that was sent to a leaf. catalogueCopy is the catalogue
+	// that this node received as a leaf.
+	catalogueSentVersion uint64
+	catalogueCopy        *catalogue.Copy
+	// sentLostPaths, detourAddressSent, sentShares and sentConfigurationVersion are what this node last
+	// reported as a leaf. sentLeafHash is the content hash of the last frame sent to a leaf.
+	sentLostPaths            []reach.Place
+	detourAddressSent        bool
+	sentShares               tally.Shares
+	sentConfigurationVersion int64
+	sentLeafHash             uint64
+	// pendingGroupNews, pendingStalls and pendingSuspects are to be sent with the next frame.
+	pendingGroupNews []*frame.GroupNews
+	pendingStalls    []*frame.SilentHead
+	pendingSuspects  map[quarantine.Fingerprint]struct{}
+	permits          permitState
+	demands          demandState
+	// pendingNotices are the server runs whose notices are to be sent with the next frame.
+	pendingNotices map[ratelimit.Run]struct{}
+	// pendingPaces are the targets whose pace factors are to be sent with the next frame.
+	pendingPaces []string
 }
 
-// core says whether the link is one over which everything is told.
-func core(link *overlay.Link) bool {
+// isBackbone reports whether a link connects relays and roots. The whole fleet state is exchanged over such a
+// link, unlike over a link to a leaf.
+func isBackbone(link *overlay.Link) bool {
 	return link.Purpose != frame.Purpose_Leaf
 }
 
-// downstream says whether the other side is attached to this node.
-func downstream(link *overlay.Link) bool {
+// isDownstream reports whether the other side is attached to this node.
+func isDownstream(link *overlay.Link) bool {
 	return !link.Opened && link.Purpose != frame.Purpose_Root
 }
 
-// sums are added up over nodes.
-type sums struct {
-	at time.Duration
-	// own is what this node has, inside what the nodes have that it speaks for,
-	// itself among them, and others what all other nodes of the fleet have.
-	own, inside, others tally.Shares
-	insideNodes         int
-	demands             demandSums
-	// nodes counts all of the fleet.
-	nodes int
+// fleetTotals is the load added up over nodes.
+type fleetTotals struct {
+	computedAt time.Duration
+	// own is the load of this node, subtree that of this node and all nodes attached below it, and others
+	// that of all other nodes of the fleet.
+	own, subtree, others tally.Shares
+	subtreeNodes         int
+	demands              demandTotals
+	// fleetNodes is the number of nodes in the whole fleet.
+	fleetNodes int
 }
 
-// leafFrame is a frame for leaves that know the catalogue up to a version.
-type leafFrame struct {
-	from, to uint64
-	at       time.Duration
-	// news is a hash of it but for what changes all the time.
-	news uint64
-	body []byte
+// encodedLeafFrame is the shared part of a frame for all leaves that have the catalogue up to the same
+// version.
+type encodedLeafFrame struct {
+	fromVersion, toVersion uint64
+	encodedAt              time.Duration
+	// contentHash covers the content except for the values that change all the time.
+	contentHash uint64
+	body        []byte
 }
 
-// holder is the node that gives orders, as far as is known.
-type holder struct {
-	term     int64
-	beat     uint64
-	released bool
-	at       time.Duration
+// leaderState is what this node knows of the current leader.
+type leaderState struct {
+	term      int64
+	heartbeat uint64
+	released  bool
+	seenAt    time.Duration
 }
 
-// peers is what this node exchanges with the others.
+// peers exchanges the fleet state with the other nodes.
 type peers struct {
 	node      *Node
 	overlay   *overlay.Overlay
 	catalogue *catalogue.Catalogue
-	// rows is the catalogue that the node above tells, nil while none does.
+	// rows is the catalogue received from the upstream node, nil before it sent one.
 	rows atomic.Pointer[[]catalogue.Numbered]
-	// census counts the nodes that share budgets.
-	census census
-	// counted is how many nodes' calls are in the counts that this node has.
-	counted atomic.Int64
-	// newer is the newest configuration that was heard of, fetching the nodes that one is
-	// being fetched from.
-	newer    atomic.Pointer[newerVersion]
-	fetching fetches
+	// nodeCounter counts the nodes that share the budgets.
+	nodeCounter nodeCounter
+	// reportingNodes is the number of nodes whose calls are included in this node's load totals.
+	reportingNodes atomic.Int64
+	// newestSeen is the newest configuration version announced by another node. fetches are the fetches in
+	// progress.
+	newestSeen atomic.Pointer[seenVersion]
+	fetches    fetchTracker
 
 	mu sync.Mutex
-	// lastNeighbour numbers the links, limitToldAt is when limits were last told at once.
-	lastNeighbour ratelimit.Neighbour
-	limitToldAt   time.Duration
-	channels      map[*overlay.Link]*channel
-	sums          *sums
-	encoded       *leafFrame
-	// toldDemands are those of all nodes when they were last news to leaves, leafDemandNews counts
-	// how often they were.
-	toldDemands    demand.Sums
-	leafDemandNews uint64
-	holder         holder
-	// ownTerm is the last under which this node gave orders.
-	ownTerm int64
-	// silent is when each silent group was last told of.
-	silent map[string]time.Duration
-	// rowsFrom is the link that rows came over, rowsEnd the position up to which the
-	// list was known that they are by, rowsAt when they came.
-	rowsFrom *overlay.Link
-	rowsEnd  storelog.Position
-	rowsAt   time.Duration
+	// lastNeighbour is the number given to the latest link. limitsSentAt is when limits were last sent
+	// immediately.
+	lastNeighbour  ratelimit.Neighbour
+	limitsSentAt   time.Duration
+	linkStates     map[*overlay.Link]*linkState
+	totals         *fleetTotals
+	leafFrameCache *encodedLeafFrame
+	// lastLeafDemands is the demand of the fleet that last justified a frame to leaves. leafDemandRevision
+	// counts how often that happened.
+	lastLeafDemands    demand.Sums
+	leafDemandRevision uint64
+	leader             leaderState
+	// lastOwnTerm is the last term under which this node was leader.
+	lastOwnTerm int64
+	// stallReportedAt is when the stall of each group was last reported.
+	stallReportedAt map[string]time.Duration
+	// rowsLink is the link over which rows was received. rowsListEnd is the position of the server list that
+	// rows is based on. rowsReceivedAt is when rows was received.
+	rowsLink       *overlay.Link
+	rowsListEnd    storelog.Position
+	rowsReceivedAt time.Duration
 }
 
 func newPeers(node *Node, listener net.Listener) *peers {
 	peers := &peers{
-		node: node, catalogue: catalogue.New(), channels: map[*overlay.Link]*channel{}, silent: map[string]time.Duration{},
+		node: node, catalogue: catalogue.New(), linkStates: map[*overlay.Link]*linkState{}, stallReportedAt: map[string]time.Duration{},
 	}
 	settings := &node.settings
 	dial := (&net.Dialer{Timeout: storeTimeout}).DialContext
@@ -179,11 +179,11 @@
 		dial = node.dial
 	}
 	peers.overlay = overlay.New(listener, overlay.Parts{
-		Self:        tree.Member{Address: settings.Listen.advertised(), DataCentre: settings.DataCentre, Capacity: settings.Limits.Processor},
-		Incarnation: node.Incarnation, Seeds: settings.Seeds, FirstStart: settings.FirstStart, Relays: node.relays,
-		Register: peers.register, Known: peers.known,
-		Compose: peers.compose, Take: peers.take, Ended: peers.ended, Changed: peers.changed,
-		Configuration: peers.configuration, Fit: peers.fit, Detours: func() []*frame.Detour { return peers.node.detours.told() },
+		Self:        tree.Member{Address: settings.Listen.advertised(), DataCentre: settings.DataCentre, Capacity: settings.Limits.Millicores},
+		Incarnation: node.Incarnation, Seeds: settings.Seeds, FirstStart: settings.FirstStart, Relays: node.relayCount,
+		Register: peers.register, Known: peers.directoryMembers,
+		Compose: peers.composeFrame, Take: peers.handleFrame, Ended: peers.linkEnded, Changed: peers.roleChanged,
+		Configuration: peers.encodedConfiguration, Fit: peers.synced, Detours: func() []*frame.Detour { return peers.node.detours.advertisements() },
 		Dial: dial, Now: node.now, Logger: node.logger,
 	})
 	return peers
@@ -191,22 +191,22 @@
 
 func (peers *peers) start() {
 	peers.overlay.Start()
-	peers.overlay.PacedAs("spread", peers.node.pace(spreadEvery), peers.spread)
+	peers.overlay.PacedAs("spread", peers.node.leafAwareInterval(peerLoadInterval), peers.applyPeerLoads)
 }
 
-// register makes this node known in the store's directory.
+// register adds this node to the store's directory.
 func (peers *peers) register(ctx context.Context) error {
 	settings := &peers.node.settings
 	call := peers.node.storeCalls.BeginWrite("register")
 	err := peers.node.platform.Store.Register(ctx, store.Introduction{
-		Address: settings.Listen.advertised(), DataCentre: settings.DataCentre, Capacity: settings.Limits.Processor,
+		Address: settings.Listen.advertised(), DataCentre: settings.DataCentre, Capacity: settings.Limits.Millicores,
 	})
 	call.End(err)
 	return err
 }
 
-// known returns the nodes of the store's directory.
-func (peers *peers) known(ctx context.Context) ([]tree.Member, error) {
+// directoryMembers returns the nodes in the store's directory.
+func (peers *peers) directoryMembers(ctx context.Context) ([]tree.Member, error) {
 	call := peers.node.storeCalls.Begin("nodes", 0)
 	found, err := peers.node.platform.Store.Nodes(ctx)
 	call.End(err)
@@ -214,179 +214,181 @@
 		return nil, err
 	}
 	members := make([]tree.Member, 0, len(found))
-	for _, other := range found {
-		members = append(members, tree.Member{Address: other.Address, DataCentre: other.DataCentre, Capacity: other.Capacity})
+	for _, member := range found {
+		members = append(members, tree.Member{Address: member.Address, DataCentre: member.DataCentre, Capacity: member.Capacity})
 	}
 	return members, nil
 }
 
-func (peers *peers) configuration() []byte {
-	if held := peers.node.rawVersion.Load(); held != nil {
-		return held.body
+func (peers *peers) encodedConfiguration() []byte {
+	if current := peers.node.rawConfiguration.Load(); current != nil {
+		return current.body
 	}
 	return nil
 }
 
-// fit says whether this node knows what its leaves need.
-func (peers *peers) fit() bool {
+// synced reports whether this node has the state that its leaves need: the server list and a configuration.
+func (peers *peers) synced() bool {
 	return peers.node.servers.Load().Known() && peers.node.configuration.Load().Known()
 }
 
-// changed is told of the node's new role. A leaf doesn't know the servers, and can
-// give no orders.
-func (peers *peers) changed(role overlay.Role) {
-	if term := peers.node.keeper.Term(); role == overlay.Leaf && term != 0 {
-		peers.node.keeper.Outdated(term)
+// roleChanged handles a new role of this node. A leaf doesn't have the server list, so it can't lead the
+// fleet and gives up its term.
+func (peers *peers) roleChanged(role overlay.Role) {
+	if term := peers.node.termKeeper.Term(); role == overlay.Leaf && term != 0 {
+		peers.node.termKeeper.Outdated(term)
 	}
-	peers.node.changed()
+	peers.node.requestTargetUpdate()
 	peers.node.follower.NewRole()
 }
 
-// fed says whether a node above tells this one what it needs to know of servers, or
-// is about to: the first frame does.
-func (peers *peers) fed() bool {
+// fedByUpstream reports whether this node is a leaf whose upstream node sends it the state that it needs. It
+// is true from the moment of attachment, since the first frame already brings the state.
+func (peers *peers) fedByUpstream() bool {
 	return peers.overlay.Role() == overlay.Leaf && peers.overlay.Upstream() != nil
 }
 
-// ended forgets a link.
-func (peers *peers) ended(link *overlay.Link) {
+// linkEnded drops the state of a link.
+func (peers *peers) linkEnded(link *overlay.Link) {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	if held := peers.channels[link]; held != nil {
-		peers.node.limits.Lose(held.permits.number)
+	if state := peers.linkStates[link]; state != nil {
+		peers.node.limits.Lose(state.permits.neighbour)
 	}
-	delete(peers.channels, link)
-	peers.sums = nil
+	delete(peers.linkStates, link)
+	peers.totals = nil
 }
 
-// channel returns what is known of a link.
-func (peers *peers) channel(link *overlay.Link) *channel {
-	held, known := peers.channels[link]
+// linkStateLocked returns the state of a link, and creates it for a new link.
+func (peers *peers) linkStateLocked(link *overlay.Link) *linkState {
+	state, known := peers.linkStates[link]
 	if known {
-		return held
+		return state
 	}
 	peers.lastNeighbour++
-	held = &channel{
-		link: link, shares: tally.Shares{}, copied: catalogue.NewCopy(), suspects: map[quarantine.Fingerprint]struct{}{},
-		permits: newPermits(peers.lastNeighbour, peers.node.limits.All()), notices: map[ratelimit.Run]struct{}{},
-		paces: peers.node.board.SlowRuns(),
+	state = &linkState{
+		link: link, shares: tally.Shares{}, catalogueCopy: catalogue.NewCopy(), pendingSuspects: map[quarantine.Fingerprint]struct{}{},
+		permits: newPermitState(peers.lastNeighbour, peers.node.limits.All()), pendingNotices: map[ratelimit.Run]struct{}{},
+		pendingPaces: peers.node.board.SlowRuns(),
 	}
 	for _, run := range peers.node.notices.All() {
-		held.notices[run] = struct{}{}
+		state.pendingNotices[run] = struct{}{}
 	}
-	if core(link) {
-		held.news = peers.node.recentNews()
+	if isBackbone(link) {
+		state.pendingGroupNews = peers.node.recentGroupNews()
 	}
-	peers.addSuspects(held)
+	peers.queueAllSuspects(state)
 	select {
 	case <-link.Done:
-		// A frame is being made for a link that has just ended.
+		// The link may have ended while a frame was being composed for it. Its state is then not kept.
 	default:
-		peers.channels[link] = held
+		peers.linkStates[link] = state
 	}
-	return held
+	return state
 }
 
-// busy says whether any other node has calls under way.
-func (peers *peers) busy() bool {
+// othersBusy reports whether any other node has calls in progress.
+func (peers *peers) othersBusy() bool {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	for _, channel := range peers.channels {
-		if channel.calls > 0 || len(channel.shares) > 0 {
+	for _, state := range peers.linkStates {
+		if state.otherCalls > 0 || len(state.shares) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// storeDuty is the one duty of reading for all, the list and the configuration.
-const storeDuty = "store"
+// storeReaderKey is the rendezvous hashing key for the node that reads the store. One node reads both the
+// server list and the configuration.
+const storeReaderKey = "store"
 
-// rank is this node's place among those that may read the store for all; 0 is the
-// one that should. Roots come before relays, since the others hear from them, and
-// those that the store answers before those that it doesn't. Leaves are told.
-func (peers *peers) rank() int {
+// readerRank returns this node's rank among the candidates for reading the store on behalf of the fleet; rank
+// 0 reads. Roots rank before relays, since the other nodes hear from them, and nodes that can reach the store
+// rank before those that can't. Leaves don't read it.
+func (peers *peers) readerRank() int {
 	if peers.overlay.Role() != overlay.Root {
 		return peers.overlay.DataCentres()
 	}
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	own := peers.node.storeCalls.Away()
-	before, candidates := 0, []uint64{}
-	for link, channel := range peers.channels {
+	unavailable := peers.node.storeCalls.Away()
+	ahead, candidates := 0, []uint64{}
+	for link, state := range peers.linkStates {
 		switch {
 		case link.Purpose != frame.Purpose_Root:
-		case channel.storeAway == own:
+		case state.storeUnavailable == unavailable:
 			candidates = append(candidates, link.Incarnation)
-		case own:
-			before++
+		case unavailable:
+			ahead++
 		}
 	}
-	return before + rendezvous.Rank(storeDuty, peers.node.Incarnation, candidates)
+	return ahead + rendezvous.Rank(storeReaderKey, peers.node.Incarnation, candidates)
 }
 
-// standing is this node's part in reading the store.
-func (peers *peers) standing() follower.Standing {
+// readerStanding returns the facts that decide this node's part in reading the store.
+func (peers *peers) readerStanding() follower.Standing {
 	return follower.Standing{
-		Role: peers.overlay.Role(), Rank: peers.rank, RootsAway: peers.rootsAway(), Fed: peers.fed(), Misses: peers.missesVersion(),
+		Role: peers.overlay.Role(), Rank: peers.readerRank, RootsAway: peers.rootsLackStore(), Fed: peers.fedByUpstream(), Misses: peers.newerVersionOverdue(),
 	}
 }
 
-// rootsAway says whether this node is a root, and the store answers none that it knows.
-func (peers *peers) rootsAway() bool {
+// rootsLackStore reports whether this node is a root and no root that it knows can reach the store.
+func (peers *peers) rootsLackStore() bool {
 	if peers.overlay.Role() != overlay.Root || !peers.node.storeCalls.Away() {
 		return false
 	}
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	for link, channel := range peers.channels {
-		if link.Purpose == frame.Purpose_Root && !channel.storeAway {
+	for link, state := range peers.linkStates {
+		if link.Purpose == frame.Purpose_Root && !state.storeUnavailable {
 			return false
 		}
 	}
 	return true
 }
 
-// tenants are the nodes that may give orders, and the one that does.
-func (peers *peers) tenants() []tenure.Peer {
+// leaderCandidates returns the current leader and the nodes that could become leader.
+func (peers *peers) leaderCandidates() []tenure.Peer {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	found := []tenure.Peer{}
-	if held := peers.holder; held.term != 0 && !held.released && peers.node.now()-held.at < holderFor {
-		found = append(found, tenure.Peer{Term: held.term})
+	candidates := []tenure.Peer{}
+	if leader := peers.leader; leader.term != 0 && !leader.released && peers.node.now()-leader.seenAt < leaderTimeout {
+		candidates = append(candidates, tenure.Peer{Term: leader.term})
 	}
-	for link, channel := range peers.channels {
+	for link, state := range peers.linkStates {
 		if link.Purpose == frame.Purpose_Root {
-			found = append(found, tenure.Peer{Incarnation: link.Incarnation, Fit: channel.fit && !peers.node.detours.lacksEngines(channel.lost)})
+			candidates = append(candidates, tenure.Peer{Incarnation: link.Incarnation, Fit: state.synced && !peers.node.detours.lacksEngineServers(state.lostPaths)})
 		}
 	}
-	return found
+	return candidates
 }
 
-// beat shows the others that this node gives orders, while it does.
-func (peers *peers) beat(term int64) {
+// advanceHeartbeat raises the leader's heartbeat while this node is leader, and marks the term as released
+// once it no longer is.
+func (peers *peers) advanceHeartbeat(term int64) {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	switch {
 	case term != 0:
-		peers.ownTerm = term
-		peers.holder = holder{term: term, beat: peers.holder.beat + 1, at: peers.node.now()}
-	case peers.ownTerm != 0 && peers.holder.term == peers.ownTerm:
-		peers.holder.released = true
+		peers.lastOwnTerm = term
+		peers.leader = leaderState{term: term, heartbeat: peers.leader.heartbeat + 1, seenAt: peers.node.now()}
+	case peers.lastOwnTerm != 0 && peers.leader.term == peers.lastOwnTerm:
+		peers.leader.released = true
 	}
 }
 
-// heardHolder takes what another node knows of the one that gives orders.
-func (peers *peers) heardHolder(told *frame.Holder) {
-	if told == nil {
+// handleLeader merges what another node knows of the current leader.
+func (peers *peers) handleLeader(received *frame.Holder) {
+	if received == nil {
 		return
 	}
-	peers.node.keeper.Heard(told.Term)
+	peers.node.termKeeper.Heard(received.Term)
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	held := &peers.holder
-	if told.Term > held.term || (told.Term == held.term && told.Beat > held.beat) {
-		*held = holder{term: told.Term, beat: told.Beat, at: peers.node.now()}
+	leader := &peers.leader
+	if received.Term > leader.term || (received.Term == leader.term && received.Beat > leader.heartbeat) {
+		*leader = leaderState{term: received.Term, heartbeat: received.Beat, seenAt: peers.node.now()}
 	}
-	held.released = held.released || (told.Released && told.Term == held.term)
+	leader.released = leader.released || (received.Released && received.Term == leader.term)
 }
--- a/internal/run/gateway/measures.go
+++ b/internal/run/gateway/request_metrics.go
@@ -10,31 +10,31 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// The range and precision of the histograms: milliseconds up to a minute, two
+// Range and precision of the latency histograms: up to one minute in milliseconds, with two significant
 // digits.
 const (
-	histogramMost   = 60_000
+	histogramMax    = 60_000
 	histogramDigits = 2
 )
 
-// histogram is a histogram of milliseconds.
+// histogram is a latency histogram in milliseconds that is safe for concurrent use.
 type histogram struct {
 	mu     sync.Mutex
 	values *hdrhistogram.Histogram
 }
 
 func newHistogram() *histogram {
-	return &histogram{values: hdrhistogram.New(1, histogramMost, histogramDigits)}
+	return &histogram{values: hdrhistogram.New(1, histogramMax, histogramDigits)}
 }
 
 func (histogram *histogram) observe(span time.Duration) {
 	histogram.mu.Lock()
 	defer histogram.mu.Unlock()
-	// Beyond the range it counts as the most there is.
-	_ = histogram.values.RecordValue(min(max(span.Milliseconds(), 1), histogramMost))
+	// Values out of range are recorded as the maximum.
+	_ = histogram.values.RecordValue(min(max(span.Milliseconds(), 1), histogramMax))
 }
 
-// Quantiles is a histogram as the metrics show it, in milliseconds.
+// Quantiles is a histogram as shown in the metrics, in milliseconds.
 type Quantiles struct {
 	Count            int64
 	P50, P90, P99    int64
@@ -52,8 +52,8 @@
 	}
 }
 
-// measures counts requests that ended.
-type measures struct {
+// requestMetrics counts finished requests and records their latencies.
+type requestMetrics struct {
 	firstEvent   *histogram
 	longestPause *histogram
 	stream       *histogram
@@ -64,42 +64,42 @@
 	outcomes map[string]map[forward.Outcome]uint64
 }
 
-func newMeasures() *measures {
-	return &measures{
+func newRequestMetrics() *requestMetrics {
+	return &requestMetrics{
 		firstEvent: newHistogram(), longestPause: newHistogram(), stream: newHistogram(), call: newHistogram(),
 		refusal: newHistogram(), outcomes: map[string]map[forward.Outcome]uint64{},
 	}
 }
 
-// ended counts a request.
-func (measures *measures) ended(summary forward.Summary) {
-	measures.mu.Lock()
-	byOutcome, ok := measures.outcomes[summary.Route]
+// record counts a finished request.
+func (requestMetrics *requestMetrics) record(summary forward.Summary) {
+	requestMetrics.mu.Lock()
+	byOutcome, ok := requestMetrics.outcomes[summary.Route]
 	if !ok {
 		byOutcome = map[forward.Outcome]uint64{}
-		measures.outcomes[summary.Route] = byOutcome
+		requestMetrics.outcomes[summary.Route] = byOutcome
 	}
 	byOutcome[summary.Outcome]++
-	measures.mu.Unlock()
+	requestMetrics.mu.Unlock()
 	switch {
 	case summary.Outcome == forward.Full || summary.Outcome == forward.NoServer:
-		measures.refusal.observe(summary.Took)
+		requestMetrics.refusal.observe(summary.Took)
 	case summary.Outcome != forward.Answered:
 	case summary.Kind == configuration.Streaming:
-		measures.firstEvent.observe(summary.FirstEvent)
-		measures.longestPause.observe(summary.LongestPause)
-		measures.stream.observe(summary.Took)
+		requestMetrics.firstEvent.observe(summary.FirstEvent)
+		requestMetrics.longestPause.observe(summary.LongestPause)
+		requestMetrics.stream.observe(summary.Took)
 	default:
-		measures.call.observe(summary.Took)
+		requestMetrics.call.observe(summary.Took)
 	}
 }
 
-// byRoute copies the counters of outcomes.
-func (measures *measures) byRoute() map[string]map[forward.Outcome]uint64 {
-	measures.mu.Lock()
-	defer measures.mu.Unlock()
-	routes := make(map[string]map[forward.Outcome]uint64, len(measures.outcomes))
-	for route, byOutcome := range measures.outcomes {
+// outcomesByRoute returns a copy of the outcome counters.
+func (requestMetrics *requestMetrics) outcomesByRoute() map[string]map[forward.Outcome]uint64 {
+	requestMetrics.mu.Lock()
+	defer requestMetrics.mu.Unlock()
+	routes := make(map[string]map[forward.Outcome]uint64, len(requestMetrics.outcomes))
+	for route, byOutcome := range requestMetrics.outcomes {
 		copied := make(map[forward.Outcome]uint64, len(byOutcome))
 		for outcome, count := range byOutcome {
 			copied[outcome] = count
@@ -109,10 +109,10 @@
 	return routes
 }
 
-// latencies copies the histograms.
-func (measures *measures) latencies() map[string]Quantiles {
+// latencies returns a copy of the histograms.
+func (requestMetrics *requestMetrics) latencies() map[string]Quantiles {
 	return map[string]Quantiles{
-		"FirstEvent": measures.firstEvent.quantiles(), "LongestPause": measures.longestPause.quantiles(),
-		"Stream": measures.stream.quantiles(), "Call": measures.call.quantiles(), "Refusal": measures.refusal.quantiles(),
+		"FirstEvent": requestMetrics.firstEvent.quantiles(), "LongestPause": requestMetrics.longestPause.quantiles(),
+		"Stream": requestMetrics.stream.quantiles(), "Call": requestMetrics.call.quantiles(), "Refusal": requestMetrics.refusal.quantiles(),
 	}
 }
--- a/internal/run/gateway/settings.go
+++ b/internal/run/gateway/settings.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// Settings is what a gateway node is told of itself and its deployment.
+// Settings is the configuration of one gateway node.
 type Settings struct {
 	Name       string
 	DataCentre string
 	Region     string
-	// Regions are the regions of data centres.
+	// Regions maps data centres to their regions.
 	Regions map[string]string
 	Listen  Listen
-	// Seeds are peer addresses to begin with when the store does not answer.
+	// Seeds are the peer addresses to contact first if the store doesn't respond.
 	Seeds []string
-	// FirstStart says that the whole deployment starts for the first time, so that
-	// nothing was asked of it before. A node that starts again has seen no request
-	// either, and must not take that for it.
+	// FirstStart is true if the whole deployment starts for the first time, so that it has never received a
+	// request. A restarted node has received none either, but must not conclude that the deployment is new.
 	FirstStart bool
 	// Store is the address of the platform's store.
 	Store  string
@@ -25,61 +24,57 @@
 	Limits Limits
 }
 
-// Listen holds the addresses, host:port, that the node serves at.
+// Listen holds the addresses (host:port) that the node listens on.
 type Listen struct {
-	// Caller is for callers, behind the platform's balancer.
+	// Caller serves callers, behind the platform's load balancer.
 	Caller string
-	// Readiness is where the balancer asks whether the node takes connections.
+	// Readiness serves the load balancer's readiness checks.
 	Readiness string
-	// Operator serves the state dump and the metrics; empty for none.
+	// Operator serves the state dump and the metrics. Empty disables it.
 	Operator string
-	// Peer is for other nodes.
+	// Peer serves other nodes.
 	Peer string
-	// PeerAdvertised is where other nodes reach Peer, where that is another address;
-	// empty for the same.
+	// PeerAdvertised is the address under which other nodes reach Peer. Empty means the same address.
 	PeerAdvertised string
-	// Detour is for requests of nodes that don't reach the servers; empty for none, and then this
-	// node sends none through others.
+	// Detour serves requests that other nodes forward because they don't reach the servers. If it is empty,
+	// this node forwards no requests through other nodes either.
 	Detour string
 }
 
-// advertised is where other nodes reach this one.
+// advertised returns the address under which other nodes reach this one.
 func (listen *Listen) advertised() string {
 	return cmp.Or(listen.PeerAdvertised, listen.Peer)
 }
 
-// Limits bounds what the process may use.
+// Limits bounds the resources of the process.
 type Limits struct {
 	MemoryBytes int64
-	// Processor is the share of a processor, in thousandths of a core; 0 where
-	// it isn't known.
-	Processor uint32
+	// Millicores is the CPU share of the process in thousandths of a core, 0 if unknown.
+	Millicores uint32
 }
 
-// Bounds are the deployment's figures.
+// Bounds holds the deployment's limits and time spans.
 type Bounds struct {
-	// Grace is how long the process has after it was told to stop.
+	// Grace is how long the process may run after it was told to stop.
 	Grace time.Duration
-	// Stall is how long a group that lost a member goes on accepting calls.
+	// Stall is how long a group that lost a member keeps accepting calls.
 	Stall time.Duration
-	// LoadWindow and LoadBurst bound loads from the weight store.
+	// LoadWindow and LoadBurst bound the rate of model loads from the weight store.
 	LoadWindow time.Duration
 	LoadBurst  float64
-	// RetryRatio, RetryLeast and RetryWindow bound repeats, by all nodes
-	// together.
+	// RetryRatio, RetryLeast and RetryWindow bound the retries of all nodes together.
 	RetryRatio  float64
 	RetryLeast  float64
 	RetryWindow time.Duration
-	// Settle is how long all nodes may take to act on what has changed; 0 if it isn't
-	// known.
-	Settle time.Duration
-	// ColdOvershoot and ColdTolerance bound what a cold server may get in a second: so many
-	// times what it bears, and so many requests more.
+	// PropagationTime is how long it may take until all nodes act on a change, 0 if unknown.
+	PropagationTime time.Duration
+	// ColdOvershoot and ColdTolerance bound the requests per second sent to a cold server: at most
+	// ColdOvershoot times its capacity, plus ColdTolerance requests.
 	ColdOvershoot float64
 	ColdTolerance float64
 }
 
-// regionOf returns the region of a data centre, empty if it isn't known.
+// regionOf returns the region of a data centre, or an empty string if it is unknown.
 func (settings *Settings) regionOf(dataCentre string) string {
 	if dataCentre == settings.DataCentre {
 		return settings.Region
@@ -87,9 +82,9 @@
 	return settings.Regions[dataCentre]
 }
 
-// Check returns what is missing or out of range, in words.
+// Check returns a message for each setting that is missing or out of range.
 func (settings *Settings) Check() []string {
-	mistakes := []string{}
+	problems := []string{}
 	required := []struct{ name, value string }{
 		{"Name", settings.Name},
 		{"DataCentre", settings.DataCentre},
@@ -100,7 +95,7 @@
 	}
 	for _, field := range required {
 		if field.value == "" {
-			mistakes = append(mistakes, field.name+" is missing")
+			problems = append(problems, field.name+" is missing")
 		}
 	}
 	positive := []struct {
@@ -109,8 +104,8 @@
 	}{{"Bounds.Grace", settings.Bounds.Grace}, {"Bounds.Stall", settings.Bounds.Stall}, {"Bounds.RetryWindow", settings.Bounds.RetryWindow}}
 	for _, field := range positive {
 		if field.value <= 0 {
-			mistakes = append(mistakes, field.name+" must be above 0")
+			problems = append(problems, field.name+" must be above 0")
 		}
 	}
-	return mistakes
+	return problems
 }
--- a/internal/run/gateway/start_test.go
+++ b/internal/run/gateway/start_test.go
@@ -9,17 +9,17 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// A node starts again and is told of the servers some ten milliseconds before it has the
-// configuration. Requests that waited for it were let go at the first of the two, and
-// refused for want of the second.
-func TestNodeKnowsEnoughOnlyWithBoth(t *testing.T) {
+// Guards against releasing requests that wait for the node's state too early. A restarted node receives the
+// servers some ten milliseconds before the configuration. Waiting requests used to be released at the first
+// of the two and were then refused for lack of the second.
+func TestStateKnownNeedsServersAndConfiguration(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	node := idleNode(t)
 	rows := []catalogue.Numbered{{Row: catalogue.Row{Server: "l-1", Address: "l-1:1", Service: "ledger", Slots: 6}}}
 	node.peers.rows.Store(&rows)
 	node.updateTargets()
-	expect.Expect(node.known).NotTo(gomega.BeClosed())
+	expect.Expect(node.stateKnown).NotTo(gomega.BeClosed())
 	node.configuration.Offer(&configuration.Configuration{Version: 1})
 	node.updateTargets()
-	expect.Expect(node.known).To(gomega.BeClosed())
+	expect.Expect(node.stateKnown).To(gomega.BeClosed())
 }
--- a/internal/run/gateway/stop.go
+++ b/internal/run/gateway/stop.go
@@ -11,59 +11,58 @@
 )
 
 const (
-	// noticeTime is how long the node goes on taking connections after it has
-	// said that it is not ready: the balancer asks once a second and believes
-	// the second refusal.
-	noticeTime = 2500 * time.Millisecond
-	// endMargin is kept back from the grace time for the process to end.
-	endMargin = 400 * time.Millisecond
+	// unreadyDelay is how long the node keeps accepting connections after it reports that it is not ready.
+	// The load balancer checks once a second and acts on the second failure.
+	unreadyDelay = 2500 * time.Millisecond
+	// shutdownMargin is the part of the grace period reserved for the process to exit.
+	shutdownMargin = 400 * time.Millisecond
 )
 
-// Stop ends the node gracefully: it says that it is not ready, goes on serving
-// until the balancer has noticed, finishes what it has, and ends.
+// Stop shuts the node down gracefully: it reports that it is not ready, keeps serving until the load balancer
+// has noticed, waits for requests in progress, and stops all parts.
 func (node *Node) Stop() {
 	began := node.now()
 	node.stopping.Store(true)
-	node.logger.Info("gateway: stopping.", "Name", node.settings.Name)
-	node.keeper.Outdated(node.keeper.Term())
-	node.peers.beat(0)
+	node.logger.Info("gateway: the node is stopping.", "Name", node.settings.Name)
+	node.termKeeper.Outdated(node.termKeeper.Term())
+	node.peers.advanceHeartbeat(0)
 	node.peers.overlay.Leave()
-	limit := node.settings.Bounds.Grace - endMargin
-	time.Sleep(min(noticeTime, limit))
-	left := limit - (node.now() - began)
-	ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
+	grace := node.settings.Bounds.Grace - shutdownMargin
+	time.Sleep(min(unreadyDelay, grace))
+	remaining := grace - (node.now() - began)
+	ctx, cancel := context.WithTimeout(context.Background(), max(remaining, 0))
 	defer cancel()
-	ends := conc.WaitGroup{}
-	for _, served := range []*http.Server{node.caller, node.detours.served} {
-		if served == nil {
+	shutdowns := conc.WaitGroup{}
+	for _, server := range []*http.Server{node.callerServer, node.detours.server} {
+		if server == nil {
 			continue
 		}
-		ends.Go(func() {
-			if err := served.Shutdown(ctx); err != nil {
-				node.logger.Warn("gateway: requests were cut off at the end of the grace time.", "Error", err.Error())
-				served.Close()
+		shutdowns.Go(func() {
+			if err := server.Shutdown(ctx); err != nil {
+				node.logger.Warn("gateway: requests were cut off at the end of the grace period.", "Error", err.Error())
+				server.Close()
 			}
 		})
 	}
-	ends.Wait()
-	node.end()
-	node.logger.Info("gateway: stopped.", "Name", node.settings.Name, "Milliseconds", (node.now() - began).Milliseconds())
+	shutdowns.Wait()
+	node.stopParts()
+	node.logger.Info("gateway: the node stopped.", "Name", node.settings.Name, "Milliseconds", (node.now() - began).Milliseconds())
 }
 
-// Kill ends the node at once, as the loss of its process would: calls under way break
-// off, and nobody is told.
+// Kill stops the node immediately, as a crash of its process would: calls in progress break off, and other
+// nodes are not notified.
 func (node *Node) Kill() {
-	node.caller.Close()
-	if node.detours.served != nil {
-		node.detours.served.Close()
+	node.callerServer.Close()
+	if node.detours.server != nil {
+		node.detours.server.Close()
 	}
-	node.end()
+	node.stopParts()
 }
 
-// end ends every part. Callers are served no more by then.
-func (node *Node) end() {
-	node.readiness.Close()
-	node.operator.Close()
+// stopParts stops all parts of the node. Callers are no longer served by then.
+func (node *Node) stopParts() {
+	node.readinessServer.Close()
+	node.operatorServer.Close()
 	node.former.Ask()
 	node.follower.Ask()
 	node.Ask()
@@ -78,7 +77,7 @@
 	}
 }
 
-// silent drops what net/http has to say of connections that callers break.
-func silent() *log.Logger {
+// discardLogger drops net/http's messages about connections that callers break.
+func discardLogger() *log.Logger {
 	return log.New(io.Discard, "", 0)
 }
