--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -15,39 +15,41 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// storeTimeout bounds a call to the store that nothing waits for.
+// storeTimeout bounds a call to the store that no request waits for.
 const storeTimeout = 700 * time.Millisecond
 
-func (node *Node) followerParts() follower.Parts {
+func (node *Node) followerDependencies() follower.Parts {
 	return follower.Parts{
-		Store: node.platform.Store, Calls: node.storeCalls, Configuration: node.configuration, Drains: node.drained, Servers: node.servers,
-		Standing: func() follower.Standing { return node.peers.standing() }, FirstStart: node.settings.FirstStart, Pace: node.pace,
-		InForce: node.inForce, ListChanged: node.changed, HeardServer: node.heardServer,
+		Store: node.platform.Store, Calls: node.storeCalls, Configuration: node.configuration, Drains: node.drains, Servers: node.servers,
+		Standing: func() follower.Standing { return node.peers.readerStanding() }, FirstStart: node.settings.FirstStart, Pace: node.leafAwareInterval,
+		InForce: node.configurationApplied, ListChanged: node.requestTargetUpdate, HeardServer: node.handleServerEntry,
 		DrainsChanged: func(changes []drain.Record) { node.drainsChanged(changes, "store") },
-		CameBack:      node.storeCameBack, Now: node.now, Logger: node.logger,
+		CameBack:      node.storeRestored, Now: node.now, Logger: node.logger,
 	}
 }
 
-// heardServer takes what an entry of the registry says.
-func (node *Node) heardServer(server *roster.Server) {
-	node.keeper.Heard(formation.TermOf(server.Group.Epoch))
-	node.cold.Heard(ratelimit.Run{Server: server.ID, Born: server.Born}, server.Cold)
+// handleServerEntry applies what a server's registry entry states: the term of its group, and how long the
+// server stays cold.
+func (node *Node) handleServerEntry(server *roster.Server) {
+	node.termKeeper.Heard(formation.TermOf(server.Group.Epoch))
+	node.warmups.Heard(ratelimit.Run{Server: server.ID, Born: server.Born}, server.Cold)
 }
 
-// inForce is told of a new configuration.
-func (node *Node) inForce(version int64, body []byte) {
-	node.rawVersion.Store(&rawConfiguration{version: version, body: body})
-	node.changed()
-	node.peers.tellVersion()
+// configurationApplied is called when a new configuration is in force.
+func (node *Node) configurationApplied(version int64, body []byte) {
+	node.rawConfiguration.Store(&rawConfiguration{version: version, body: body})
+	node.requestTargetUpdate()
+	node.peers.broadcastVersion()
 }
 
-// storeCameBack is told that the store lacks what this node wrote lately.
-func (node *Node) storeCameBack() {
-	node.suspectsGone.Store(true)
+// storeRestored is called when the store was restored from an older backup and lacks what this node wrote
+// recently.
+func (node *Node) storeRestored() {
+	node.storedSuspectsLost.Store(true)
 	node.peers.overlay.Forgotten()
 }
 
-// callStore makes one call to the store that is to be answered at once.
+// callStore makes a single call to the store with a timeout, and records its result.
 func (node *Node) callStore(call *store.Call, timeout time.Duration, ask func(ctx context.Context) error) error {
 	ctx, cancel := node.Context(timeout)
 	defer cancel()
@@ -56,35 +58,35 @@
 	return err
 }
 
-// storeHung is told of a call that failed though others that began later were answered.
-func (node *Node) storeHung(hanging store.Hanging, err error) {
-	node.logger.Warn("gateway: a call to the store hung while others were answered.", "Call", hanging.Call,
+// logHungStoreCall logs a call that failed although calls begun later were answered.
+func (node *Node) logHungStoreCall(hanging store.Hanging, err error) {
+	node.logger.Warn("gateway: a store call hung while others were answered.", "Call", hanging.Call,
 		"Milliseconds", hanging.Milliseconds, "Error", err.Error())
 }
 
-// storeLost is told of the first call that the store doesn't answer.
-func (node *Node) storeLost(call string, err error) {
-	node.logger.Warn("gateway: the store doesn't answer.", "Call", call, "Error", err.Error())
+// storeBecameUnavailable is called for the first call that the store fails to answer.
+func (node *Node) storeBecameUnavailable(call string, err error) {
+	node.logger.Warn("gateway: the store is unavailable.", "Call", call, "Error", err.Error())
 }
 
-// storeReturned is told of the first answer after that.
-func (node *Node) storeReturned(outage store.Outage) {
-	node.logger.Info("gateway: the store answers again.", "Call", outage.Call, "AwayMilliseconds", outage.Lasted.Milliseconds(),
+// storeRecovered is called when the store responds again.
+func (node *Node) storeRecovered(outage store.Outage) {
+	node.logger.Info("gateway: the store is available again.", "Call", outage.Call, "AwayMilliseconds", outage.Lasted.Milliseconds(),
 		"Failures", outage.Failures, "Hanging", outage.Hanging, "ConfigurationAgeMilliseconds", node.follower.ConfigurationAge().Milliseconds())
 	node.peers.overlay.Reachable()
 }
 
-// errStoreAway says that the store wasn't asked, because it doesn't answer.
-var errStoreAway = errors.New("the store doesn't answer")
+// errStoreUnavailable is returned for a call that is not made because the store doesn't respond.
+var errStoreUnavailable = errors.New("claim a term: the store is unavailable")
 
-// awayAfter is how many calls in a row must fail before the store isn't asked
-// for a term any more: waiting for it would leave the fleet without orders.
-const awayAfter = 2
+// maxClaimFailures is how many consecutive store calls may fail before claiming a term no longer uses the
+// store: waiting for it would leave the fleet without a leader.
+const maxClaimFailures = 2
 
-// claim gets this node a place in the store's order of terms.
-func (node *Node) claim() (storelog.Position, error) {
-	if node.storeCalls.FailuresInRow() >= awayAfter {
-		return storelog.Nowhere, errStoreAway
+// claimTerm appends a claim to the store and returns its position, from which the term is derived.
+func (node *Node) claimTerm() (storelog.Position, error) {
+	if node.storeCalls.FailuresInRow() >= maxClaimFailures {
+		return storelog.Nowhere, errStoreUnavailable
 	}
 	place := storelog.Nowhere
 	err := node.callStore(node.storeCalls.BeginWrite("claim"), storeTimeout, func(ctx context.Context) (err error) {
--- a/internal/run/gateway/suspects.go
+++ b/internal/run/gateway/suspects.go
@@ -11,220 +11,222 @@
 )
 
 const (
-	// leafEnds is under how many ends of servers a request is told to leaves. Most
-	// requests under which a server ended are answered at the next one; a leaf hears of
-	// a request before it is refused, so that an answer there lifts the suspicion.
-	leafEnds = 2
-	// storedEnds is under how many ends a request is written to the store. Nodes that
-	// don't hear each other need to know of the first.
-	storedEnds      = 2
-	storedEndsApart = 1
-	// suspectsTick is how often the store is looked at while suspects are fresh, and
-	// suspectsFresh for how long they are: longer than a caller takes to come again.
-	// What changes is written at once, and known to who reads it after a tick.
-	suspectsTick  = time.Second
-	suspectsFresh = 10 * time.Second
-	// suspectsSettle is how long a root waits after the store came back from an older copy
-	// before it writes again. Roots notice the return some milliseconds apart, and the one
-	// that does first would take the duty of those that told it that the store was away.
-	suspectsSettle = 500 * time.Millisecond
-	// suspectsAtOnce bounds what one frame tells of suspects: a node that has just
-	// attached during a wave of losses would wait for its first frame.
-	suspectsAtOnce = 256
+	// leafFailureThreshold is the number of server failures from which a suspect request is reported to
+	// leaves. Most requests during which a server failed succeed at the next server. A leaf hears of a
+	// request before it is refused, so that a success at that leaf clears the suspicion.
+	leafFailureThreshold = 2
+	// storeFailureThreshold is the number of server failures from which a suspect request is written to the
+	// store. It is lower in a partitioned fleet, because nodes that don't hear of each other need to know of
+	// the first failure.
+	storeFailureThreshold            = 2
+	partitionedStoreFailureThreshold = 1
+	// suspectSyncInterval is how often the store is read while suspects are fresh. freshSuspectWindow is how
+	// long they are, which is longer than a caller takes to retry. Changes are written immediately, and the
+	// nodes that read the store see them one interval later.
+	suspectSyncInterval = time.Second
+	freshSuspectWindow  = 10 * time.Second
+	// suspectWriteDelay is how long a root waits to write again after the store was restored from an older
+	// backup. Roots notice the recovery a few milliseconds apart. Without the delay, the first root to notice
+	// it would take over the writing from the roots that reported the store as unavailable.
+	suspectWriteDelay = 500 * time.Millisecond
+	// maxSuspectsPerFrame bounds the suspects in one frame. Without it, a node that attaches during a wave of
+	// server failures would wait too long for its first frame.
+	maxSuspectsPerFrame = 256
 )
 
-// suspected makes known what this node learned of a request.
-func (node *Node) suspected(fingerprint quarantine.Fingerprint) {
-	node.peers.tellSuspect(fingerprint, nil)
-	node.withdraw(fingerprint)
+// suspectChanged announces a change in what this node knows of a suspect request.
+func (node *Node) suspectChanged(fingerprint quarantine.Fingerprint) {
+	node.peers.queueSuspect(fingerprint, nil)
+	node.cancelQuarantined(fingerprint)
 	select {
-	case node.suspectsNews <- struct{}{}:
+	case node.suspectsDirty <- struct{}{}:
 	default:
 	}
 }
 
-// followSuspects keeps the suspects in the store whenever something changed, and while
-// there is something to read.
-func (node *Node) followSuspects() {
-	ticker := time.NewTicker(suspectsTick)
+// runSuspectSync synchronises the suspects with the store on each change, and periodically while there is
+// something to read.
+func (node *Node) runSuspectSync() {
+	ticker := time.NewTicker(suspectSyncInterval)
 	defer ticker.Stop()
 	for {
-		returns, settled := node.storeCalls.Returns(), node.suspectsSettled()
+		recovered, writable := node.storeCalls.Returns(), node.suspectWriteAllowed()
 		select {
 		case <-node.Stopping:
 			return
-		case <-node.suspectsNews:
-		case <-returns:
-		case <-settled:
+		case <-node.suspectsDirty:
+		case <-recovered:
+		case <-writable:
 		case <-ticker.C:
 		}
 		node.syncSuspects()
 	}
 }
 
-// suspectsSettled fires when suspects may be written again, nil if they may be now.
-func (node *Node) suspectsSettled() <-chan time.Time {
-	if left := node.stored.settlesAt - node.now(); left > 0 {
-		return time.After(left)
+// suspectWriteAllowed returns a channel that fires when suspects may be written again, or nil if they may be
+// written now.
+func (node *Node) suspectWriteAllowed() <-chan time.Time {
+	if remaining := node.storedSuspects.writableAt - node.now(); remaining > 0 {
+		return time.After(remaining)
 	}
 	return nil
 }
 
-// withdraw ends the calls that servers have not begun to run of a request that is
-// refused by now.
-func (node *Node) withdraw(fingerprint quarantine.Fingerprint) {
+// cancelQuarantined cancels the calls of a request that is now quarantined, unless a server has begun to run
+// them.
+func (node *Node) cancelQuarantined(fingerprint quarantine.Fingerprint) {
 	verdict, refused := node.quarantine.Refuses(fingerprint)
 	if !refused {
 		return
 	}
-	node.logger.Warn("gateway: a request is sent to no server any more.", "Fingerprint", fingerprint.String(),
+	node.logger.Warn("gateway: a request is quarantined.", "Fingerprint", fingerprint.String(),
 		"Ends", len(verdict.Ends), "LastRun", verdict.Ends[len(verdict.Ends)-1].Run, "ForMilliseconds", verdict.Left.Milliseconds(),
 		"CallsEnded", node.board.Withdraw(uint64(fingerprint)))
 }
 
-// tellSuspect passes on what is known of a request: upwards and between relays and
-// roots at once, to leaves from a number of ends on.
-func (peers *peers) tellSuspect(fingerprint quarantine.Fingerprint, from *overlay.Link) {
+// queueSuspect queues a suspect request for the linked nodes. Upstream nodes, relays and roots always receive
+// it, leaves only from leafFailureThreshold on.
+func (peers *peers) queueSuspect(fingerprint quarantine.Fingerprint, from *overlay.Link) {
 	suspect, known := peers.node.quarantine.Suspect(fingerprint)
 	if !known {
 		return
 	}
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	for link, channel := range peers.channels {
-		if link != from && worthTelling(link, suspect) {
-			channel.suspects[fingerprint] = struct{}{}
+	for link, state := range peers.linkStates {
+		if link != from && shouldSendSuspect(link, suspect) {
+			state.pendingSuspects[fingerprint] = struct{}{}
 		}
 	}
 }
 
-func worthTelling(link *overlay.Link, suspect quarantine.Suspect) bool {
-	return core(link) || link.Opened || suspect.Peak >= leafEnds
+func shouldSendSuspect(link *overlay.Link, suspect quarantine.Suspect) bool {
+	return isBackbone(link) || link.Opened || suspect.Peak >= leafFailureThreshold
 }
 
-// addSuspects makes a new link be told of all suspects.
-func (peers *peers) addSuspects(channel *channel) {
+// queueAllSuspects queues all known suspects for a new link.
+func (peers *peers) queueAllSuspects(state *linkState) {
 	suspects, _ := peers.node.quarantine.Suspects(1, 0)
 	for _, suspect := range suspects {
-		if worthTelling(channel.link, suspect) {
-			channel.suspects[suspect.Fingerprint] = struct{}{}
+		if shouldSendSuspect(state.link, suspect) {
+			state.pendingSuspects[suspect.Fingerprint] = struct{}{}
 		}
 	}
 }
 
-// suspectsFor returns what the other side of a link lacks, as it is now.
-func (peers *peers) suspectsFor(channel *channel) []*frame.Suspect {
-	if len(channel.suspects) == 0 {
+// nextSuspects returns the queued suspects for a link, with their current content.
+func (peers *peers) nextSuspects(state *linkState) []*frame.Suspect {
+	if len(state.pendingSuspects) == 0 {
 		return nil
 	}
 	now := peers.node.now()
-	told := make([]*frame.Suspect, 0, len(channel.suspects))
-	for fingerprint := range channel.suspects {
-		if len(told) == suspectsAtOnce {
+	encoded := make([]*frame.Suspect, 0, len(state.pendingSuspects))
+	for fingerprint := range state.pendingSuspects {
+		if len(encoded) == maxSuspectsPerFrame {
 			break
 		}
-		delete(channel.suspects, fingerprint)
+		delete(state.pendingSuspects, fingerprint)
 		if suspect, known := peers.node.quarantine.Suspect(fingerprint); known {
-			told = append(told, suspectToWire(suspect, now))
+			encoded = append(encoded, suspectToWire(suspect, now))
 		}
 	}
-	return told
+	return encoded
 }
 
-// takeSuspects takes what another node knows of suspects, and passes on what is news.
-func (peers *peers) takeSuspects(link *overlay.Link, told []*frame.Suspect) {
+// handleSuspects merges the suspects that another node knows, and forwards those that are new.
+func (peers *peers) handleSuspects(link *overlay.Link, received []*frame.Suspect) {
 	now := peers.node.now()
-	for _, one := range told {
-		suspect := suspectFromWire(one, now)
+	for _, encoded := range received {
+		suspect := suspectFromWire(encoded, now)
 		if peers.node.quarantine.Take(suspect) {
-			peers.tellSuspect(suspect.Fingerprint, link)
-			peers.node.withdraw(suspect.Fingerprint)
+			peers.queueSuspect(suspect.Fingerprint, link)
+			peers.node.cancelQuarantined(suspect.Fingerprint)
 		}
 	}
 }
 
 func suspectToWire(suspect quarantine.Suspect, now time.Duration) *frame.Suspect {
-	told := &frame.Suspect{Fingerprint: uint64(suspect.Fingerprint)}
-	for _, end := range suspect.Ends {
-		told.Ends = append(told.Ends, &frame.ServerEnd{Run: end.Run, AgeMs: milliseconds(now - end.At)})
+	encoded := &frame.Suspect{Fingerprint: uint64(suspect.Fingerprint)}
+	for _, failure := range suspect.Ends {
+		encoded.Ends = append(encoded.Ends, &frame.ServerEnd{Run: failure.Run, AgeMs: cappedMilliseconds(now - failure.At)})
 	}
 	if suspect.LiftedAt > 0 {
-		told.Lifted, told.LiftedAgeMs = true, milliseconds(now-suspect.LiftedAt)
+		encoded.Lifted, encoded.LiftedAgeMs = true, cappedMilliseconds(now-suspect.LiftedAt)
 	}
-	return told
+	return encoded
 }
 
-func suspectFromWire(told *frame.Suspect, now time.Duration) quarantine.Suspect {
-	suspect := quarantine.Suspect{Fingerprint: quarantine.Fingerprint(told.Fingerprint)}
-	for _, end := range told.Ends {
-		suspect.Ends = append(suspect.Ends, quarantine.End{Run: end.Run, At: now - time.Duration(end.AgeMs)*time.Millisecond})
+func suspectFromWire(encoded *frame.Suspect, now time.Duration) quarantine.Suspect {
+	suspect := quarantine.Suspect{Fingerprint: quarantine.Fingerprint(encoded.Fingerprint)}
+	for _, failure := range encoded.Ends {
+		suspect.Ends = append(suspect.Ends, quarantine.End{Run: failure.Run, At: now - time.Duration(failure.AgeMs)*time.Millisecond})
 	}
-	if told.Lifted {
-		suspect.LiftedAt = now - time.Duration(told.LiftedAgeMs)*time.Millisecond
+	if encoded.Lifted {
+		suspect.LiftedAt = now - time.Duration(encoded.LiftedAgeMs)*time.Millisecond
 	}
 	return suspect
 }
 
 // storedSuspects is what this node knows of the suspects in the store.
 type storedSuspects struct {
-	// written is the version of the list up to which the store has it, read says that
-	// the store was read since this node speaks for its data centre.
-	written uint64
-	read    bool
-	// readAt is when it was last tried.
-	readAt time.Duration
-	// settlesAt is from when on the roots agree which of them has the duty to write.
-	settlesAt time.Duration
-	// held are the requests that the store has a record of.
-	held map[quarantine.Fingerprint]struct{}
+	// writtenVersion is the version of the list up to which it has been written to the store. readSinceRoot
+	// is set once the store has been read since this node became a root.
+	writtenVersion uint64
+	readSinceRoot  bool
+	// lastReadAt is when reading the store was last tried.
+	lastReadAt time.Duration
+	// writableAt is the time from which the roots agree on which of them writes.
+	writableAt time.Duration
+	// recorded are the requests that have a record in the store.
+	recorded map[quarantine.Fingerprint]struct{}
 }
 
-// syncSuspects keeps the suspects in the store, for nodes that hear of them from nobody:
-// those that start when all others do, and those that are cut off from the others but
-// not from the store. Only roots do, and only while there is something to tell.
+// syncSuspects synchronises the suspects with the store. It serves nodes that can't hear of suspects from
+// other nodes: those that start while all other nodes start too, and those that are cut off from the other
+// nodes but not from the store. Only roots synchronise, and only while there is something to exchange.
 func (node *Node) syncSuspects() {
 	if node.peers.overlay.Role() != overlay.Root {
-		node.stored.read = false
+		node.storedSuspects.readSinceRoot = false
 		return
 	}
-	if node.suspectsGone.Swap(false) {
-		node.stored.written, node.stored.read = 0, false
-		node.stored.settlesAt = node.now() + suspectsSettle
+	if node.storedSuspectsLost.Swap(false) {
+		node.storedSuspects.writtenVersion, node.storedSuspects.readSinceRoot = 0, false
+		node.storedSuspects.writableAt = node.now() + suspectWriteDelay
 	}
-	least := storedEnds
-	apart := node.peers.apart()
-	if apart {
-		least = storedEndsApart
+	minFailures := storeFailureThreshold
+	partitioned := node.peers.partitioned()
+	if partitioned {
+		minFailures = partitionedStoreFailureThreshold
 	}
-	duty := apart || node.peers.standing().Reads()
-	if duty && node.now() >= node.stored.settlesAt {
-		node.writeSuspects(least)
+	writes := partitioned || node.peers.readerStanding().Reads()
+	if writes && node.now() >= node.storedSuspects.writableAt {
+		node.writeSuspects(minFailures)
 	}
-	due := node.now()-node.stored.readAt >= suspectsTick/2
-	if due && (!node.stored.read || (duty && node.quarantine.Fresh(least, suspectsFresh))) {
-		node.stored.readAt = node.now()
-		node.stored.read = node.readSuspects()
+	readDue := node.now()-node.storedSuspects.lastReadAt >= suspectSyncInterval/2
+	if readDue && (!node.storedSuspects.readSinceRoot || (writes && node.quarantine.Fresh(minFailures, freshSuspectWindow))) {
+		node.storedSuspects.lastReadAt = node.now()
+		node.storedSuspects.readSinceRoot = node.readSuspects()
 	}
 }
 
-// apart says whether there are nodes that this one hears nothing of: some that were
-// heard of within the last minute, or a whole data centre.
-func (peers *peers) apart() bool {
-	return peers.count() < peers.nodes() || peers.overlay.Apart()
+// partitioned reports whether this node hears nothing of some nodes: nodes that it heard of within the last
+// minute, or a whole data centre.
+func (peers *peers) partitioned() bool {
+	return peers.reachableNodes() < peers.budgetNodes() || peers.overlay.Apart()
 }
 
-// writeSuspects writes what changed, and drops what counts no more.
-func (node *Node) writeSuspects(least int) {
-	suspects, version := node.quarantine.Suspects(least, node.stored.written)
+// writeSuspects writes changed suspects to the store, and deletes the records of expired ones.
+func (node *Node) writeSuspects(minFailures int) {
+	suspects, version := node.quarantine.Suspects(minFailures, node.storedSuspects.writtenVersion)
 	stored := make([]store.Suspect, 0, len(suspects))
-	now, today := node.now(), time.Now()
+	now, wallClock := node.now(), time.Now()
 	for _, suspect := range suspects {
-		node.stored.held[suspect.Fingerprint] = struct{}{}
-		stored = append(stored, suspectToStore(suspect, now, today))
+		node.storedSuspects.recorded[suspect.Fingerprint] = struct{}{}
+		stored = append(stored, suspectToStore(suspect, now, wallClock))
 	}
-	for fingerprint := range node.stored.held {
+	for fingerprint := range node.storedSuspects.recorded {
 		if _, known := node.quarantine.Suspect(fingerprint); !known {
-			delete(node.stored.held, fingerprint)
+			delete(node.storedSuspects.recorded, fingerprint)
 			stored = append(stored, store.Suspect{Fingerprint: fingerprint.String(), Dropped: true})
 		}
 	}
@@ -237,10 +239,10 @@
 	if err != nil {
 		return
 	}
-	node.stored.written = version
+	node.storedSuspects.writtenVersion = version
 }
 
-// readSuspects takes what the store has, and says whether it answered.
+// readSuspects merges the suspects in the store, and reports whether the store responded.
 func (node *Node) readSuspects() bool {
 	stored := []store.Suspect{}
 	err := node.callStore(node.storeCalls.Begin("suspects", 0), storeTimeout, func(ctx context.Context) (err error) {
@@ -250,42 +252,42 @@
 	if err != nil {
 		return false
 	}
-	now, today := node.now(), time.Now()
-	for _, one := range stored {
-		suspect, err := suspectFromStore(one, now, today)
+	now, wallClock := node.now(), time.Now()
+	for _, record := range stored {
+		suspect, err := suspectFromStore(record, now, wallClock)
 		if err != nil {
-			node.logger.Warn("gateway: a suspect of the store can't be read.", "Key", one.Fingerprint, "Error", err.Error())
+			node.logger.Warn("gateway: a suspect record in the store is invalid.", "Key", record.Fingerprint, "Error", err.Error())
 			continue
 		}
-		node.stored.held[suspect.Fingerprint] = struct{}{}
+		node.storedSuspects.recorded[suspect.Fingerprint] = struct{}{}
 		if node.quarantine.Take(suspect) {
-			node.suspected(suspect.Fingerprint)
+			node.suspectChanged(suspect.Fingerprint)
 		}
 	}
 	return true
 }
 
-func suspectToStore(suspect quarantine.Suspect, now time.Duration, today time.Time) store.Suspect {
+func suspectToStore(suspect quarantine.Suspect, now time.Duration, wallClock time.Time) store.Suspect {
 	stored := store.Suspect{Fingerprint: suspect.Fingerprint.String()}
-	for _, end := range suspect.Ends {
-		stored.Ends = append(stored.Ends, store.SuspectEnd{Run: end.Run, At: today.Add(end.At - now)})
+	for _, failure := range suspect.Ends {
+		stored.Ends = append(stored.Ends, store.SuspectEnd{Run: failure.Run, At: wallClock.Add(failure.At - now)})
 	}
 	if suspect.LiftedAt > 0 {
-		stored.LiftedAt = today.Add(suspect.LiftedAt - now)
+		stored.LiftedAt = wallClock.Add(suspect.LiftedAt - now)
 	}
 	return stored
 }
 
-func suspectFromStore(stored store.Suspect, now time.Duration, today time.Time) (quarantine.Suspect, error) {
+func suspectFromStore(stored store.Suspect, now time.Duration, wallClock time.Time) (quarantine.Suspect, error) {
 	fingerprint, err := quarantine.Parse(stored.Fingerprint)
 	if err != nil {
 		return quarantine.Suspect{}, err
 	}
-	// Clocks of the day differ by seconds; what seems to lie ahead is now.
-	local := func(at time.Time) time.Duration { return now - max(0, today.Sub(at)) }
+	// Wall clocks differ by seconds, so a time in the future counts as now.
+	local := func(at time.Time) time.Duration { return now - max(0, wallClock.Sub(at)) }
 	suspect := quarantine.Suspect{Fingerprint: fingerprint}
-	for _, end := range stored.Ends {
-		suspect.Ends = append(suspect.Ends, quarantine.End{Run: end.Run, At: local(end.At)})
+	for _, failure := range stored.Ends {
+		suspect.Ends = append(suspect.Ends, quarantine.End{Run: failure.Run, At: local(failure.At)})
 	}
 	if !stored.LiftedAt.IsZero() {
 		suspect.LiftedAt = local(stored.LiftedAt)
--- a/internal/run/gateway/wire.go
+++ b/internal/run/gateway/wire.go
@@ -22,24 +22,24 @@
 }
 
 func serverToWire(server *roster.Server) *frame.Server {
-	told := &frame.Server{
+	encoded := &frame.Server{
 		Born: server.Born, Service: server.Service, Address: server.Address, DataCentre: server.DataCentre, Slots: uint32(max(0, server.Slots)),
 		Draining: server.Draining, FabricDomain: server.FabricDomain, Staged: server.Staged, Model: server.Model,
-		ColdMs: milliseconds(server.Cold),
+		ColdMs: cappedMilliseconds(server.Cold),
 	}
 	if group := server.Group; group != (roster.Membership{}) {
-		told.Group = &frame.Membership{Name: group.Name, Epoch: group.Epoch, Rank: int32(group.Rank), State: group.State}
+		encoded.Group = &frame.Membership{Name: group.Name, Epoch: group.Epoch, Rank: int32(group.Rank), State: group.State}
 	}
-	return told
+	return encoded
 }
 
-func serverFromWire(id string, told *frame.Server) *roster.Server {
+func serverFromWire(id string, encoded *frame.Server) *roster.Server {
 	server := &roster.Server{
-		ID: id, Born: told.Born, Service: told.Service, Address: told.Address, DataCentre: told.DataCentre, Slots: int(told.Slots),
-		Draining: told.Draining, FabricDomain: told.FabricDomain, Staged: told.Staged, Model: told.Model,
-		Cold: time.Duration(told.ColdMs) * time.Millisecond,
+		ID: id, Born: encoded.Born, Service: encoded.Service, Address: encoded.Address, DataCentre: encoded.DataCentre, Slots: int(encoded.Slots),
+		Draining: encoded.Draining, FabricDomain: encoded.FabricDomain, Staged: encoded.Staged, Model: encoded.Model,
+		Cold: time.Duration(encoded.ColdMs) * time.Millisecond,
 	}
-	if group := told.Group; group != nil {
+	if group := encoded.Group; group != nil {
 		server.Group = roster.Membership{Name: group.Name, Epoch: group.Epoch, Rank: int(group.Rank), State: group.State}
 	}
 	return server
