--- a/internal/run/gateway/background.go
+++ b/internal/run/gateway/background.go
@@ -18,15 +18,15 @@
 const (
 	// watchInterval is how often groups are checked for stalled streams.
 	watchInterval = 40 * time.Millisecond
-	// watchIdleInterval is the same while this node has no calls in progress. A call that begins just after a
-	// check is first checked one idle interval later, which is shorter than any silence that counts as a
-	// stall.
+	// watchIdleInterval is how often groups are checked while this node has no calls in progress. A call that
+	// begins just after a check is first checked one interval later, which is shorter than any silence that
+	// counts as a stall.
 	watchIdleInterval = 200 * time.Millisecond
 	// leafInterval is how often a node that is fed by its upstream node checks whether that is still so. It
 	// replaces checks that other nodes make several times in that span and that would mostly find nothing on
 	// a leaf.
 	leafInterval = 500 * time.Millisecond
-	// leadershipInterval is how often the node checks whether it should lead the fleet.
+	// leadershipInterval is how often the node checks whether it should become leader or stop being it.
 	leadershipInterval = 100 * time.Millisecond
 	// leadershipStartDelay is how long a node claims no term after its start, so that it first hears of the
 	// current leader.
@@ -90,7 +90,7 @@
 }
 
 // servingRows returns the servers that accept calls: as received from the upstream node, or derived from the
-// server list and the group news and then sent to the leaves.
+// server list and the group announcements and then sent to the leaves.
 func (node *Node) servingRows() []catalogue.Numbered {
 	if received := node.peers.rows.Load(); received != nil && (node.peers.fedByUpstream() || !node.servers.Load().Known()) {
 		return *received
@@ -101,7 +101,7 @@
 	return node.peers.catalogue.Since(0).Rows
 }
 
-// rowsFromList derives the servers that accept calls from the server list and the group news.
+// rowsFromList derives the servers that accept calls from the server list and the group announcements.
 func (node *Node) rowsFromList() []catalogue.Row {
 	servers := node.servers.Load()
 	rows := []catalogue.Row{}
@@ -291,7 +291,7 @@
 }
 
 // handleCallFailure is called for a server that could not be reached, that reset calls, or that refused a
-// call because its group is incomplete. The failure is reported up the tree to the leader, which checks the
+// call because its group is incomplete. The failure is reported up the tree to the leader, which queries the
 // members of the group.
 func (node *Node) handleCallFailure(target *dispatch.Target, culprit string) {
 	if target.Group == "" || node.detours.suppressReport(target) {
@@ -304,32 +304,32 @@
 	node.reportStalledHead(target.ID, target.Group)
 }
 
-// reportStalledHead makes the leader ask the members of a group whether one of them is lost.
+// reportStalledHead makes the leader query the members of a group, to find out whether one of them is lost.
 func (node *Node) reportStalledHead(head, group string) {
-	node.former.Suspect(head, group)
+	node.groupController.Suspect(head, group)
 	node.peers.broadcastStall(&frame.SilentHead{Server: head, Group: group}, nil)
 }
 
-// announceGroupNews logs group news of this node, and applies and distributes it.
-func (node *Node) announceGroupNews(news formation.News) {
-	node.logger.Info("gateway: a group changed.", "Group", news.Group.Name, "Change", string(news.Change),
-		"Model", news.Group.Model, "Members", news.Group.Members)
-	node.applyGroupNews(news, nil)
+// announceGroupChange logs a change of a group that this node made, and announces it to the other nodes.
+func (node *Node) announceGroupChange(announcement formation.News) {
+	node.logger.Info("gateway: a group changed.", "Group", announcement.Group.Name, "Change", string(announcement.Change),
+		"Model", announcement.Group.Model, "Members", announcement.Group.Members)
+	node.applyAnnouncement(announcement, nil)
 }
 
-// applyGroupNews applies group news and forwards it if it is new. The link is the one that the news came
-// over, nil for news of this node. Only the node where the change originates logs it. Other nodes count it,
-// since every relay would log every change again.
-func (node *Node) applyGroupNews(news formation.News, from *overlay.Link) {
-	if !node.groupView.Learn(news) {
+// applyAnnouncement applies the announcement of a group change, and forwards it if it is new. It came over
+// the given link, or from this node if the link is nil. Only the node that made the change logs it. Other
+// nodes count it, since every relay would log every change again.
+func (node *Node) applyAnnouncement(announcement formation.News, from *overlay.Link) {
+	if !node.groupView.Learn(announcement) {
 		return
 	}
-	node.groupNewsLearnt.Add(1)
-	node.peers.broadcastGroupNews(news, from)
-	if news.Change == formation.Lost {
-		node.peers.catalogue.Lose(news.Group.Name)
+	node.announcementsApplied.Add(1)
+	node.peers.broadcastAnnouncement(announcement, from)
+	if announcement.Change == formation.Lost {
+		node.peers.catalogue.Lose(announcement.Group.Name)
 		node.peers.sendCatalogue()
-		node.handleLostGroup(news.Group.Name)
+		node.handleLostGroup(announcement.Group.Name)
 	}
 	node.requestTargetUpdate()
 }
@@ -350,13 +350,13 @@
 	node.termKeeper.Outdated(term)
 }
 
-// updateLeadership claims or releases the leadership of the fleet, and advances the heartbeat while this node
-// is leader.
+// updateLeadership makes this node leader when it is its turn, yields the leadership when this node can't
+// give orders, and advances the heartbeat while this node is leader.
 func (node *Node) updateLeadership() {
 	eligible := node.peers.overlay.Role() == overlay.Root && node.servers.Load().Known() && node.Ready() == nil &&
-		node.now()-node.startedAt > leadershipStartDelay && !node.lacksEngineServers()
+		node.now()-node.startedAt > leadershipStartDelay && !node.cannotReachEngines()
 	candidates := node.peers.leaderCandidates()
-	node.releaseTerm(candidates)
+	node.yieldLeadership(candidates)
 	if node.termKeeper.Look(candidates, eligible) {
 		node.logger.Info("gateway: this node is now the leader.", "Term", node.termKeeper.Term())
 	}
@@ -382,11 +382,11 @@
 	node.detours.pool.Sweep(func(string) bool { return true })
 }
 
-// recentGroupNews returns the recent group news for a newly linked node.
-func (node *Node) recentGroupNews() []*frame.GroupNews {
+// recentAnnouncements returns the recent group announcements for a newly linked node.
+func (node *Node) recentAnnouncements() []*frame.GroupNews {
 	recent := []*frame.GroupNews{}
-	for _, news := range node.groupView.Recent() {
-		recent = append(recent, newsToWire(news))
+	for _, announcement := range node.groupView.Recent() {
+		recent = append(recent, announcementToWire(announcement))
 	}
 	return recent
 }
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -55,9 +55,9 @@
 	subtree, others := tally.Shares{}, tally.Shares{}
 	subtreeNodes, otherNodes := 1, 0
 	for link, state := range peers.linkStates {
-		tally.Add(others, state.shares)
+		tally.Add(others, state.loads)
 		if isDownstream(link) {
-			tally.Add(subtree, state.shares)
+			tally.Add(subtree, state.loads)
 			subtreeNodes += state.nodes
 		} else {
 			otherNodes += state.nodes
@@ -77,11 +77,11 @@
 	message := &frame.Frame{
 		HighestTerm: node.termKeeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
 		ConfigurationAgeMs: proto.Uint32(cappedMilliseconds(node.follower.ConfigurationAge())),
-		Fit:                peers.synced(), StoreAway: node.storeCalls.Away(), News: state.pendingGroupNews, SilentHeads: state.pendingStalls,
+		Fit:                peers.synced(), StoreAway: node.storeCalls.Away(), News: state.pendingAnnouncements, SilentHeads: state.pendingStalls,
 		Listing: peers.listingFor(state), Suspects: peers.nextSuspects(state), Notices: peers.nextNotices(state),
 		Drains: drainsToWire(node.drains.Records()),
 	}
-	state.pendingGroupNews, state.pendingStalls = nil, nil
+	state.pendingAnnouncements, state.pendingStalls = nil, nil
 	message.Lost = pathsToWire(peers.lostPathsFor(link))
 	peers.addPermits(message, state)
 	peers.addPaces(message, state)
@@ -116,7 +116,7 @@
 func (peers *peers) reportFrame(state *linkState, optional bool) *frame.Frame {
 	own := peers.node.board.Shares()
 	version := peers.node.configuration.Load().Configuration.Version
-	unchanged := version == state.sentConfigurationVersion && maps.Equal(own, state.sentShares)
+	unchanged := version == state.sentConfigurationVersion && maps.Equal(own, state.reportedLoads)
 	message := &frame.Frame{}
 	permits := peers.addPermits(message, state)
 	paces := peers.addPaces(message, state)
@@ -127,7 +127,7 @@
 	if optional && unchanged && !permits && !paces && !pending {
 		return nil
 	}
-	state.sentShares, state.sentConfigurationVersion = own, version
+	state.reportedLoads, state.sentConfigurationVersion = own, version
 	message.Sequence, message.Nodes, message.Loads, message.SilentHeads = state.reports.Add(own), 1, loadsToWire(own), state.pendingStalls
 	message.ConfigurationVersion, message.Suspects, message.Notices = version, peers.nextSuspects(state), peers.nextNotices(state)
 	state.pendingStalls = nil
@@ -163,6 +163,7 @@
 	return append(append(make([]byte, 0, len(shared.body)+2*len(ownPart)), shared.body...), ownPart...)
 }
 
+// encodeLeafFrame encodes the part of a frame that all leaves with the given catalogue version share.
 func (peers *peers) encodeLeafFrame(from uint64, now time.Duration) *encodedLeafFrame {
 	node, totals := peers.node, peers.totalsLocked()
 	delta := peers.catalogue.Since(from)
@@ -175,11 +176,11 @@
 		message.Catalogue = catalogueToWire(delta)
 	}
 	for number, server := range peers.catalogue.Servers() {
-		share := totals.own[server].Plus(totals.others[server])
-		message.Calls = append(message.Calls, uint32(share.Calls))
-		message.Unread = append(message.Unread, uint32(share.Unread))
-		if share.Failed >= dispatch.WorthTelling {
-			message.Failures = append(message.Failures, &frame.Failure{Number: uint32(number), Failed: uint32(share.Failed), Answered: uint32(share.Answered)})
+		load := totals.own[server].Plus(totals.others[server])
+		message.Calls = append(message.Calls, uint32(load.Calls))
+		message.Unread = append(message.Unread, uint32(load.Unread))
+		if load.Failed >= dispatch.WorthTelling {
+			message.Failures = append(message.Failures, &frame.Failure{Number: uint32(number), Failed: uint32(load.Failed), Answered: uint32(load.Answered)})
 		}
 	}
 	body := peers.encodeFrame(message)
@@ -263,26 +264,27 @@
 	return &frame.Listing{End: end.Offset, Era: end.Era, AgeMs: cappedMilliseconds(age)}
 }
 
+// cappedMilliseconds encodes an age for the wire, limited to follower.UnknownAge.
 func cappedMilliseconds(span time.Duration) uint32 {
 	return uint32(min(follower.UnknownAge, max(0, span)).Milliseconds())
 }
 
 // loadsToWire encodes the load per server.
-func loadsToWire(shares tally.Shares) []*frame.Load {
-	loads := make([]*frame.Load, 0, len(shares))
-	for server, share := range shares {
-		loads = append(loads, &frame.Load{
-			Server: server, Calls: uint32(max(0, share.Calls)), Unread: uint32(max(0, share.Unread)),
-			Failed: uint32(max(0, share.Failed)), Answered: uint32(max(0, share.Answered)),
+func loadsToWire(loads tally.Shares) []*frame.Load {
+	encoded := make([]*frame.Load, 0, len(loads))
+	for server, load := range loads {
+		encoded = append(encoded, &frame.Load{
+			Server: server, Calls: uint32(max(0, load.Calls)), Unread: uint32(max(0, load.Unread)),
+			Failed: uint32(max(0, load.Failed)), Answered: uint32(max(0, load.Answered)),
 		})
 	}
-	return loads
+	return encoded
 }
 
-func sharesFromWire(loads []*frame.Load) tally.Shares {
-	shares := make(tally.Shares, len(loads))
-	for _, load := range loads {
-		shares[load.Server] = dispatch.Share{Calls: int(load.Calls), Unread: int(load.Unread), Failed: int(load.Failed), Answered: int(load.Answered)}
+func loadsFromWire(encoded []*frame.Load) tally.Shares {
+	loads := make(tally.Shares, len(encoded))
+	for _, server := range encoded {
+		loads[server.Server] = dispatch.Share{Calls: int(server.Calls), Unread: int(server.Unread), Failed: int(server.Failed), Answered: int(server.Answered)}
 	}
-	return shares
+	return loads
 }
--- a/internal/run/gateway/demands.go
+++ b/internal/run/gateway/demands.go
@@ -85,7 +85,7 @@
 	state.demands.received = sums.Less(own)
 	if !isBackbone(state.link) && peers.overlay.Upstream() == state.link {
 		// No demand at all means that the upstream node has only just started. An estimate from this node's
-		// own rates and the number of nodes is better.
+		// own rates and the number of nodes is better than none.
 		others := state.demands.received
 		if len(sums) == 0 {
 			others = nil
@@ -108,8 +108,8 @@
 	for _, pool := range sums.Pools() {
 		rates := sums[pool]
 		encodedPool := &frame.PoolDemand{Pool: pool, Refused: demand.Hundredths(rates.Refused)}
-		for _, asked := range rates.Trimmed() {
-			encodedPool.Asked = append(encodedPool.Asked, demand.Hundredths(asked))
+		for _, requested := range rates.Trimmed() {
+			encodedPool.Asked = append(encodedPool.Asked, demand.Hundredths(requested))
 		}
 		encoded = append(encoded, encodedPool)
 	}
@@ -120,8 +120,8 @@
 	sums := make(demand.Sums, len(encoded))
 	for _, poolDemand := range encoded {
 		rates := demand.Rates{Refused: demand.FromHundredths(poolDemand.Refused)}
-		for rank, asked := range poolDemand.Asked {
-			rates.Asked[min(rank, demand.Ranks-1)] += demand.FromHundredths(asked)
+		for rank, requested := range poolDemand.Asked {
+			rates.Asked[min(rank, demand.Ranks-1)] += demand.FromHundredths(requested)
 		}
 		sums[poolDemand.Pool] = rates
 	}
--- a/internal/run/gateway/demands_test.go
+++ b/internal/run/gateway/demands_test.go
@@ -45,18 +45,18 @@
 	tree.link("second", "root", frame.Purpose_Root)
 	tree.link("relay-1", "root", frame.Purpose_Relay)
 	tree.link("relay-2", "root", frame.Purpose_Relay)
-	for number, above := range []string{"relay-1", "relay-1", "relay-2", "relay-2", "second", "second"} {
-		tree.link(fmt.Sprintf("leaf-%d", number+1), above, frame.Purpose_Leaf)
+	for number, upstream := range []string{"relay-1", "relay-1", "relay-2", "relay-2", "second", "second"} {
+		tree.link(fmt.Sprintf("leaf-%d", number+1), upstream, frame.Purpose_Leaf)
 	}
 	return tree
 }
 
-func (tree *demandTree) link(opener, taker string, purpose frame.Purpose) {
+func (tree *demandTree) link(opener, accepter string, purpose frame.Purpose) {
 	end := func(name string, opened bool) *demandEnd {
 		peers := tree.nodes[tree.names[name]].peers
 		return &demandEnd{peers: peers, state: peers.linkStateLocked(&overlay.Link{Purpose: purpose, Opened: opened, Done: make(chan struct{})})}
 	}
-	tree.links = append(tree.links, &demandLink{end(opener, true), end(taker, false)})
+	tree.links = append(tree.links, &demandLink{end(opener, true), end(accepter, false)})
 }
 
 // send queues a frame as composeFrame would build it, with demand only.
@@ -178,12 +178,12 @@
 	}
 	tree.links = append(tree.links[:1], tree.links[2:]...)
 	tree.settle()
-	island := float64(3 + 5 + 6)
+	cutOff := float64(3 + 5 + 6)
 	for _, name := range []string{"relay-1", "leaf-1", "leaf-2"} {
-		expect.Expect(tree.knownRate(tree.names[name])).To(gomega.BeNumerically("~", island*ratePerRequest, 0.01), name)
+		expect.Expect(tree.knownRate(tree.names[name])).To(gomega.BeNumerically("~", cutOff*ratePerRequest, 0.01), name)
 	}
 	for _, name := range []string{"root", "second", "relay-2", "leaf-3", "leaf-6"} {
-		expect.Expect(tree.knownRate(tree.names[name])).To(gomega.BeNumerically("~", (55-island)*ratePerRequest, 0.01), name)
+		expect.Expect(tree.knownRate(tree.names[name])).To(gomega.BeNumerically("~", (55-cutOff)*ratePerRequest, 0.01), name)
 	}
 }
 
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -21,8 +21,8 @@
 	maxDetourQueries    = 6
 	// maxUsefulQueries is how many of the nodes already known as useful are asked again.
 	maxUsefulQueries = 3
-	// firstDetourAnswerTimeout bounds the wait for the first answer, and laterDetourAnswersTimeout the wait
-	// for each further one.
+	// firstDetourAnswerTimeout bounds the wait for the first useful answer, and laterDetourAnswersTimeout the
+	// wait for each further one.
 	firstDetourAnswerTimeout  = 250 * time.Millisecond
 	laterDetourAnswersTimeout = 20 * time.Millisecond
 	// maxLeafDetours is how many of its leaves a relay advertises in an answer.
@@ -52,11 +52,11 @@
 	queryRequests chan struct{}
 
 	mu sync.Mutex
-	// uncertainFailures holds server failures that may be failures of the path, by path. They are recorded
-	// once the path is known to be healthy, and discarded if it is lost.
+	// uncertainFailures holds server failures on suspected paths, by path, which may be failures of the path.
+	// They are recorded once the path is found healthy, and discarded if it is lost.
 	uncertainFailures map[*reach.Way][]uncertainFailure
-	// suppressedReports counts the reports about servers that were not sent because the path to the server is
-	// in doubt.
+	// suppressedReports counts the reports about servers that were not sent because the path to the server
+	// was suspected or lost.
 	suppressedReports int
 }
 
@@ -195,8 +195,8 @@
 	for link, state := range peers.linkStates {
 		if !isBackbone(link) && !link.Opened && state.detourAddress != "" {
 			calls := 0
-			for _, share := range state.shares {
-				calls += share.Calls
+			for _, load := range state.loads {
+				calls += load.Calls
 			}
 			found = append(found, &frame.Detour{
 				Address: state.detourAddress, Peer: link.Remote.Address, DataCentre: link.Remote.DataCentre, Lost: pathsToWire(state.lostPaths), Calls: uint32(max(0, calls)),
--- a/internal/run/gateway/fetch.go
+++ b/internal/run/gateway/fetch.go
@@ -56,13 +56,14 @@
 	delete(fetchTracker.startedAt, address)
 }
 
-// fetchIfNewer fetches the configuration from a node that announces a newer version. The fetch uses a
-// connection of its own: on a slow link it would delay all other frames.
+// fetchIfNewer fetches the configuration from the node at the other end of a link if its version is newer.
+// The fetch uses a connection of its own: over a slow link it would delay all other frames.
 func (peers *peers) fetchIfNewer(link *overlay.Link, version int64) {
 	peers.fetchIfNewerFrom(link.Remote.Address, version)
 }
 
-// fetchIfNewerFrom does the same for a node without a link to this one. The address may be empty.
+// fetchIfNewerFrom fetches the configuration from a node, with or without a link to it, if its version is
+// newer. It does nothing if the node's address is empty, that is, unknown.
 func (peers *peers) fetchIfNewerFrom(address string, version int64) {
 	if address == "" || version <= peers.node.configuration.Load().Configuration.Version {
 		return
--- a/internal/run/gateway/frame_bench_test.go
+++ b/internal/run/gateway/frame_bench_test.go
@@ -45,7 +45,7 @@
 	relay.peers.catalogue.Publish(rows)
 	state := relay.peers.linkStateLocked(&overlay.Link{Purpose: frame.Purpose_Root, Done: make(chan struct{})})
 	for _, row := range rows {
-		state.shares[row.Server] = dispatch.Share{Calls: 4, Unread: 900}
+		state.loads[row.Server] = dispatch.Share{Calls: 4, Unread: 900}
 	}
 }
 
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -3,8 +3,8 @@
 //
 // All nodes are equal and keep nothing on disk. The operator's configuration and the registry of servers come from the
 // platform's store. One node reads the store and distributes the content to the others; a node whose copy grows old
-// reads the store itself. One node at a time, the leader, sends commands to servers. All other functions of a node work
-// without the leader.
+// reads the store itself. One node at a time, the leader, gives orders to servers, under a term that rises with each
+// new leader. All other functions of a node work without a leader.
 //
 // The package doesn't know the platform's names and formats. Platform holds the functions that implement them.
 //
@@ -68,8 +68,8 @@
 	Fleet formation.Fleet
 	Codec backendserver.Codec
 	// SetNoticeHandler sets the function that receives what servers state about themselves in responses to
-	// queries and commands.
-	SetNoticeHandler func(heard func(server *roster.Server, source string, said backendserver.Said))
+	// queries and orders.
+	SetNoticeHandler func(handler func(server *roster.Server, source string, content backendserver.Said))
 	// DecodeCaller decodes a caller's request, except for its body.
 	DecodeCaller func(request *http.Request) *forward.Request
 	// ReadinessPath is the URL path of the load balancer's readiness check.
@@ -97,7 +97,7 @@
 	servers          *roster.List
 	warmups          *warmup.Table
 	groupView        *formation.View
-	former           *formation.Former
+	groupController  *formation.Former
 	termKeeper       *tenure.Keeper
 	board            *dispatch.Board
 	demand           *demand.Demand
@@ -119,11 +119,11 @@
 	targetsDirty       chan struct{}
 	suspectsDirty      chan struct{}
 	// stateKnown is closed once the node has both a configuration and the servers.
-	stateKnown      chan struct{}
-	stateKnownOnce  sync.Once
-	stopping        atomic.Bool
-	groupNewsLearnt atomic.Uint64
-	pathsLost       atomic.Uint64
+	stateKnown           chan struct{}
+	stateKnownOnce       sync.Once
+	stopping             atomic.Bool
+	announcementsApplied atomic.Uint64
+	pathsLost            atomic.Uint64
 	// storedSuspectsLost is set when the store may have lost the suspects written to it.
 	storedSuspectsLost atomic.Bool
 
@@ -207,7 +207,7 @@
 		dispatch.Counted(func() int { return int(node.peers.reportingNodes.Load()) }))
 	node.pool = backendserver.New(platform.Codec, node.poolOptions()...)
 	node.termKeeper = tenure.New(node.Incarnation, node.claimTerm, node.now)
-	node.former = formation.New(node.formationDependencies())
+	node.groupController = formation.New(node.formationDependencies())
 	node.follower = follower.New(node.followerDependencies())
 	node.forwarder = forward.New(node.forwarderDependencies())
 	if platform.SetNoticeHandler != nil {
@@ -231,7 +231,7 @@
 func (node *Node) formationDependencies() formation.Parts {
 	return formation.Parts{
 		Fleet: node.platform.Fleet, View: node.groupView, Servers: node.servers.Load, Services: node.engineServices,
-		Term: node.orderTerm, Outdated: node.handleOutdatedTerm, Announce: node.announceGroupNews, Load: node.modelUsage,
+		Term: node.orderTerm, Outdated: node.handleOutdatedTerm, Announce: node.announceGroupChange, Load: node.modelUsage,
 		Told: func() bool { return node.peers.fedByUpstream() },
 		Quiet: func() bool {
 			return node.settings.FirstStart && node.forwarder.Counts.Requests.Load() == 0 && !node.peers.othersBusy()
@@ -317,7 +317,7 @@
 	node.PacedAs("tenure", node.leafAwareInterval(leadershipInterval), node.updateLeadership)
 	node.EveryAs("sweep", time.Second, node.sweep)
 	node.GoAs("suspects", node.runSuspectSync)
-	node.former.Start()
+	node.groupController.Start()
 	node.GoAs("detours", node.detours.runQueries)
 	if detourServer := node.detours.server; detourServer != nil {
 		node.GoAs("http", func() { node.serve(detourServer, node.detours.listener) })
@@ -369,7 +369,7 @@
 	window, ok := node.retryBudgets[service]
 	if !ok {
 		bounds := node.settings.Bounds
-		window = retry.NewWindow(retry.Allowance{Ratio: bounds.RetryRatio, Least: bounds.RetryLeast, Span: bounds.RetryWindow}, node.peers.budgetNodes, node.now,
+		window = retry.NewWindow(retry.Allowance{Ratio: bounds.RetryRatio, Least: bounds.RetryBase, Span: bounds.RetryWindow}, node.peers.budgetNodes, node.now,
 			retry.Lot(rendezvous.Draw(service, node.Incarnation)))
 		node.retryBudgets[service] = window
 	}
--- a/internal/run/gateway/limits.go
+++ b/internal/run/gateway/limits.go
@@ -22,9 +22,9 @@
 	sentLoans     map[ratelimit.Run]ratelimit.Loan
 }
 
-func newPermitState(number ratelimit.Neighbour, limits []ratelimit.Limit) permitState {
+func newPermitState(neighbour ratelimit.Neighbour, limits []ratelimit.Limit) permitState {
 	state := permitState{
-		neighbour: number, pendingLimits: map[ratelimit.Run]struct{}{},
+		neighbour: neighbour, pendingLimits: map[ratelimit.Run]struct{}{},
 		sentClaims: map[ratelimit.Run]ratelimit.Claim{}, sentLoans: map[ratelimit.Run]ratelimit.Loan{},
 	}
 	for _, limit := range limits {
@@ -177,15 +177,15 @@
 		return
 	}
 	peers.mu.Lock()
-	number := peers.linkStateLocked(link).permits.neighbour
+	neighbour := peers.linkStateLocked(link).permits.neighbour
 	peers.mu.Unlock()
 	for _, claim := range received.Claims {
 		peers.handleLimit(link, &frame.ServerLimit{Server: claim.Server, Born: claim.Born, Rate: claim.Rate, Version: claim.Version})
 	}
-	duties := peers.permitSources()
+	sources := peers.permitSources()
 	limits := peers.node.limits
-	peers.sendNow(limits.TakeClaims(number, claimsFromWire(received.Claims), duties))
-	peers.sendNow(limits.TakeLoans(number, loansFromWire(received.Loans), duties))
+	peers.sendNow(limits.TakeClaims(neighbour, claimsFromWire(received.Claims), sources))
+	peers.sendNow(limits.TakeLoans(neighbour, loansFromWire(received.Loans), sources))
 }
 
 // handleLimit merges a limit that another node sent, and forwards it if it is new. If the other node has an
--- a/internal/run/gateway/node_counter.go
+++ b/internal/run/gateway/node_counter.go
@@ -15,8 +15,8 @@
 	// initialNodeCount is assumed by a node that has just started and heard from no other node. The high
 	// value leaves the node almost no fixed share of a budget until it knows the real count.
 	initialNodeCount = 100
-	// singleNodeAfter is how long a node that hears from no other node waits before it counts itself as the
-	// only one.
+	// singleNodeAfter is how long a node that hears from no other node keeps initialNodeCount. After that it
+	// counts itself as the only node.
 	singleNodeAfter = 5 * time.Second
 )
 
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -141,7 +141,7 @@
 		slog.Float64("Rate", limit.Rate), slog.Float64("Before", previous.Rate), slog.String("Value", limit.Unreadable))
 }
 
-// handleControlNotice applies what a server states about itself in its response to a query or a command. Such
+// handleControlNotice applies what a server states about itself in its response to a query or an order. Such
 // a response doesn't show whether the server accepts calls.
 func (node *Node) handleControlNotice(server *roster.Server, source string, content backendserver.Said) {
 	if content == (backendserver.Said{}) {
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -76,7 +76,7 @@
 		ConfigurationVersion: node.configuration.Load().Configuration.Version, StoreEra: node.follower.Era(),
 		ConfigurationAgeMilliseconds: node.follower.ConfigurationAge().Milliseconds(), Store: node.storeCalls.State(), ReadsStore: node.peers.readerStanding().Reads(), ListEnd: servers.End,
 		ListAgeMilliseconds: node.follower.ListAge().Milliseconds(), Servers: len(servers.Servers),
-		Targets: node.board.State(), Former: node.former.State(),
+		Targets: node.board.State(), Former: node.groupController.State(),
 		Budgets: node.retryBudgetStates(), Nodes: node.peers.reachableNodes(), Overlay: node.peers.overlay.State(),
 		Suspects: node.quarantine.State(), Limits: node.limits.State(), Notices: node.notices.State(),
 		DrainedDataCentres: node.drains.Drained(), Demands: node.demand.State(), Memory: node.memory.State(),
@@ -97,7 +97,7 @@
 	Counters  map[string]uint64
 	// Ages are in milliseconds, -1 for data that was never read.
 	Ages map[string]int64
-	// Term is the term under which this node leads the fleet, 0 if it doesn't.
+	// Term is the term under which this node is leader, 0 if it isn't.
 	Term    int64
 	Budgets map[string]retry.WindowState
 	// Serving is the number of servers and group heads that accept calls, by pool.
@@ -130,7 +130,7 @@
 }
 
 func (node *Node) counters() map[string]uint64 {
-	groups, connections, links := &node.former.Counts, &node.pool.Counts, &node.peers.overlay.Counts
+	groups, connections, links := &node.groupController.Counts, &node.pool.Counts, &node.peers.overlay.Counts
 	paces := &node.board.PaceCounts
 	held, peak, refused := node.memory.Sums()
 	return map[string]uint64{
@@ -148,7 +148,7 @@
 		"StrayAnswers": connections.StrayAnswer.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.Returns(),
 		"LinksAttached": links.Attached.Load(), "LinksFailed": links.AttachFailed.Load(), "LinksEnded": links.LinksEnded.Load(),
 		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesTaken.Load(), "FrameBytesSent": links.BytesSent.Load(),
-		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.groupNewsLearnt.Load(),
+		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.announcementsApplied.Load(),
 		"MemoryHeld": uint64(held), "MemoryMost": uint64(peak), "MemoryRefused": refused,
 		"DemandAsked": node.demand.Counts.Asked.Load(), "DemandRefused": node.demand.Counts.Refused.Load(), "DemandTaken": node.demand.Counts.Taken.Load(),
 		"WaysLost": node.pathsLost.Load(), "DetoursSent": node.forwarder.Counts.DetoursSent.Load(),
--- a/internal/run/gateway/paths.go
+++ b/internal/run/gateway/paths.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// pathChanged handles a path that is lost or healthy again.
+// pathChanged handles a path that became lost or healthy.
 func (detours *detours) pathChanged(path *reach.Way, result *reach.Result) {
 	node, destination := detours.node, path.Place
 	detours.mu.Lock()
@@ -68,8 +68,8 @@
 	}
 }
 
-// suppressReport reports whether observations of a server are unreliable because the path to it is in doubt,
-// and counts the reports suppressed for that reason.
+// suppressReport reports whether observations of a server are unreliable because the path to it is suspected
+// or lost, and counts the reports suppressed for that reason.
 func (detours *detours) suppressReport(target *dispatch.Target) bool {
 	if target.Reached() {
 		return false
@@ -80,9 +80,8 @@
 	return true
 }
 
-// lacksEngineServers reports whether this node can reach no engine server at all and therefore can't lead the
-// fleet.
-func (node *Node) lacksEngineServers() bool {
+// cannotReachEngines reports whether this node reaches no engine server at all, so that it can't give orders.
+func (node *Node) cannotReachEngines() bool {
 	return node.detours.lacksEngineServers(node.detours.paths.Lost(false))
 }
 
@@ -101,19 +100,20 @@
 	return len(services) > 0
 }
 
-// orderTerm returns the term under which this node may send commands now, 0 for none.
+// orderTerm returns the term under which this node may give orders now, 0 for none.
 func (node *Node) orderTerm() int64 {
-	if node.lacksEngineServers() {
+	if node.cannotReachEngines() {
 		return 0
 	}
 	return node.termKeeper.Term()
 }
 
-// releaseTerm gives up this node's term if this node reaches no engine server and another node could lead.
-// Otherwise the term stays here, as it would only pass from one unsuitable node to the next.
-func (node *Node) releaseTerm(candidates []tenure.Peer) {
+// yieldLeadership gives up this node's term if this node reaches no engine server and another node could
+// become leader. If no other node could, the term stays here, as it would only pass from one unsuitable node
+// to the next.
+func (node *Node) yieldLeadership(candidates []tenure.Peer) {
 	term := node.termKeeper.Term()
-	if term == 0 || !node.lacksEngineServers() || !slices.ContainsFunc(candidates, func(peer tenure.Peer) bool { return peer.Fit }) {
+	if term == 0 || !node.cannotReachEngines() || !slices.ContainsFunc(candidates, func(peer tenure.Peer) bool { return peer.Fit }) {
 		return
 	}
 	node.logger.Warn("gateway: this node reaches no engine server and gives up leadership.", "Term", term)
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -25,7 +25,7 @@
 
 const (
 	// leaderTimeout is how long the leader counts as alive after its heartbeat was last seen to rise. It
-	// allows for a few lost frames on a path of several links, and lets another node take over within a
+	// allows for a few lost frames on the way over several links, and lets another node take over within a
 	// second.
 	leaderTimeout = 750 * time.Millisecond
 	// totalsTTL is how long the totals over all nodes are reused before they are computed again.
@@ -40,12 +40,14 @@
 	link *overlay.Link
 	// reports are the loads that this node reported over the link.
 	reports tally.Reports
-	// shares and nodes are the load and the node count that the other side sent last, and sequence is the
-	// number of that frame. From the upstream node, shares and nodes cover the whole fleet except for what
+	// loads and nodes are the load and the node count that the other side sent last, and sequence is the
+	// number of that frame. From the upstream node, loads and nodes cover the whole fleet except for what
 	// this node reported.
-	shares tally.Shares
-	nodes  int
-	// otherCalls is the number of calls of all other nodes, as sent to a leaf.
+	loads tally.Shares
+	nodes int
+	// otherCalls is the number of calls of all other nodes, as sent to a leaf. synced and storeUnavailable
+	// are what the other side reports about itself: whether it has the state that leaves need, and whether
+	// the store fails to answer it.
 	otherCalls       int
 	sequence         uint64
 	synced           bool
@@ -69,19 +71,19 @@
 	// that this node received as a leaf.
 	catalogueSentVersion uint64
 	catalogueCopy        *catalogue.Copy
-	// sentLostPaths, detourAddressSent, sentShares and sentConfigurationVersion are what this node last
+	// sentLostPaths, detourAddressSent, reportedLoads and sentConfigurationVersion are what this node last
 	// reported as a leaf. sentLeafHash is the content hash of the last frame sent to a leaf.
 	sentLostPaths            []reach.Place
 	detourAddressSent        bool
-	sentShares               tally.Shares
+	reportedLoads            tally.Shares
 	sentConfigurationVersion int64
 	sentLeafHash             uint64
-	// pendingGroupNews, pendingStalls and pendingSuspects are to be sent with the next frame.
-	pendingGroupNews []*frame.GroupNews
-	pendingStalls    []*frame.SilentHead
-	pendingSuspects  map[quarantine.Fingerprint]struct{}
-	permits          permitState
-	demands          demandState
+	// pendingAnnouncements, pendingStalls and pendingSuspects are to be sent with the next frame.
+	pendingAnnouncements []*frame.GroupNews
+	pendingStalls        []*frame.SilentHead
+	pendingSuspects      map[quarantine.Fingerprint]struct{}
+	permits              permitState
+	demands              demandState
 	// pendingNotices are the server runs whose notices are to be sent with the next frame.
 	pendingNotices map[ratelimit.Run]struct{}
 	// pendingPaces are the targets whose pace factors are to be sent with the next frame.
@@ -116,7 +118,8 @@
 type encodedLeafFrame struct {
 	fromVersion, toVersion uint64
 	encodedAt              time.Duration
-	// contentHash covers the content except for the values that change all the time.
+	// contentHash covers the content except for the ages and the demand, which change all the time. The
+	// demand revision is mixed in, so that a significant change of demand changes the hash.
 	contentHash uint64
 	body        []byte
 }
@@ -232,8 +235,8 @@
 	return peers.node.servers.Load().Known() && peers.node.configuration.Load().Known()
 }
 
-// roleChanged handles a new role of this node. A leaf doesn't have the server list, so it can't lead the
-// fleet and gives up its term.
+// roleChanged handles a new role of this node. A leaf doesn't have the server list, so it can't give orders
+// and gives up its term.
 func (peers *peers) roleChanged(role overlay.Role) {
 	if term := peers.node.termKeeper.Term(); role == overlay.Leaf && term != 0 {
 		peers.node.termKeeper.Outdated(term)
@@ -267,7 +270,7 @@
 	}
 	peers.lastNeighbour++
 	state = &linkState{
-		link: link, shares: tally.Shares{}, catalogueCopy: catalogue.NewCopy(), pendingSuspects: map[quarantine.Fingerprint]struct{}{},
+		link: link, loads: tally.Shares{}, catalogueCopy: catalogue.NewCopy(), pendingSuspects: map[quarantine.Fingerprint]struct{}{},
 		permits: newPermitState(peers.lastNeighbour, peers.node.limits.All()), pendingNotices: map[ratelimit.Run]struct{}{},
 		pendingPaces: peers.node.board.SlowRuns(),
 	}
@@ -275,7 +278,7 @@
 		state.pendingNotices[run] = struct{}{}
 	}
 	if isBackbone(link) {
-		state.pendingGroupNews = peers.node.recentGroupNews()
+		state.pendingAnnouncements = peers.node.recentAnnouncements()
 	}
 	peers.queueAllSuspects(state)
 	select {
@@ -292,7 +295,7 @@
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	for _, state := range peers.linkStates {
-		if state.otherCalls > 0 || len(state.shares) > 0 {
+		if state.otherCalls > 0 || len(state.loads) > 0 {
 			return true
 		}
 	}
@@ -304,8 +307,8 @@
 const storeReaderKey = "store"
 
 // readerRank returns this node's rank among the candidates for reading the store on behalf of the fleet; rank
-// 0 reads. Roots rank before relays, since the other nodes hear from them, and nodes that can reach the store
-// rank before those that can't. Leaves don't read it.
+// 0 reads. Roots rank first, since the other nodes hear from them. Among the roots, those that can reach the
+// store rank before those that can't. Leaves receive the content from their upstream node.
 func (peers *peers) readerRank() int {
 	if peers.overlay.Role() != overlay.Root {
 		return peers.overlay.DataCentres()
@@ -364,8 +367,8 @@
 	return candidates
 }
 
-// advanceHeartbeat raises the leader's heartbeat while this node is leader, and marks the term as released
-// once it no longer is.
+// advanceHeartbeat raises the heartbeat while this node is leader, and marks its term as released once it no
+// longer is.
 func (peers *peers) advanceHeartbeat(term int64) {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
--- a/internal/run/gateway/receive.go
+++ b/internal/run/gateway/receive.go
@@ -53,12 +53,12 @@
 	}
 }
 
-// handleLeafReport stores the load that a leaf reports.
+// handleLeafReport stores the load and the demand that a leaf reports.
 func (peers *peers) handleLeafReport(link *overlay.Link, received *frame.Frame) {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	state := peers.linkStateLocked(link)
-	state.shares, state.nodes, state.sequence = sharesFromWire(received.Loads), int(received.Nodes), received.Sequence
+	state.loads, state.nodes, state.sequence = loadsFromWire(received.Loads), int(received.Nodes), received.Sequence
 	peers.applyDemandsLocked(state, received)
 }
 
@@ -69,21 +69,21 @@
 	storeRecovered := state.storeUnavailable && !received.StoreAway
 	state.synced, state.storeUnavailable = received.Fit, received.StoreAway
 	state.sequence = received.Sequence
-	state.receivedLoads.Apply(received.LoadsWhole, sharesFromWire(received.Loads))
-	shares, nodes := state.receivedLoads.Shares(), int(received.Nodes)
+	state.receivedLoads.Apply(received.LoadsWhole, loadsFromWire(received.Loads))
+	loads, nodes := state.receivedLoads.Shares(), int(received.Nodes)
 	if link.Upstream() {
-		shares = tally.Less(shares, state.reports.At(received.Included))
+		loads = tally.Less(loads, state.reports.At(received.Included))
 		nodes = max(0, nodes-peers.totalsLocked().subtreeNodes)
 	}
-	state.shares, state.nodes = shares, nodes
+	state.loads, state.nodes = loads, nodes
 	peers.applyDemandsLocked(state, received)
 	peers.mu.Unlock()
 	if storeRecovered {
 		peers.node.follower.Hint()
 	}
 	peers.handleListing(state, received.Listing)
-	for _, news := range received.News {
-		peers.node.applyGroupNews(newsFromWire(news), link)
+	for _, announcement := range received.News {
+		peers.node.applyAnnouncement(announcementFromWire(announcement), link)
 	}
 }
 
@@ -133,8 +133,8 @@
 	if received.Listing != nil {
 		state.listAge, state.listAgeAt = time.Duration(received.Listing.AgeMs)*time.Millisecond, peers.node.now()
 	}
-	counts := newRowCounts(state, received)
-	state.otherCalls = counts.otherCalls()
+	loads := newRowLoads(state, received)
+	state.otherCalls = loads.otherCalls()
 	peers.applyDemandsLocked(state, received)
 	peers.observeNodeCount(state.nodes+1, peers.node.now())
 	peers.mu.Unlock()
@@ -144,11 +144,11 @@
 	for _, group := range lostGroups {
 		peers.node.handleLostGroup(group)
 	}
-	peers.node.board.PeerLoadsBy(counts.otherShare)
+	peers.node.board.PeerLoadsBy(loads.otherLoad)
 }
 
-// rowCounts is the load of all nodes per catalogue row, by row number.
-type rowCounts struct {
+// rowLoads is the load of all nodes per catalogue row, by row number.
+type rowLoads struct {
 	servers       []string
 	calls, unread []uint32
 	failures      map[int]*frame.Failure
@@ -156,46 +156,46 @@
 	own tally.Shares
 }
 
-func newRowCounts(state *linkState, received *frame.Frame) *rowCounts {
-	counts := &rowCounts{
+func newRowLoads(state *linkState, received *frame.Frame) *rowLoads {
+	loads := &rowLoads{
 		servers: state.catalogueCopy.Servers(), calls: received.Calls, unread: received.Unread, own: state.reports.At(received.Included),
 	}
 	if len(received.Failures) > 0 {
-		counts.failures = make(map[int]*frame.Failure, len(received.Failures))
+		loads.failures = make(map[int]*frame.Failure, len(received.Failures))
 		for _, failure := range received.Failures {
-			counts.failures[int(failure.Number)] = failure
+			loads.failures[int(failure.Number)] = failure
 		}
 	}
-	return counts
+	return loads
 }
 
 // otherCalls returns the number of calls of the other nodes.
-func (rowCounts *rowCounts) otherCalls() int {
+func (rowLoads *rowLoads) otherCalls() int {
 	sum := 0
-	for _, calls := range rowCounts.calls {
+	for _, calls := range rowLoads.calls {
 		sum += int(calls)
 	}
-	for _, share := range rowCounts.own {
-		sum -= share.Calls
+	for _, load := range rowLoads.own {
+		sum -= load.Calls
 	}
 	return max(0, sum)
 }
 
-// otherShare returns the load of the other nodes at a target. It is empty if the target's row number has been
+// otherLoad returns the load of the other nodes at a target. It is empty if the target's row number has been
 // reassigned to another server, since the calls at the target are about to end.
-func (rowCounts *rowCounts) otherShare(target *dispatch.Target) dispatch.Share {
+func (rowLoads *rowLoads) otherLoad(target *dispatch.Target) dispatch.Share {
 	number := target.Number
-	if number >= len(rowCounts.calls) || number >= len(rowCounts.unread) || number >= len(rowCounts.servers) || rowCounts.servers[number] != target.ID {
+	if number >= len(rowLoads.calls) || number >= len(rowLoads.unread) || number >= len(rowLoads.servers) || rowLoads.servers[number] != target.ID {
 		return dispatch.Share{}
 	}
-	share := dispatch.Share{Calls: int(rowCounts.calls[number]), Unread: int(rowCounts.unread[number])}
-	if failure := rowCounts.failures[number]; failure != nil {
-		share.Failed, share.Answered = int(failure.Failed), int(failure.Answered)
+	load := dispatch.Share{Calls: int(rowLoads.calls[number]), Unread: int(rowLoads.unread[number])}
+	if failure := rowLoads.failures[number]; failure != nil {
+		load.Failed, load.Answered = int(failure.Failed), int(failure.Answered)
 	}
-	if own, known := rowCounts.own[target.ID]; known {
-		share = share.Minus(own)
+	if own, known := rowLoads.own[target.ID]; known {
+		load = load.Minus(own)
 	}
-	return share
+	return load
 }
 
 // staleRowsWindow is how long rows based on an older server list are ignored. A relay that was cut off may
@@ -247,10 +247,10 @@
 	peers.overlay.Poke(func(link *overlay.Link) bool { return queued[link] })
 }
 
-// broadcastGroupNews sends news of a group to the relays and roots.
-func (peers *peers) broadcastGroupNews(news formation.News, from *overlay.Link) {
-	encoded := newsToWire(news)
-	peers.queueAndSend(from, isBackbone, func(state *linkState) { state.pendingGroupNews = append(state.pendingGroupNews, encoded) })
+// broadcastAnnouncement sends the announcement of a group change to the relays and roots.
+func (peers *peers) broadcastAnnouncement(announcement formation.News, from *overlay.Link) {
+	encoded := announcementToWire(announcement)
+	peers.queueAndSend(from, isBackbone, func(state *linkState) { state.pendingAnnouncements = append(state.pendingAnnouncements, encoded) })
 }
 
 // broadcastVersion announces a new configuration version immediately.
@@ -263,16 +263,17 @@
 	peers.overlay.Poke(func(link *overlay.Link) bool { return !isBackbone(link) && !link.Opened })
 }
 
-// broadcastStall reports a stalled group towards the leader.
+// broadcastStall reports a stalled group to the upstream node, or to the relays and roots, so that the leader
+// hears of it.
 func (peers *peers) broadcastStall(stall *frame.SilentHead, from *overlay.Link) {
-	towardsLeader := func(link *overlay.Link) bool { return isBackbone(link) || link.Opened }
-	peers.queueAndSend(from, towardsLeader, func(state *linkState) { state.pendingStalls = append(state.pendingStalls, stall) })
+	towardsRoot := func(link *overlay.Link) bool { return isBackbone(link) || link.Opened }
+	peers.queueAndSend(from, towardsRoot, func(state *linkState) { state.pendingStalls = append(state.pendingStalls, stall) })
 }
 
 // handleStalls applies and forwards the stalled groups that other nodes report.
 func (peers *peers) handleStalls(link *overlay.Link, received []*frame.SilentHead) {
 	for _, stall := range received {
-		peers.node.former.Suspect(stall.Server, stall.Group)
+		peers.node.groupController.Suspect(stall.Server, stall.Group)
 		if peers.stallReportDue(stall.Group) {
 			peers.broadcastStall(stall, link)
 		}
--- a/internal/run/gateway/request_metrics.go
+++ b/internal/run/gateway/request_metrics.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// record counts a finished request.
+// record counts a request by outcome and records the latencies that apply to its outcome.
 func (requestMetrics *requestMetrics) record(summary forward.Summary) {
 	requestMetrics.mu.Lock()
 	byOutcome, ok := requestMetrics.outcomes[summary.Route]
--- a/internal/run/gateway/settings.go
+++ b/internal/run/gateway/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Settings is the configuration of one gateway node.
+// Settings configures a gateway node.
 type Settings struct {
 	Name       string
 	DataCentre string
@@ -59,12 +59,14 @@
 	Grace time.Duration
 	// Stall is how long a group that lost a member keeps accepting calls.
 	Stall time.Duration
-	// LoadWindow and LoadBurst bound the rate of model loads from the weight store.
+	// LoadWindow and LoadBurst bound the model loads from the weight store: within any LoadWindow, LoadBurst
+	// times what the configured rate allows.
 	LoadWindow time.Duration
 	LoadBurst  float64
-	// RetryRatio, RetryLeast and RetryWindow bound the retries of all nodes together.
+	// RetryRatio, RetryBase and RetryWindow bound the retries of all nodes together: within any RetryWindow,
+	// RetryRatio times the number of requests plus RetryBase.
 	RetryRatio  float64
-	RetryLeast  float64
+	RetryBase   float64
 	RetryWindow time.Duration
 	// PropagationTime is how long it may take until all nodes act on a change, 0 if unknown.
 	PropagationTime time.Duration
--- a/internal/run/gateway/stop.go
+++ b/internal/run/gateway/stop.go
@@ -63,11 +63,11 @@
 func (node *Node) stopParts() {
 	node.readinessServer.Close()
 	node.operatorServer.Close()
-	node.former.Ask()
+	node.groupController.Ask()
 	node.follower.Ask()
 	node.Ask()
 	node.peers.overlay.Stop()
-	node.former.Stop()
+	node.groupController.Stop()
 	node.follower.Stop()
 	node.Part.Stop()
 	node.pool.Sweep(func(string) bool { return false })
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -50,10 +50,10 @@
 }
 
 // callStore makes a single call to the store with a timeout, and records its result.
-func (node *Node) callStore(call *store.Call, timeout time.Duration, ask func(ctx context.Context) error) error {
+func (node *Node) callStore(call *store.Call, timeout time.Duration, request func(ctx context.Context) error) error {
 	ctx, cancel := node.Context(timeout)
 	defer cancel()
-	err := ask(ctx)
+	err := request(ctx)
 	call.End(err)
 	return err
 }
@@ -79,7 +79,7 @@
 // errStoreUnavailable is returned for a call that is not made because the store doesn't respond.
 var errStoreUnavailable = errors.New("claim a term: the store is unavailable")
 
-// maxClaimFailures is how many consecutive store calls may fail before claiming a term no longer uses the
+// maxClaimFailures is how many consecutive store calls may fail before a term is no longer claimed from the
 // store: waiting for it would leave the fleet without a leader.
 const maxClaimFailures = 2
 
@@ -88,12 +88,12 @@
 	if node.storeCalls.FailuresInRow() >= maxClaimFailures {
 		return storelog.Nowhere, errStoreUnavailable
 	}
-	place := storelog.Nowhere
+	position := storelog.Nowhere
 	err := node.callStore(node.storeCalls.BeginWrite("claim"), storeTimeout, func(ctx context.Context) (err error) {
-		if place, err = node.platform.Store.Claim(ctx, node.settings.Name); err != nil {
+		if position, err = node.platform.Store.Claim(ctx, node.settings.Name); err != nil {
 			return err
 		}
-		return node.follower.HeardEra(place.Era)
+		return node.follower.HeardEra(position.Era)
 	})
-	return place, err
+	return position, err
 }
--- a/internal/run/gateway/suspects.go
+++ b/internal/run/gateway/suspects.go
@@ -21,8 +21,8 @@
 	storeFailureThreshold            = 2
 	partitionedStoreFailureThreshold = 1
 	// suspectSyncInterval is how often the store is read while suspects are fresh. freshSuspectWindow is how
-	// long they are, which is longer than a caller takes to retry. Changes are written immediately, and the
-	// nodes that read the store see them one interval later.
+	// long a suspect stays fresh after a server failure, which is longer than a caller takes to retry.
+	// Changes are written immediately, and the nodes that read the store see them one interval later.
 	suspectSyncInterval = time.Second
 	freshSuspectWindow  = 10 * time.Second
 	// suspectWriteDelay is how long a root waits to write again after the store was restored from an older
--- a/internal/run/gateway/wire.go
+++ b/internal/run/gateway/wire.go
@@ -8,16 +8,16 @@
 	"hazelslip/internal/wire/frame"
 )
 
-func newsFromWire(news *frame.GroupNews) formation.News {
-	return formation.News{Change: formation.Change(news.Change), Group: formation.Group{
-		Name: news.Group, Epoch: news.Epoch, Service: news.Service, Model: news.Model, Members: news.Members,
+func announcementFromWire(encoded *frame.GroupNews) formation.News {
+	return formation.News{Change: formation.Change(encoded.Change), Group: formation.Group{
+		Name: encoded.Group, Epoch: encoded.Epoch, Service: encoded.Service, Model: encoded.Model, Members: encoded.Members,
 	}}
 }
 
-func newsToWire(news formation.News) *frame.GroupNews {
-	group := news.Group
+func announcementToWire(announcement formation.News) *frame.GroupNews {
+	group := announcement.Group
 	return &frame.GroupNews{
-		Group: group.Name, Epoch: group.Epoch, Service: group.Service, Model: group.Model, Members: group.Members, Change: string(news.Change),
+		Group: group.Name, Epoch: group.Epoch, Service: group.Service, Model: group.Model, Members: group.Members, Change: string(announcement.Change),
 	}
 }
 
--- a/internal/run/soak/check.go
+++ b/internal/run/soak/check.go
@@ -62,7 +62,7 @@
 		}
 		for _, from := range repeats {
 			spent, earned := within(repeats, from, bounds.RetryWindow), within(firsts, from, bounds.RetryWindow)
-			if float64(spent) > bounds.RetryRatio*float64(earned)+bounds.RetryLeast {
+			if float64(spent) > bounds.RetryRatio*float64(earned)+bounds.RetryBase {
 				wrong = append(wrong, fmt.Sprintf("%d repeats of %v within %s beside %d requests", spent, kinds, bounds.RetryWindow, earned))
 				break
 			}
