--- /dev/null
+++ b/internal/run/gateway/paths.go
@@ -0,0 +1,146 @@
+package gateway
+
+import (
+	"slices"
+
+	"hazelslip/internal/fleet/overlay"
+	"hazelslip/internal/fleet/tenure"
+	"hazelslip/internal/policy/dispatch"
+	"hazelslip/internal/policy/quarantine"
+	"hazelslip/internal/policy/reach"
+	"hazelslip/internal/wire/frame"
+)
+
+// maxUncertainFailures bounds the uncertain server failures kept per path.
+const maxUncertainFailures = 256
+
+// uncertainFailure is a server failure during a request that may have been a failure of the path to the
+// server.
+type uncertainFailure struct {
+	fingerprint quarantine.Fingerprint
+	run         string
+}
+
+// probe connects to servers of a path.
+func (detours *detours) probe(probe *dispatch.PathProbe) {
+	connects := func(server string) bool { return detours.node.pool.Opens(probe.Addresses[server], probeTimeout) }
+	reached := detours.node.probeAll(probe.Servers, connects, probe.ProvesHealthy)
+	if result := probe.Complete(reached); result.Changed() {
+		detours.pathChanged(probe.Path, &result)
+	}
+}
+
+// pathChanged handles a path that became lost or healthy.
+func (detours *detours) pathChanged(path *reach.Path, result *reach.Result) {
+	node, destination := detours.node, path.Destination
+	detours.mu.Lock()
+	failures, suppressed := detours.uncertainFailures[path], detours.suppressedReports
+	delete(detours.uncertainFailures, path)
+	detours.suppressedReports = 0
+	detours.mu.Unlock()
+	switch result.After {
+	case reach.Lost:
+		node.pathsLost.Add(1)
+		node.logger.Warn("gateway: the path to the servers of a service is lost.", "Service", destination.Service, "DataCentre", destination.DataCentre,
+			"Tried", result.Tried, "Reached", result.Reached, "DoubtedMilliseconds", result.UnhealthyFor.Milliseconds(),
+			"CallsMoved", node.board.MoveCallsOff(path), "EndsNotBelieved", len(failures), "ReportsWithheld", suppressed)
+	case reach.Healthy:
+		for _, failure := range failures {
+			if _, isNew := node.quarantine.RecordFailure(failure.fingerprint, failure.run); isNew {
+				node.suspectChanged(failure.fingerprint)
+			}
+		}
+		if result.Before == reach.Lost {
+			node.logger.Info("gateway: the path to the servers of a service is restored.", "Service", destination.Service, "DataCentre", destination.DataCentre,
+				"LostMilliseconds", result.UnhealthyFor.Milliseconds(), "ReportsWithheld", suppressed)
+		}
+	}
+}
+
+// deferFailure keeps a possible server failure during a request until the state of the path to the server is
+// known.
+func (detours *detours) deferFailure(target *dispatch.Target, fingerprint quarantine.Fingerprint) {
+	path := target.Path()
+	detours.mu.Lock()
+	defer detours.mu.Unlock()
+	if path.Status() == reach.Suspected && len(detours.uncertainFailures[path]) < maxUncertainFailures {
+		detours.uncertainFailures[path] = append(detours.uncertainFailures[path], uncertainFailure{fingerprint: fingerprint, run: target.Key()})
+	}
+}
+
+// suppressReport reports whether observations of a server are unreliable because the path to it is suspected
+// or lost, and counts the reports suppressed for that reason.
+func (detours *detours) suppressReport(target *dispatch.Target) bool {
+	if target.PathHealthy() {
+		return false
+	}
+	detours.mu.Lock()
+	defer detours.mu.Unlock()
+	detours.suppressedReports++
+	return true
+}
+
+// cannotReachEngines reports whether this node reaches no engine server at all, so that it can't give orders.
+func (node *Node) cannotReachEngines() bool {
+	return node.detours.lacksEngineServers(node.detours.paths.LostDestinations(false))
+}
+
+// lacksEngineServers reports whether a node with the given lost paths reaches no server of any service with
+// engine groups.
+func (detours *detours) lacksEngineServers(lost []reach.Destination) bool {
+	if len(lost) == 0 {
+		return false
+	}
+	services := detours.node.engineServices()
+	for number := range services {
+		if !detours.paths.AllLost(services[number].Name, lost) {
+			return false
+		}
+	}
+	return len(services) > 0
+}
+
+// orderTerm returns the term under which this node may give orders now, 0 for none.
+func (node *Node) orderTerm() int64 {
+	if node.cannotReachEngines() {
+		return 0
+	}
+	return node.termKeeper.Term()
+}
+
+// yieldLeadership gives up this node's term if this node reaches no engine server and another node could
+// become leader. If no other node could, the term stays here, as it would only pass from one unsuitable node
+// to the next.
+func (node *Node) yieldLeadership(candidates []tenure.Peer) {
+	term := node.termKeeper.Term()
+	if term == 0 || !node.cannotReachEngines() || !slices.ContainsFunc(candidates, func(peer tenure.Peer) bool { return peer.Fit }) {
+		return
+	}
+	node.logger.Warn("gateway: this node reaches no engine server and gives up leadership.", "Term", term)
+	node.termKeeper.Outdated(term)
+}
+
+// lostPathsFor returns the lost paths of this node to report over a link. Nothing is reported to downstream
+// nodes.
+func (peers *peers) lostPathsFor(link *overlay.Link) []reach.Destination {
+	if isDownstream(link) {
+		return nil
+	}
+	return peers.node.detours.paths.LostDestinations(false)
+}
+
+func pathsToWire(destinations []reach.Destination) []*frame.Way {
+	encoded := make([]*frame.Way, 0, len(destinations))
+	for _, destination := range destinations {
+		encoded = append(encoded, &frame.Way{Service: destination.Service, DataCentre: destination.DataCentre})
+	}
+	return encoded
+}
+
+func pathsFromWire(encoded []*frame.Way) []reach.Destination {
+	destinations := make([]reach.Destination, 0, len(encoded))
+	for _, path := range encoded {
+		destinations = append(destinations, reach.Destination{Service: path.Service, DataCentre: path.DataCentre})
+	}
+	return destinations
+}
