--- a/internal/peer/caller/caller.go
+++ b/internal/peer/caller/caller.go
@@ -192,11 +192,11 @@
 	firstToken := time.Duration(target.FirstTokenMs) * time.Millisecond
 	return draft.Request{
 		ID: id, Workspace: workspace, Prompt: chat.prompt(), MaxTokens: chat.tokens(), Priority: target.Priority,
-		FirstToken: firstToken, BetweenTokens: time.Duration(target.BetweenTokensMs) * time.Millisecond,
+		FirstTokenTarget: firstToken, TokenGapTarget: time.Duration(target.BetweenTokensMs) * time.Millisecond,
 		// A request may wait for room for a part of its target; the rest is
 		// left for the group to make its first token.
 		Class: admission.Class{Name: className, Model: target.Model, Share: target.GuaranteedShare, Patience: firstToken / 2},
-		Entry: handler.Journal.Begin(id, className, workspace),
+		Entry: handler.Journal.Start(id, className, workspace),
 	}
 }
 
--- a/internal/peer/caller/chat.go
+++ b/internal/peer/caller/chat.go
@@ -127,7 +127,7 @@
 func wholeAnswer(work draft.Request, text string, result draft.Result) chatResponse {
 	return chatResponse{
 		ID: work.ID, Object: "chat.completion", Created: time.Now().Unix(), Model: work.Class.Model,
-		Choices: []chatChoice{{Message: &chatMessage{Role: "assistant", Content: text}, FinishReason: &result.Reason}},
+		Choices: []chatChoice{{Message: &chatMessage{Role: "assistant", Content: text}, FinishReason: &result.FinishReason}},
 		Usage:   usageOf(work.Prompt, result.Tokens),
 	}
 }
@@ -195,7 +195,7 @@
 	if !events.begun {
 		events.writer.Header().Set("Content-Type", "text/event-stream")
 	}
-	if err := events.chunk(chatChoice{Delta: &chatDelta{}, FinishReason: &result.Reason}); err != nil {
+	if err := events.chunk(chatChoice{Delta: &chatDelta{}, FinishReason: &result.FinishReason}); err != nil {
 		return
 	}
 	_ = events.line([]byte("[DONE]"))
--- a/internal/peer/operator/operator.go
+++ b/internal/peer/operator/operator.go
@@ -308,10 +308,10 @@
 
 // Explain turns the story of a request into an explanation.
 func Explain(entry *journal.Entry) Explanation {
-	explanation := Explanation{Subject: entry.Request}
-	explanation.Lines = append(explanation.Lines, fmt.Sprintf("class %s, workspace %s, at %s", entry.Class, entry.Workspace, entry.Began.UTC().Format(time.RFC3339)))
+	explanation := Explanation{Subject: entry.RequestID}
+	explanation.Lines = append(explanation.Lines, fmt.Sprintf("class %s, workspace %s, at %s", entry.Class, entry.Workspace, entry.StartedAt.UTC().Format(time.RFC3339)))
 	for _, line := range entry.Lines() {
-		explanation.Lines = append(explanation.Lines, fmt.Sprintf("+%s %s", line.After.Round(100*time.Microsecond), line.Text))
+		explanation.Lines = append(explanation.Lines, fmt.Sprintf("+%s %s", line.Elapsed.Round(100*time.Microsecond), line.Text))
 	}
 	return explanation
 }
--- a/internal/serve/draft/draft.go
+++ b/internal/serve/draft/draft.go
@@ -1,16 +1,13 @@
-// Package draft answers one model request, whatever happens to the groups that
-// work on it.
+// Package draft generates the answer to one model request and survives failures of the groups that generate it.
 //
-// Each try at a group is an attempt with its own number. A token is accepted
-// only from the current attempt and only at the next position, so pieces that
-// come twice, out of order or from an earlier attempt do no harm. When a group
-// dies in mid-answer the draft resumes at another one from the tokens already
-// passed on. Its end is explicit: a draft that cannot be finished ends in an
-// error, never in silence.
+// Each try at a group is an attempt with its own number. A token is accepted only from the current attempt and
+// only at the next position, so duplicate, reordered or stale pieces have no effect. When a group fails in the
+// middle of an answer, the draft resumes at another group from the tokens already emitted. Each draft ends with a
+// complete answer or with an explicit error.
 //
 // # Usage
 //
-//	server := draft.New(router, gate, generate, nodes, clock.Boot, retry.New())
+//	server := draft.New(router, gate, generate, nodeCount, clock.Boot, retry.New())
 //	result := server.Run(ctx, draft.Request{...}, func(token string) error { ... })
 //	if result.Failure != nil { ... }
 package draft
@@ -33,28 +30,27 @@
 )
 
 const (
-	attemptsMost  = 6
+	maxAttempts   = 6
 	bytesPerToken = 4
 	prefixBytes   = 64
-	// stallLeast and stallFactor bound how long a group may keep a draft
-	// waiting for its next token before the draft resumes elsewhere.
-	stallLeast  = 2 * time.Second
-	stallFactor = 20
-	// firstFactor does the same for the first token.
-	firstFactor = 2
-	firstLeast  = 3 * time.Second
-	// waitPart is the part of the first-token target, admission included, that
-	// a draft waits for a group before its caller is told: a refusal should not
-	// come after the target has passed.
-	waitPart = 0.8
-	// resumePatience is how long a draft that has begun waits for a group.
-	resumePatience = 10 * time.Second
-	pickAgain      = 50 * time.Millisecond
-	returnAfter    = 2 * time.Second
-	retryAfter     = time.Second
-	// guaranteedPriority puts a class that is within its share ahead of those
-	// that borrow.
-	guaranteedPriority = 10_000
+	// minStallTimeout and stallFactor set how long a group may take for the next token before the draft resumes at
+	// another group: stallFactor times the target gap between tokens, but at least minStallTimeout.
+	minStallTimeout = 2 * time.Second
+	stallFactor     = 20
+	// firstTokenFactor and minFirstTokenTimeout do the same for the first token.
+	firstTokenFactor     = 2
+	minFirstTokenTimeout = 3 * time.Second
+	// groupWaitFraction is the fraction of the first-token target, admission included, for which a draft waits for
+	// a group. The wait ends before the target passes, so that a refusal does not come after the target.
+	groupWaitFraction = 0.8
+	// resumeWait is how long a draft that may already have run waits for a group.
+	resumeWait      = 10 * time.Second
+	pickInterval    = 50 * time.Millisecond
+	exclusionPeriod = 2 * time.Second
+	retryAfter      = time.Second
+	// guaranteedPriorityBoost ranks requests of a class that is within its guaranteed share above requests of
+	// classes that borrow capacity.
+	guaranteedPriorityBoost = 10_000
 )
 
 // Request is one model request.
@@ -65,31 +61,31 @@
 	Prompt    string
 	MaxTokens int
 	Priority  int32
-	// FirstToken and BetweenTokens are the class's targets.
-	FirstToken    time.Duration
-	BetweenTokens time.Duration
-	Entry         *journal.Entry
+	// FirstTokenTarget and TokenGapTarget are the latency targets of the request's class.
+	FirstTokenTarget time.Duration
+	TokenGapTarget   time.Duration
+	Entry            *journal.Entry
 }
 
-// Failure says why a draft did not end well, and what is known about it.
+// Failure describes why a draft failed and whether the request may have run.
 type Failure struct {
 	Outcome    outcome.Outcome
 	Cause      string
 	RetryAfter time.Duration
 }
 
-// Result is how a draft ended. Failure is nil where the answer is whole.
+// Result describes how a draft ended. Failure is nil if the answer is complete.
 type Result struct {
-	Tokens     int
-	Attempts   int
-	Reason     string
-	FirstToken time.Duration
-	// SlowestGap is the longest time between two tokens.
-	SlowestGap time.Duration
-	Failure    *Failure
+	Tokens           int
+	Attempts         int
+	FinishReason     string
+	TimeToFirstToken time.Duration
+	// LongestTokenGap is the longest time between two consecutive tokens.
+	LongestTokenGap time.Duration
+	Failure         *Failure
 }
 
-// State is what a Server shows in the state dump.
+// State is the Server's section of the state dump.
 type State struct {
 	Running       int64
 	Whole         uint64
@@ -103,165 +99,164 @@
 
 // Server runs the drafts of one node.
 type Server struct {
-	router   *route.Router
-	gate     *admission.Gate
-	budget   *retry.Budget
-	generate func(ctx context.Context, address string, generate engine.Generate) (*engine.Stream, error)
-	now      clock.Now
-	nodes    func() int
+	router      *route.Router
+	gate        *admission.Gate
+	retryBudget *retry.Budget
+	generate    func(ctx context.Context, address string, generate engine.Generate) (*engine.Stream, error)
+	now         clock.Now
+	nodeCount   func() int
 
-	attempts                                                   atomic.Uint64
-	running                                                    atomic.Int64
-	whole, failed, refused, resumed, piecesDropped, violations atomic.Uint64
+	lastAttempt                                                    atomic.Uint64
+	running                                                        atomic.Int64
+	completed, failed, refused, resumed, piecesDropped, violations atomic.Uint64
 }
 
-// New returns a server. Nodes tells how many nodes share the data centre.
+// New returns a server. nodeCount returns the number of nodes that share the data centre's capacity.
 func New(
 	router *route.Router,
 	gate *admission.Gate,
 	generate func(ctx context.Context, address string, generate engine.Generate) (*engine.Stream, error),
-	nodes func() int,
+	nodeCount func() int,
 	now clock.Now,
-	budget *retry.Budget,
+	retryBudget *retry.Budget,
 ) *Server {
-	return &Server{router: router, gate: gate, budget: budget, generate: generate, nodes: nodes, now: now}
+	return &Server{router: router, gate: gate, retryBudget: retryBudget, generate: generate, nodeCount: nodeCount, now: now}
 }
 
-// Run answers the request. Emit gets each token once, in order; an error of
-// emit means that the caller has left and ends the draft.
+// Run generates the answer to the request. Run calls emit once for each token, in order. An error from emit means
+// that the caller has disconnected, and ends the draft.
 func (server *Server) Run(ctx context.Context, request Request, emit func(token string) error) Result {
-	began := time.Now()
+	startedAt := time.Now()
 	pass, refusal := server.gate.Enter(ctx, admission.Request{Class: request.Class, Workspace: request.Workspace}, func() admission.Capacity {
 		return server.capacity(request.Class.Model)
 	})
 	if refusal != nil {
 		server.refused.Add(1)
-		request.Entry.Note("refused: %s", refusal.Cause)
+		request.Entry.Addf("refused: %s", refusal.Cause)
 		return Result{Failure: &Failure{Outcome: outcome.NotRun, Cause: refusal.Cause, RetryAfter: refusal.RetryAfter}}
 	}
 	defer pass.Leave()
 	server.running.Add(1)
 	defer server.running.Add(-1)
 	if pass.Guaranteed {
-		request.Priority += guaranteedPriority
+		request.Priority += guaranteedPriorityBoost
 	}
-	work := &work{server: server, ctx: ctx, request: request, emit: emit, began: began}
-	result := work.run()
-	server.count(result)
+	job := &job{server: server, ctx: ctx, request: request, emit: emit, startedAt: startedAt}
+	result := job.run()
+	server.countResult(result)
 	return result
 }
 
 func (server *Server) capacity(model string) admission.Capacity {
 	total, peers := server.router.Capacity(model)
-	return admission.Capacity{Total: total, Peers: peers, Nodes: int64(server.nodes())}
+	return admission.Capacity{Total: total, Peers: peers, Nodes: int64(server.nodeCount())}
 }
 
-func (server *Server) count(result Result) {
+func (server *Server) countResult(result Result) {
 	if result.Failure != nil {
 		server.failed.Add(1)
 		return
 	}
-	server.whole.Add(1)
-	server.budget.Succeeded()
+	server.completed.Add(1)
+	server.retryBudget.Succeeded()
 }
 
-// State returns the server's part of the state dump.
+// State returns the Server's section of the state dump.
 func (server *Server) State() State {
 	return State{
-		Running: server.running.Load(), Whole: server.whole.Load(), Failed: server.failed.Load(),
+		Running: server.running.Load(), Whole: server.completed.Load(), Failed: server.failed.Load(),
 		Refused: server.refused.Load(), Resumed: server.resumed.Load(),
 		PiecesDropped: server.piecesDropped.Load(), Violations: server.violations.Load(),
-		Retries: server.budget.State(),
+		Retries: server.retryBudget.State(),
 	}
 }
 
-// errCallerLeft means that the answer could not be passed on.
-var errCallerLeft = errors.New("the caller left")
+// errCallerGone marks an error of emit: the token could not be delivered to the caller.
+var errCallerGone = errors.New("deliver a token to the caller: the caller disconnected")
 
-// work is one draft under way. It belongs to one goroutine.
-type work struct {
-	server  *Server
-	ctx     context.Context
-	request Request
-	emit    func(token string) error
-	began   time.Time
+// job is one draft in progress. A job is used by one goroutine only.
+type job struct {
+	server    *Server
+	ctx       context.Context
+	request   Request
+	emit      func(token string) error
+	startedAt time.Time
 
-	tokens   []string
-	exclude  uint64
-	failedAt time.Time
-	attempts int
-	// sent is set once an attempt may have run.
-	sent      bool
-	first     time.Duration
-	lastToken time.Time
-	slowest   time.Duration
+	tokens        []string
+	excludedGroup uint64
+	failedAt      time.Time
+	attempts      int
+	// mayHaveRun is set once a group may have started the request.
+	mayHaveRun       bool
+	timeToFirstToken time.Duration
+	lastTokenAt      time.Time
+	longestGap       time.Duration
 }
 
-func (work *work) run() Result {
+func (job *job) run() Result {
 	for {
-		choice, ok := work.await()
+		choice, ok := job.awaitGroup()
 		if !ok {
-			return work.fail("no group can take the draft")
+			return job.fail("no group can take the draft")
 		}
-		reason, err := work.attempt(choice)
+		reason, err := job.runAttempt(choice)
 		if err == nil {
-			work.request.Entry.Note("whole after %d tokens", len(work.tokens))
-			return work.result(reason, nil)
+			job.request.Entry.Addf("completed after %d tokens", len(job.tokens))
+			return job.result(reason, nil)
 		}
-		if errors.Is(err, errCallerLeft) || work.ctx.Err() != nil {
-			return work.fail("the caller left")
+		if errors.Is(err, errCallerGone) || job.ctx.Err() != nil {
+			return job.fail("the caller left")
 		}
-		work.request.Entry.Note("group %d failed after %d tokens: %v", choice.Target.Number, len(work.tokens), err)
-		work.exclude, work.failedAt = choice.Target.Number, time.Now()
-		if work.attempts >= attemptsMost {
-			return work.fail("the draft failed at every group that was tried")
+		job.request.Entry.Addf("attempt at group %d failed after %d tokens: %v", choice.Target.Number, len(job.tokens), err)
+		job.excludedGroup, job.failedAt = choice.Target.Number, time.Now()
+		if job.attempts >= maxAttempts {
+			return job.fail("the draft failed at every group that was tried")
 		}
-		if !work.server.budget.Take() {
-			return work.fail("too many drafts are being tried again")
+		if !job.server.retryBudget.Take() {
+			return job.fail("too many drafts are being tried again")
 		}
-		work.server.resumed.Add(1)
+		job.server.resumed.Add(1)
 	}
 }
 
-// await chooses a group, and waits a while when none can take the draft: a
-// group that is being rebuilt is worth waiting for. A draft of which nothing
-// was sent waits a part of its target for the first token, then its caller is
-// told; one that has begun waits longer, since giving it up would
-// cost its caller all of it.
-func (work *work) await() (route.Choice, bool) {
-	deadline := work.began.Add(time.Duration(waitPart * float64(work.request.FirstToken)))
-	if work.sent {
-		deadline = work.failedAt.Add(resumePatience)
+// awaitGroup picks a group. If no group can take the draft, awaitGroup polls until a deadline, because a group
+// that is being rebuilt may come back in time. A draft that has not run anywhere waits for a fraction of its
+// first-token target, so that the caller is refused early. A draft that may have run waits longer, because giving
+// up would discard all generated tokens.
+func (job *job) awaitGroup() (route.Choice, bool) {
+	deadline := job.startedAt.Add(time.Duration(groupWaitFraction * float64(job.request.FirstTokenTarget)))
+	if job.mayHaveRun {
+		deadline = job.failedAt.Add(resumeWait)
 	}
 	for {
-		if choice, ok := work.pick(); ok {
+		if choice, ok := job.pickGroup(); ok {
 			return choice, true
 		}
 		if time.Now().After(deadline) {
 			return route.Choice{}, false
 		}
-		if time.Since(work.failedAt) > returnAfter {
-			// Nothing else came up: the group that failed is tried once more.
-			work.exclude = 0
+		if time.Since(job.failedAt) > exclusionPeriod {
+			// No other group has become available: allow the failed group again.
+			job.excludedGroup = 0
 		}
 		select {
-		case <-work.ctx.Done():
+		case <-job.ctx.Done():
 			return route.Choice{}, false
-		case <-time.After(pickAgain):
+		case <-time.After(pickInterval):
 		}
 	}
 }
 
-// pick chooses a group other than the one that just failed this draft.
-func (work *work) pick() (route.Choice, bool) {
+// pickGroup picks a group, excluding the group on which this draft last failed.
+func (job *job) pickGroup() (route.Choice, bool) {
 	request := route.Request{
-		Model: work.request.Class.Model, PromptTokens: len(work.request.Prompt)/bytesPerToken + len(work.tokens),
-		AnswerTokens: work.request.MaxTokens - len(work.tokens), Prefix: prefixHash(work.request.Prompt),
-		Exclude: work.exclude,
+		Model: job.request.Class.Model, PromptTokens: len(job.request.Prompt)/bytesPerToken + len(job.tokens),
+		AnswerTokens: job.request.MaxTokens - len(job.tokens), Prefix: prefixHash(job.request.Prompt),
+		Exclude: job.excludedGroup,
 	}
-	choice, ok := work.server.router.Pick(request, work.server.now())
+	choice, ok := job.server.router.Pick(request, job.server.now())
 	if ok {
-		work.request.Entry.Note("group %d at %s: first token predicted in %s, one of %d near the best of %d",
+		job.request.Entry.Addf("picked group %d at %s: predicted time to first token %s, one of %d near-best groups of %d known",
 			choice.Target.Number, choice.Target.Leader, choice.Predicted.Round(time.Millisecond), choice.Near, choice.Known)
 	}
 	return choice, ok
@@ -271,74 +266,73 @@
 	return xxhash.Sum64String(prompt[:min(prefixBytes, len(prompt))])
 }
 
-// fail ends the draft with an error. NotRun is said only while no attempt can
-// have run.
-func (work *work) fail(cause string) Result {
+// fail ends the draft with an error. The outcome is NotRun only if no attempt can have run.
+func (job *job) fail(cause string) Result {
 	failure := &Failure{Outcome: outcome.Unknown, Cause: cause, RetryAfter: retryAfter}
-	if !work.sent {
+	if !job.mayHaveRun {
 		failure.Outcome = outcome.NotRun
 	}
-	work.request.Entry.Note("failed: %s", cause)
-	return work.result("", failure)
+	job.request.Entry.Addf("failed: %s", cause)
+	return job.result("", failure)
 }
 
-func (work *work) result(reason string, failure *Failure) Result {
+func (job *job) result(reason string, failure *Failure) Result {
 	return Result{
-		Tokens: len(work.tokens), Attempts: work.attempts, Reason: reason,
-		FirstToken: work.first, SlowestGap: work.slowest, Failure: failure,
+		Tokens: len(job.tokens), Attempts: job.attempts, FinishReason: reason,
+		TimeToFirstToken: job.timeToFirstToken, LongestTokenGap: job.longestGap, Failure: failure,
 	}
 }
 
-// attempt lets one group go on with the draft.
-func (work *work) attempt(choice route.Choice) (reason string, err error) {
-	work.attempts++
-	number := work.server.attempts.Add(1)
-	ctx, cancel := context.WithCancel(work.ctx)
+// runAttempt continues the draft at one group.
+func (job *job) runAttempt(choice route.Choice) (reason string, err error) {
+	job.attempts++
+	number := job.server.lastAttempt.Add(1)
+	ctx, cancel := context.WithCancel(job.ctx)
 	defer cancel()
 	defer func() {
-		failed := err != nil && !errors.Is(err, errCallerLeft) && work.ctx.Err() == nil
-		choice.Done(failed, work.server.now())
+		failed := err != nil && !errors.Is(err, errCallerGone) && job.ctx.Err() == nil
+		choice.Done(failed, job.server.now())
 	}()
-	// A group that stops without closing its connection would hold the draft
-	// for ever; the watchdog closes the connection instead.
-	watchdog := time.AfterFunc(work.firstPatience(), cancel)
+	// A group that stops responding without closing its connection would block the draft for ever. The watchdog
+	// cancels the attempt, which closes the connection.
+	watchdog := time.AfterFunc(job.firstTokenTimeout(), cancel)
 	defer watchdog.Stop()
-	stream, err := work.server.generate(ctx, choice.Target.Leader, engine.Generate{
-		Group: choice.Target.Number, Attempt: number, Model: work.request.Class.Model,
-		Prompt: work.request.Prompt, Resume: work.tokens, MaxTokens: work.request.MaxTokens,
-		Priority: work.request.Priority, Workspace: work.request.Workspace,
+	stream, err := job.server.generate(ctx, choice.Target.Leader, engine.Generate{
+		Group: choice.Target.Number, Attempt: number, Model: job.request.Class.Model,
+		Prompt: job.request.Prompt, Resume: job.tokens, MaxTokens: job.request.MaxTokens,
+		Priority: job.request.Priority, Workspace: job.request.Workspace,
 	})
 	if err != nil {
 		notRun := errors.Is(err, engine.ErrNotSent) || errors.Is(err, engine.ErrRefused)
-		work.sent = work.sent || !notRun
+		job.mayHaveRun = job.mayHaveRun || !notRun
 		return "", err
 	}
-	work.sent = true
+	job.mayHaveRun = true
 	defer stream.Close()
-	reader := &reader{work: work, stream: stream, attempt: number, held: map[int]string{}}
-	return reader.read(&choice, func() { watchdog.Reset(work.stallPatience()) })
+	reader := &pieceReader{job: job, stream: stream, attempt: number, pending: map[int]string{}}
+	return reader.read(&choice, func() { watchdog.Reset(job.stallTimeout()) })
 }
 
-func (work *work) firstPatience() time.Duration {
-	return max(firstLeast, firstFactor*work.request.FirstToken)
+func (job *job) firstTokenTimeout() time.Duration {
+	return max(minFirstTokenTimeout, firstTokenFactor*job.request.FirstTokenTarget)
 }
 
-func (work *work) stallPatience() time.Duration {
-	return max(stallLeast, stallFactor*work.request.BetweenTokens)
+func (job *job) stallTimeout() time.Duration {
+	return max(minStallTimeout, stallFactor*job.request.TokenGapTarget)
 }
 
-// accept passes the next token on.
-func (work *work) accept(token string) error {
+// emitToken records the next token and delivers the token to the caller.
+func (job *job) emitToken(token string) error {
 	now := time.Now()
-	if len(work.tokens) == 0 {
-		work.first = now.Sub(work.began)
+	if len(job.tokens) == 0 {
+		job.timeToFirstToken = now.Sub(job.startedAt)
 	} else {
-		work.slowest = max(work.slowest, now.Sub(work.lastToken))
+		job.longestGap = max(job.longestGap, now.Sub(job.lastTokenAt))
 	}
-	work.lastToken = now
-	work.tokens = append(work.tokens, token)
-	if err := work.emit(token); err != nil {
-		return errors.Mark(err, errCallerLeft)
+	job.lastTokenAt = now
+	job.tokens = append(job.tokens, token)
+	if err := job.emit(token); err != nil {
+		return errors.Mark(err, errCallerGone)
 	}
 	return nil
 }
--- a/internal/serve/draft/reader.go
+++ b/internal/serve/draft/reader.go
@@ -7,66 +7,66 @@
 	"hazelslip/internal/policy/route"
 )
 
-// heldMost bounds the pieces that are held while an earlier one is missing.
-const heldMost = 1024
+// maxPendingPieces bounds the pieces buffered while an earlier piece is missing.
+const maxPendingPieces = 1024
 
-// reader puts the pieces of one attempt in order.
-type reader struct {
-	work    *work
+// pieceReader reassembles the pieces of one attempt in order.
+type pieceReader struct {
+	job     *job
 	stream  *engine.Stream
 	attempt uint64
-	held    map[int]string
+	pending map[int]string
 }
 
-// read passes tokens on until the answer's end. The end counts only when every
-// token before it has come; anything else is a broken attempt.
-func (reader *reader) read(choice *route.Choice, progress func()) (reason string, err error) {
+// read emits tokens until the answer ends. The end is valid only if every earlier token has arrived; any other end
+// fails the attempt.
+func (pieceReader *pieceReader) read(choice *route.Choice, progress func()) (reason string, err error) {
 	for {
-		piece, err := reader.stream.Next()
+		piece, err := pieceReader.stream.Next()
 		if err != nil {
 			return "", err
 		}
 		switch {
-		case piece.Attempt != reader.attempt:
-			reader.work.server.piecesDropped.Add(1)
+		case piece.Attempt != pieceReader.attempt:
+			pieceReader.job.server.piecesDropped.Add(1)
 		case piece.Failure != "":
-			return "", errors.Mark(errors.Newf("the engine gave up: %s", piece.Failure), engine.ErrBroken)
+			return "", errors.Mark(errors.Newf("engine reported a failure: %s", piece.Failure), engine.ErrBroken)
 		case piece.End:
-			return piece.Reason, reader.checkEnd(piece)
+			return piece.Reason, pieceReader.checkEnd(piece)
 		default:
-			if err := reader.take(piece, choice, progress); err != nil {
+			if err := pieceReader.accept(piece, choice, progress); err != nil {
 				return "", err
 			}
 		}
 	}
 }
 
-// checkEnd refuses an end that comes before the tokens it stands behind.
-func (reader *reader) checkEnd(piece engine.Piece) error {
-	if piece.Offset != len(reader.work.tokens) {
-		return errors.Mark(errors.Newf("the answer ended at %d with %d tokens", piece.Offset, len(reader.work.tokens)), engine.ErrBroken)
+// checkEnd returns an error if the answer ends at another offset than the number of tokens emitted.
+func (pieceReader *pieceReader) checkEnd(piece engine.Piece) error {
+	if piece.Offset != len(pieceReader.job.tokens) {
+		return errors.Mark(errors.Newf("answer ended at offset %d after %d tokens", piece.Offset, len(pieceReader.job.tokens)), engine.ErrBroken)
 	}
 	return nil
 }
 
-func (reader *reader) take(piece engine.Piece, choice *route.Choice, progress func()) error {
-	next := len(reader.work.tokens)
-	_, known := reader.held[piece.Offset]
-	if piece.Offset < next || known {
-		reader.work.server.piecesDropped.Add(1)
+func (pieceReader *pieceReader) accept(piece engine.Piece, choice *route.Choice, progress func()) error {
+	next := len(pieceReader.job.tokens)
+	_, duplicate := pieceReader.pending[piece.Offset]
+	if piece.Offset < next || duplicate {
+		pieceReader.job.server.piecesDropped.Add(1)
 		return nil
 	}
-	if len(reader.held) >= heldMost {
-		return errors.Mark(errors.New("too many pieces came out of order"), engine.ErrBroken)
+	if len(pieceReader.pending) >= maxPendingPieces {
+		return errors.Mark(errors.New("too many pieces arrived out of order"), engine.ErrBroken)
 	}
-	reader.held[piece.Offset] = piece.Token
+	pieceReader.pending[piece.Offset] = piece.Token
 	for {
-		token, ok := reader.held[len(reader.work.tokens)]
+		token, ok := pieceReader.pending[len(pieceReader.job.tokens)]
 		if !ok {
 			return nil
 		}
-		delete(reader.held, len(reader.work.tokens))
-		if err := reader.work.accept(token); err != nil {
+		delete(pieceReader.pending, len(pieceReader.job.tokens))
+		if err := pieceReader.job.emitToken(token); err != nil {
 			return err
 		}
 		choice.Token()
--- a/internal/serve/journal/journal.go
+++ b/internal/serve/journal/journal.go
@@ -1,14 +1,14 @@
-// Package journal remembers why each of the latest requests went where it
-// went, so that an operator can ask for the story of one.
+// Package journal records the decisions made for each recent request, so that an operator can look up why a
+// request was served the way it was.
 //
-// It keeps a bounded number of requests in memory and drops the oldest; it is
-// no audit trail and does not outlive the process.
+// The journal lives in memory, holds a bounded number of requests and drops the oldest first. It is not an audit
+// trail and does not survive a restart of the process.
 //
 // # Usage
 //
-//	entry := journal.Begin("req-1", "urgent", "member-7")
-//	entry.Note("sent to group 7: 3 groups were near the best")
-//	lines, ok := journal.Find("req-1")
+//	entry := requests.Start("req-1", "urgent", "workspace-7")
+//	entry.Addf("sent to group 7: 3 groups were near the best")
+//	found, ok := requests.Find("req-1")
 package journal
 
 import (
@@ -17,42 +17,42 @@
 	"time"
 )
 
-const linesMost = 64
+const maxLines = 64
 
-// Line is one step of a request.
+// Line is one recorded step of a request.
 type Line struct {
-	After time.Duration
-	Text  string
+	Elapsed time.Duration
+	Text    string
 }
 
-// Entry is the story of one request.
+// Entry is the record of one request.
 type Entry struct {
-	Request   string
+	RequestID string
 	Class     string
 	Workspace string
-	Began     time.Time
+	StartedAt time.Time
 
 	mu    sync.Mutex
 	lines []Line
 }
 
-// Note adds a line. Beyond a bound lines are dropped.
-func (entry *Entry) Note(format string, arguments ...any) {
+// Addf appends a formatted line. Lines beyond maxLines are dropped.
+func (entry *Entry) Addf(format string, arguments ...any) {
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
-	if len(entry.lines) < linesMost {
-		entry.lines = append(entry.lines, Line{After: time.Since(entry.Began), Text: fmt.Sprintf(format, arguments...)})
+	if len(entry.lines) < maxLines {
+		entry.lines = append(entry.lines, Line{Elapsed: time.Since(entry.StartedAt), Text: fmt.Sprintf(format, arguments...)})
 	}
 }
 
-// Lines returns the story so far.
+// Lines returns a copy of the lines recorded so far.
 func (entry *Entry) Lines() []Line {
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
 	return append([]Line(nil), entry.lines...)
 }
 
-// Journal keeps the latest entries.
+// Journal holds the entries of the most recent requests.
 type Journal struct {
 	mu      sync.Mutex
 	entries map[string]*Entry
@@ -60,14 +60,14 @@
 	next    int
 }
 
-// New returns a journal of the latest size requests.
+// New returns a journal that holds the most recent size requests.
 func New(size int) *Journal {
 	return &Journal{entries: map[string]*Entry{}, ring: make([]string, size)}
 }
 
-// Begin starts the story of a request.
-func (journal *Journal) Begin(request, class, workspace string) *Entry {
-	entry := &Entry{Request: request, Class: class, Workspace: workspace, Began: time.Now()}
+// Start adds an entry for a request and evicts the oldest entry if the journal is full.
+func (journal *Journal) Start(request, class, workspace string) *Entry {
+	entry := &Entry{RequestID: request, Class: class, Workspace: workspace, StartedAt: time.Now()}
 	journal.mu.Lock()
 	defer journal.mu.Unlock()
 	delete(journal.entries, journal.ring[journal.next])
@@ -77,7 +77,7 @@
 	return entry
 }
 
-// Find returns the story of a request.
+// Find returns the entry of a request by the request's ID.
 func (journal *Journal) Find(request string) (*Entry, bool) {
 	journal.mu.Lock()
 	defer journal.mu.Unlock()
