--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -235,15 +235,15 @@
 	}
 }
 
-func (node *Node) forwarderParts() forward.Parts {
-	return forward.Parts{
-		Configuration: node.configuration, Board: node.board, Pool: node.pool, Decode: node.platform.DecodeCaller,
-		DataCentre: node.settings.DataCentre, Budget: node.budget, Ready: node.known, Stopping: node.stopping.Load,
-		Quarantine: node.quarantine, Suspected: node.suspected, Heard: node.heard,
-		AskPermits: node.refreshPermits, Returns: ratelimit.NewReturns(node.now), Nodes: func() int { return node.peers.nodes() },
-		Detours: node.detours.tableOrNil(), DetourPool: node.detours.pool, DetourWanted: node.detours.want, Unsure: node.detours.unsureOf,
-		Name: node.settings.Name, NewerAt: func(address string, version int64) { node.peers.heardVersionAt(address, version) },
-		Memory: node.memory, Failed: node.callFailed, Ended: node.measures.ended, Logger: node.logger, Now: node.now,
+func (node *Node) forwarderParts() forward.Dependencies {
+	return forward.Dependencies{
+		Configuration: node.configuration, Board: node.board, Pool: node.pool, DecodeRequest: node.platform.DecodeCaller,
+		DataCentre: node.settings.DataCentre, RetryBudget: node.budget, Ready: node.known, Stopping: node.stopping.Load,
+		Quarantine: node.quarantine, OnQuarantineChange: node.suspected, OnResponseHead: node.heard,
+		RequestPermits: node.refreshPermits, RetryScheduler: ratelimit.NewReturns(node.now), NodeCount: func() int { return node.peers.nodes() },
+		Detours: node.detours.tableOrNil(), DetourPool: node.detours.pool, RequestDetours: node.detours.want, OnUnconfirmedFailure: node.detours.unsureOf,
+		NodeName: node.settings.Name, OnNewerVersion: func(address string, version int64) { node.peers.heardVersionAt(address, version) },
+		Memory: node.memory, OnServerFailure: node.callFailed, OnRequestEnd: node.measures.ended, Logger: node.logger, Now: node.now,
 	}
 }
 
@@ -268,7 +268,7 @@
 			return errors.Wrapf(err, "listen at %s", node.settings.Listen.Detour)
 		}
 		node.detours.listener = listener
-		node.detours.served = &http.Server{Handler: node.forwarder.Inward(), ReadHeaderTimeout: headerTimeout, IdleTimeout: detourIdle, ErrorLog: silent()}
+		node.detours.served = &http.Server{Handler: node.forwarder.DetourHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: detourIdle, ErrorLog: silent()}
 	}
 	if node.memory.Bounded() {
 		node.listeners[0] = boundCallers(node.listeners[0])
--- a/internal/run/gateway/measures.go
+++ b/internal/run/gateway/measures.go
@@ -83,14 +83,14 @@
 	measures.mu.Unlock()
 	switch {
 	case summary.Outcome == forward.Full || summary.Outcome == forward.NoServer:
-		measures.refusal.observe(summary.Took)
+		measures.refusal.observe(summary.Duration)
 	case summary.Outcome != forward.Answered:
 	case summary.Kind == configuration.Streaming:
 		measures.firstEvent.observe(summary.FirstEvent)
 		measures.longestPause.observe(summary.LongestPause)
-		measures.stream.observe(summary.Took)
+		measures.stream.observe(summary.Duration)
 	default:
-		measures.call.observe(summary.Took)
+		measures.call.observe(summary.Duration)
 	}
 }
 
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -31,12 +31,12 @@
 }
 
 // heard takes what an answer says of its server.
-func (node *Node) heard(heard forward.Heard) {
+func (node *Node) heard(heard forward.ResponseHead) {
 	if !heard.Stray {
 		node.heardLimit(&heard)
 	}
-	said := &heard.Said
-	changes := node.notices.Heard(heard.Record, heard.Answer())
+	said := &heard.Signals
+	changes := node.notices.Heard(heard.Record, heard.NoticeResponse())
 	if changes.Backoff != notice.Unchanged {
 		node.logHeard(backoffLines[changes.Backoff], &heard,
 			slog.Int64("BackoffMilliseconds", said.Backoff.Span.Milliseconds()), slog.String("Value", said.Backoff.Unreadable))
@@ -110,23 +110,23 @@
 }
 
 // logHeard writes a line of what an answer changed.
-func (node *Node) logHeard(line string, heard *forward.Heard, attributes ...slog.Attr) {
+func (node *Node) logHeard(line string, heard *forward.ResponseHead, attributes ...slog.Attr) {
 	attributes = append(attributes,
 		slog.String("Server", heard.Record.Server), slog.Int64("Born", heard.Record.Born), slog.String("Group", heard.Group),
 		slog.String("Source", heard.Source), slog.String("RequestID", heard.RequestID),
-		slog.Int64("SentMillisecondsAgo", (node.now()-heard.Sent).Milliseconds()), slog.Int("SentLately", heard.Record.Gate.SentLately()))
+		slog.Int64("SentMillisecondsAgo", (node.now()-heard.SentAt).Milliseconds()), slog.Int("SentLately", heard.Record.Gate.SentLately()))
 	node.logger.LogAttrs(context.Background(), slog.LevelInfo, line, attributes...)
 }
 
 // heardLimit takes what an answer says of its server's limit.
-func (node *Node) heardLimit(heard *forward.Heard) {
-	told, run := heard.Said.Limit, heard.Record.Run
+func (node *Node) heardLimit(heard *forward.ResponseHead) {
+	told, run := heard.Signals.Limit, heard.Record.Run
 	if !told.Named && told.Unreadable == "" && !node.limits.Any() {
 		return
 	}
 	before, _ := node.limits.Limit(run)
 	change := node.limits.Answered(run, ratelimit.Answer{
-		Named: told.Named, Rate: told.Rate, Unreadable: told.Unreadable, Refused: !heard.Taken, Began: heard.Chosen,
+		Named: told.Named, Rate: told.Rate, Unreadable: told.Unreadable, Refused: !heard.Accepted, Began: heard.ChosenAt,
 	})
 	if change == ratelimit.Unchanged {
 		return
@@ -148,9 +148,9 @@
 		return
 	}
 	now := node.now()
-	node.heard(forward.Heard{
-		Record: node.notices.Record(ratelimit.Run{Server: server.ID, Born: server.Born}), Said: said, Source: source,
-		Group: server.Group.Name, Chosen: now, Sent: now,
+	node.heard(forward.ResponseHead{
+		Record: node.notices.Record(ratelimit.Run{Server: server.ID, Born: server.Born}), Signals: said, Source: source,
+		Group: server.Group.Name, ChosenAt: now, SentAt: now,
 	})
 }
 
--- /dev/null
+++ b/internal/serve/forward/attempt.go
@@ -0,0 +1,243 @@
+package forward
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"os"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"hazelslip/internal/fleet/detour"
+	"hazelslip/internal/peer/backendserver"
+	"hazelslip/internal/policy/dispatch"
+	"hazelslip/internal/policy/notice"
+)
+
+// errCanceled means that a call was canceled before it was written: the caller disconnected, the call timed out,
+// or the target was abandoned while the connection was being opened.
+var errCanceled = errors.New("call canceled before it was sent")
+
+// attempt is one call of a request to one server. The caller of send must release the attempt.
+type attempt struct {
+	*backendserver.Reply
+	target *dispatch.Target
+	// peer is the node that the call goes through, nil if the call goes to a server directly.
+	peer     *detour.Peer
+	call     *dispatch.Use
+	canceler *canceler
+	// detachCaller stops watching the caller's connection. timeout ends the call when its time is up.
+	detachCaller func() bool
+	timeout      *time.Timer
+	// startedAt is when the attempt started, admittedAt when the call was about to be written.
+	startedAt, admittedAt time.Duration
+	// timedOutWriting is set if the call timed out during a write to the caller.
+	timedOutWriting atomic.Bool
+	// withheld is set if the call was not sent because the server accepts no calls or the path to the server has
+	// no open connection.
+	withheld bool
+}
+
+// release returns the connection to the pool. The canceler is disarmed first: the connection may carry the next
+// call at once, and a late cancellation by a timer or an abandoned group would abort that call.
+func (attempt *attempt) release() {
+	attempt.timeout.Stop()
+	attempt.detachCaller()
+	attempt.canceler.disarm()
+	if attempt.Reply != nil {
+		attempt.Close()
+	}
+	if attempt.call != nil {
+		attempt.call.End()
+	}
+}
+
+// expire cancels a call that has timed out. A write to a slow caller may block much longer and does not notice the
+// cancellation, so expire aborts the call and frees its slot at the server directly.
+func (attempt *attempt) expire() {
+	attempt.canceler.cancel()
+	if attempt.call.Held() {
+		attempt.timedOutWriting.Store(true)
+		attempt.Abort()
+		attempt.call.End()
+	}
+}
+
+// canceler cancels a call from another goroutine, including a call that is not sent yet.
+type canceler struct {
+	mu         sync.Mutex
+	cancelCall func()
+	canceled   bool
+}
+
+func (canceler *canceler) setCancel(cancelCall func()) {
+	canceler.mu.Lock()
+	defer canceler.mu.Unlock()
+	canceler.cancelCall = cancelCall
+	if canceler.canceled {
+		cancelCall()
+	}
+}
+
+// disarm makes later cancellations do nothing. When disarm returns, no cancellation is running.
+func (canceler *canceler) disarm() {
+	canceler.mu.Lock()
+	defer canceler.mu.Unlock()
+	canceler.cancelCall = nil
+}
+
+// isCanceled reports whether the call was canceled.
+func (canceler *canceler) isCanceled() bool {
+	canceler.mu.Lock()
+	defer canceler.mu.Unlock()
+	return canceler.canceled
+}
+
+func (canceler *canceler) cancel() {
+	canceler.mu.Lock()
+	defer canceler.mu.Unlock()
+	canceler.canceled = true
+	if canceler.cancelCall != nil {
+		canceler.cancelCall()
+	}
+}
+
+// send sends the request to one target and reads the head of the response. The timeout also covers the wait for
+// the head, because a server that lost power sends nothing at all. If the returned attempt has no reply,
+// exchange.cause holds the reason, and exchange.mayHaveRun is set if the call may have run.
+func (exchange *exchange) send(target *dispatch.Target, timeout time.Duration) *attempt {
+	call := exchange.buildCall(target)
+	exchange.lastTarget = targetInfo{server: target.ID, group: target.Group, calls: target.Taken()}
+	attempt := exchange.newAttempt(target, timeout)
+	call.Cancel, call.Heard = attempt.canceler.setCancel, exchange.reportResponseHead(attempt)
+	call.Admit, call.Opened = exchange.admitAttempt(attempt), target.Opened
+	call.Kept = !exchange.ignoreReachability && exchange.forwarder.Board.LivesOn(target)
+	reply, err := exchange.forwarder.Pool.Send(call)
+	if err == nil {
+		exchange.sentAttempts++
+		target.Heard()
+		attempt.Reply = reply
+		return attempt
+	}
+	exchange.handleSendError(attempt, err)
+	return attempt
+}
+
+// newAttempt starts an attempt that times out after the given time.
+func (exchange *exchange) newAttempt(target *dispatch.Target, timeout time.Duration) *attempt {
+	exchange.attempts++
+	attempt := &attempt{target: target, canceler: &canceler{}, startedAt: exchange.forwarder.Now()}
+	attempt.call = target.Begin(exchange.request.PromptTokens, uint64(exchange.fingerprint), attempt.canceler.cancel)
+	attempt.timeout = time.AfterFunc(timeout, attempt.expire)
+	attempt.detachCaller = context.AfterFunc(exchange.inbound.Context(), attempt.canceler.cancel)
+	return attempt
+}
+
+// handleSendError records a call that brought no response.
+func (exchange *exchange) handleSendError(attempt *attempt, err error) {
+	target := attempt.target
+	exchange.cause = err.Error()
+	exchange.excludedServers = append(exchange.excludedServers, target.ID)
+	if attempt.withheld = errors.Is(err, notice.ErrWithheld) || errors.Is(err, backendserver.ErrNotKept); attempt.withheld {
+		return
+	}
+	canceled := errors.Is(err, errCanceled)
+	if (canceled || errors.Is(err, os.ErrDeadlineExceeded)) && !exchange.callerGone() && !attempt.call.Moved() {
+		target.Missed(attempt.startedAt)
+	}
+	if canceled {
+		return
+	}
+	if errors.Is(err, backendserver.ErrNotSent) {
+		if errors.Is(err, backendserver.ErrNotOpened) && !exchange.callerGone() {
+			target.Unopened(attempt.startedAt)
+		}
+		target.Avoid(unreachableCooldown)
+		exchange.forwarder.OnServerFailure(target, "")
+		return
+	}
+	exchange.sentAttempts++
+	exchange.recordRun()
+	if isConnectionClosed(err) && !exchange.callerGone() && !attempt.call.Moved() {
+		exchange.forwarder.Counts.Unanswered.Add(1)
+		if target.Unanswered(attempt.startedAt) >= dispatch.BreaksTold {
+			exchange.forwarder.OnServerFailure(target, "")
+		}
+	}
+	exchange.recordResult(attempt, true)
+	exchange.recordServerFailure(attempt, err)
+}
+
+// isConnectionClosed reports whether err means that the connection closed before any response.
+func isConnectionClosed(err error) bool {
+	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+}
+
+// recordResult records the result of an attempt for its target, unless the result says nothing about the server.
+func (exchange *exchange) recordResult(attempt *attempt, failed bool) {
+	if attempt.peer != nil || (failed && !attempt.target.Reached()) {
+		return
+	}
+	if failed && (exchange.callerGone() || attempt.timedOutWriting.Load() || attempt.call.Moved() || attempt.call.Withdrawn()) {
+		return
+	}
+	attempt.target.Note(failed)
+}
+
+// recordRun records that a server may have run the request.
+func (exchange *exchange) recordRun() {
+	exchange.mayHaveRun = true
+	exchange.runs++
+}
+
+const (
+	// unreachableCooldown is how long a server that cannot be connected to gets no calls.
+	unreachableCooldown = 700 * time.Millisecond
+	// refusalCooldown is how long a server that is full gets no calls.
+	refusalCooldown = 150 * time.Millisecond
+)
+
+// recordRefusal records a response that says that the server did not run the call.
+func (exchange *exchange) recordRefusal(attempt *attempt) {
+	target, reply := attempt.target, attempt.Reply
+	exchange.cause = "server " + target.ID + " refused the call with status " + strconv.Itoa(reply.Status)
+	exchange.excludedServers = append(exchange.excludedServers, target.ID)
+	if reply.WrongServer || reply.Culprit != "" {
+		target.Avoid(unreachableCooldown)
+		exchange.forwarder.OnServerFailure(target, reply.Culprit)
+		return
+	}
+	target.Avoid(refusalCooldown)
+}
+
+// hopByHopHeaders are the headers that apply to a single connection only.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Te", "Trailer", "Upgrade", "Content-Length"}
+
+// StripHopByHop removes the headers that apply to a single connection only, including those named by the
+// Connection header.
+func StripHopByHop(header http.Header) {
+	for _, line := range header.Values("Connection") {
+		for _, name := range splitList(line) {
+			header.Del(name)
+		}
+	}
+	for _, name := range hopByHopHeaders {
+		header.Del(name)
+	}
+}
+
+// copyHeaders copies the response headers of a server to the caller's response.
+func (exchange *exchange) copyHeaders(from http.Header) {
+	StripHopByHop(from)
+	header := exchange.writer.Header()
+	for name, values := range from {
+		header[name] = values
+	}
+	header.Del(headerDetour)
+	exchange.setDetourResult(resultServer)
+}
--- a/internal/serve/forward/body.go
+++ b/internal/serve/forward/body.go
@@ -16,51 +16,50 @@
 )
 
 var (
-	// errNoRoom means that what is read doesn't fit into the node's budget of memory.
-	errNoRoom = errors.New("the memory for bodies and answers is used up")
-	// errTooLong means that there is more than may be read.
-	errTooLong = errors.New("it is too long")
+	// errMemoryExhausted means that the data does not fit into the node's memory budget.
+	errMemoryExhausted = errors.New("memory budget for buffered bodies and responses is exhausted")
+	// errTooLarge means that the data exceeds its size limit.
+	errTooLarge = errors.New("data exceeds the size limit")
 )
 
 const (
-	// readFirst is how much is reserved at first for what comes without a length.
-	readFirst = 4 << 10
-	// refusedLinger is how long a connection on which a body was refused is still read. A
-	// connection that is closed with bytes unread is reset, which may destroy the refusal
-	// before the caller has read it.
-	refusedLinger = 500 * time.Millisecond
+	// initialReadBytes is how much memory is reserved at first for data of unknown length.
+	initialReadBytes = 4 << 10
+	// refusedBodyLinger is how long a connection is still read after its request body was refused. Closing a
+	// connection with unread bytes resets it, which may destroy the refusal before the caller has read it.
+	refusedBodyLinger = 500 * time.Millisecond
 )
 
-// readBody reads the caller's body whole, within the node's budget of memory.
+// readBody reads the caller's body completely, within the node's memory budget.
 func (exchange *exchange) readBody() bool {
-	most := exchange.snapshot.Configuration.Limits.MaxBodyBytes
-	if most <= 0 {
-		most = bodyMost
+	limit := exchange.snapshot.Configuration.Limits.MaxBodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
-	if exchange.inbound.ContentLength > most {
-		exchange.deny(http.StatusRequestEntityTooLarge, Malformed, "the body is too long")
+	if exchange.inbound.ContentLength > limit {
+		exchange.deny(http.StatusRequestEntityTooLarge, Malformed, "request body exceeds the size limit")
 		return false
 	}
-	exchange.held = exchange.forwarder.Memory.Hold(exchange.workspace, exchange.alone())
-	body, err := exchange.takeBody(most)
+	exchange.reservation = exchange.forwarder.Memory.Hold(exchange.workspace, exchange.soleWorkspace())
+	body, err := exchange.receiveBody(limit)
 	switch {
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errMemoryExhausted):
 		exchange.refuseBody()
 		return false
-	case errors.Is(err, errTooLong):
-		exchange.deny(http.StatusRequestEntityTooLarge, Malformed, "the body is too long")
+	case errors.Is(err, errTooLarge):
+		exchange.deny(http.StatusRequestEntityTooLarge, Malformed, "request body exceeds the size limit")
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		exchange.closeUnread()
-		exchange.refuse(TimeUp, retryNone, "the body did not come in time")
+		exchange.closeAfterResponse()
+		exchange.refuse(TimeUp, defaultRetryDelay, "read the request body: time limit exceeded")
 		return false
 	case err != nil:
 		exchange.outcome = CallerLeft
-		exchange.cause = "the body could not be read: " + err.Error()
+		exchange.cause = "read the request body: " + err.Error()
 		exchange.log(http.StatusBadRequest)
 		panic(http.ErrAbortHandler)
 	}
-	exchange.request.Body, exchange.bodyHeld = body, exchange.held.Bytes()
+	exchange.request.Body, exchange.bodyReserved = body, exchange.reservation.Bytes()
 	exchange.fingerprint = quarantine.Of(quarantine.Asked{
 		Workspace: exchange.workspace, Method: exchange.request.Method, Host: exchange.request.Host,
 		Target: exchange.request.Target, Body: body,
@@ -68,25 +67,25 @@
 	return true
 }
 
-// takeBody reads the body. Where memory is bounded, it must come within the time that the
-// caller has: one that doesn't would keep what was reserved for it.
-func (exchange *exchange) takeBody(most int64) ([]byte, error) {
+// receiveBody reads the body. If memory is bounded, the body must arrive within the caller's time limit: a body
+// that never arrives would keep its reservation.
+func (exchange *exchange) receiveBody(limit int64) ([]byte, error) {
 	if exchange.inbound.ContentLength == 0 {
 		return nil, nil
 	}
 	if !exchange.forwarder.Memory.Bounded() {
-		return readWithin(exchange.inbound.Body, exchange.inbound.ContentLength, most, &exchange.held)
+		return readLimited(exchange.inbound.Body, exchange.inbound.ContentLength, limit, &exchange.reservation)
 	}
-	// A writer without deadlines, of a test, is read without one.
+	// Writers in tests may not support deadlines; the body is then read without one.
 	controller := http.NewResponseController(exchange.writer)
-	_ = controller.SetReadDeadline(time.Now().Add(exchange.left()))
-	body, err := readWithin(exchange.inbound.Body, exchange.inbound.ContentLength, most, &exchange.held)
+	_ = controller.SetReadDeadline(time.Now().Add(exchange.timeLeft()))
+	body, err := readLimited(exchange.inbound.Body, exchange.inbound.ContentLength, limit, &exchange.reservation)
 	_ = controller.SetReadDeadline(time.Time{})
 	return body, err
 }
 
-// alone says whether no other workspace can ask this node for anything.
-func (exchange *exchange) alone() bool {
+// soleWorkspace reports whether no other workspace can send requests to this node.
+func (exchange *exchange) soleWorkspace() bool {
 	inForce := exchange.snapshot.Configuration
 	switch len(inForce.Workspaces) {
 	case 0:
@@ -97,52 +96,51 @@
 	return false
 }
 
-// refuseBody refuses a request whose body doesn't fit, and reads it no further.
+// refuseBody refuses a request whose body does not fit, without reading more of the body.
 func (exchange *exchange) refuseBody() {
 	forwarder := exchange.forwarder
-	exchange.held.Refuse()
-	exchange.held.Release()
+	exchange.reservation.Refuse()
+	exchange.reservation.Release()
 	if refusals, due := forwarder.Memory.Tell(forwarder.Now()); due {
-		forwarder.Logger.LogAttrs(exchange.inbound.Context(), slog.LevelWarn, "forward: bodies were refused for lack of memory.",
+		forwarder.Logger.LogAttrs(exchange.inbound.Context(), slog.LevelWarn, "forward: request bodies were refused for lack of memory.",
 			slog.Uint64("Refused", refusals.Refused), slog.Int64("HeldBytes", refusals.Held), slog.Int64("BudgetBytes", refusals.Bytes),
 			slog.String("Workspace", exchange.workspace), slog.String("RequestID", exchange.request.ID))
 	}
-	exchange.closeUnread()
-	exchange.refuse(OutOfMemory, min(retryMemory, exchange.left()/retryPart), errNoRoom.Error())
+	exchange.closeAfterResponse()
+	exchange.refuse(OutOfMemory, min(memoryRetryDelay, exchange.timeLeft()/retryDelayDivisor), errMemoryExhausted.Error())
 }
 
-// closeUnread makes the connection end after the answer: what is left of the body must not be
-// taken for the next request.
-func (exchange *exchange) closeUnread() {
+// closeAfterResponse closes the connection after the response, so that the unread rest of the body is not parsed
+// as the next request.
+func (exchange *exchange) closeAfterResponse() {
 	exchange.writer.Header().Set("Connection", "close")
-	_ = http.NewResponseController(exchange.writer).SetReadDeadline(time.Now().Add(refusedLinger))
+	_ = http.NewResponseController(exchange.writer).SetReadDeadline(time.Now().Add(refusedBodyLinger))
 }
 
-// readWithin reads to the end, and counts the buffer before it is made. What was read so far is
-// returned with any error.
-func readWithin(from io.Reader, length, most int64, hold *memory.Hold) ([]byte, error) {
-	if length > most {
-		return nil, errTooLong
+// readLimited reads to the end and reserves memory before it allocates. The data read so far is returned with any
+// error.
+func readLimited(source io.Reader, length, limit int64, reservation *memory.Hold) ([]byte, error) {
+	if length > limit {
+		return nil, errTooLarge
 	}
-	// One byte more than what is expected, since some readers tell the end only when asked
-	// for more.
+	// One byte more than expected, because some readers report the end only on a further read.
 	next := length + 1
 	if length < 0 {
-		next = min(readFirst, most+1)
+		next = min(initialReadBytes, limit+1)
 	}
 	body := []byte{}
 	for {
 		if len(body) == cap(body) {
-			if int64(len(body)) > most {
-				return body, errTooLong
+			if int64(len(body)) > limit {
+				return body, errTooLarge
 			}
-			if !hold.Grow(next) {
-				return body, errNoRoom
+			if !reservation.Grow(next) {
+				return body, errMemoryExhausted
 			}
 			body = append(make([]byte, 0, int64(cap(body))+next), body...)
-			next = min(int64(cap(body)), most+1-int64(cap(body)))
+			next = min(int64(cap(body)), limit+1-int64(cap(body)))
 		}
-		n, err := from.Read(body[len(body):cap(body)])
+		n, err := source.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		switch {
 		case errors.Is(err, io.EOF):
--- a/internal/serve/forward/call.go
+++ b/internal/serve/forward/call.go
@@ -20,69 +20,67 @@
 }
 
 const (
-	// hedgeAfter is how long a plain call that may run twice waits for its
-	// first server before it is sent to another. It is many times the usual
-	// work, so that a slow call isn't repeated, only a lost one.
-	hedgeAfter = 150 * time.Millisecond
-	// answerMost bounds a plain answer, which is kept whole before it is passed
-	// on.
-	answerMost = 8 << 20
-	// plainBeyond is how many calls may wait at a plain server.
-	plainBeyond = 6
+	// minAttemptTimeout is the shortest time that a call of an idempotent route waits for its first server before
+	// the call is sent to another one. The value is many times the usual response time, so that only lost calls
+	// are retried, not slow ones.
+	minAttemptTimeout = 150 * time.Millisecond
+	// maxResponseBytes bounds a plain response that is buffered before delivery.
+	maxResponseBytes = 8 << 20
+	// maxQueuedCalls is how many calls may queue at a plain server.
+	maxQueuedCalls = 6
 )
 
-// answer is a plain answer, whole.
-type answer struct {
+// response is a buffered plain response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
-	// held is what the body holds of the node's memory.
-	held int64
-	// passed says that it was passed on as it came, since it didn't fit.
-	passed bool
+	// reserved is the part of the node's memory budget that the body takes.
+	reserved int64
+	// relayed is set if the response was relayed unbuffered because it exceeded the limits.
+	relayed bool
 }
 
-// call serves a request whose answer is one piece. The answer is read whole
-// before any of it is passed on, so that one that breaks off is never seen by
-// the caller and can be asked for again. One that doesn't fit into the node's
-// memory is passed on as it comes.
-func (exchange *exchange) call() {
-	for exchange.left() > leastLeft && !exchange.gone() && !exchange.quarantined() && exchange.mayRepeat() {
-		target, verdict := exchange.pickPlain()
+// serveCall serves a request with a plain response. The response is buffered before delivery, so that a truncated
+// response never reaches the caller and the call can be retried. A response that does not fit into the memory
+// budget is relayed unbuffered.
+func (exchange *exchange) serveCall() {
+	for exchange.timeLeft() > minTimeLeft && !exchange.callerGone() && !exchange.quarantined() && exchange.mayRetry() {
+		target, verdict := exchange.pickServer()
 		if verdict == dispatch.Unreached && exchange.mayDetour() {
-			if ended, sent := exchange.detour(exchange.callOne); ended {
+			if ended, sent := exchange.sendThroughPeers(exchange.handleCallAttempt); ended {
 				return
 			} else if sent {
 				continue
 			}
-			if !exchange.forwarder.Board.WayLost(exchange.pool()) {
-				target, verdict = exchange.pickPlain()
+			if !exchange.forwarder.Board.WayLost(exchange.poolName()) {
+				target, verdict = exchange.pickServer()
 			}
 		}
 		if verdict != dispatch.Chosen {
-			exchange.noTarget(target, verdict)
+			exchange.recordNoTarget(target, verdict)
 			break
 		}
-		if exchange.callOne(exchange.attempt(target, exchange.patience())) {
+		if exchange.handleCallAttempt(exchange.send(target, exchange.attemptTimeout())) {
 			return
 		}
 	}
-	exchange.end()
+	exchange.finishUnserved()
 }
 
-// pickPlain chooses a server, and waits a little where one may take the call soon.
-func (exchange *exchange) pickPlain() (*dispatch.Target, dispatch.Verdict) {
-	return exchange.pickWithin(exchange.placeWait(), plainBeyond, func(verdict dispatch.Verdict) bool {
+// pickServer picks a server and waits briefly if a permit may arrive or a backoff may end.
+func (exchange *exchange) pickServer() (*dispatch.Target, dispatch.Verdict) {
+	return exchange.pickWithWait(exchange.slotWait(), maxQueuedCalls, func(verdict dispatch.Verdict) bool {
 		return verdict == dispatch.Limited || verdict == dispatch.BackedOff
 	})
 }
 
-// noTarget notes why no server was chosen, after what was tried before. The target is the one
-// that is free first, where that is known.
-func (exchange *exchange) noTarget(target *dispatch.Target, verdict dispatch.Verdict) {
-	occupancy := exchange.forwarder.Board.Occupancy(exchange.pool())
-	reason := fmt.Sprintf("pool %s has %d of %d places taken at %d targets", exchange.pool(), occupancy.Taken, occupancy.Places, occupancy.Targets)
-	if exchange.straight && (verdict == dispatch.None || verdict == dispatch.Full) && exchange.forwarder.Board.WayLost(exchange.pool()) {
+// recordNoTarget sets the outcome and the cause for a request without a target, and appends the cause of earlier
+// attempts. target is the one that becomes available first, if known.
+func (exchange *exchange) recordNoTarget(target *dispatch.Target, verdict dispatch.Verdict) {
+	occupancy := exchange.forwarder.Board.Occupancy(exchange.poolName())
+	reason := fmt.Sprintf("pool %s: %d of %d slots in use at %d targets", exchange.poolName(), occupancy.Taken, occupancy.Places, occupancy.Targets)
+	if exchange.ignoreReachability && (verdict == dispatch.None || verdict == dispatch.Full) && exchange.forwarder.Board.WayLost(exchange.poolName()) {
 		verdict = dispatch.Unreached
 	}
 	switch verdict {
@@ -91,20 +89,20 @@
 	case dispatch.Limited:
 		exchange.outcome = Limited
 		exchange.forwarder.Counts.Limited.Add(1)
-		exchange.again = exchange.forwarder.Returns.After(exchange.pool(), occupancy.Limit/float64(exchange.forwarder.Nodes()))
-		reason += fmt.Sprintf(", whose servers take %.2f requests a second by the limits that they name", occupancy.Limit)
+		exchange.retryAfter = exchange.forwarder.RetryScheduler.After(exchange.poolName(), occupancy.Limit/float64(exchange.forwarder.NodeCount()))
+		reason += fmt.Sprintf("; rate limits of its servers allow %.2f requests/s", occupancy.Limit)
 	case dispatch.BackedOff:
 		exchange.outcome = BackedOff
 		exchange.forwarder.Counts.BackedOff.Add(1)
-		opens := target.OpensAt() - exchange.forwarder.Now()
-		exchange.notBefore = exchange.returnAfter(opens)
-		reason += fmt.Sprintf(", and all that could take it asked for a backoff, %s for %v more", target.ID, opens.Round(time.Millisecond))
+		opensIn := target.OpensAt() - exchange.forwarder.Now()
+		exchange.earliestRetry = exchange.retryAfterBackoff(opensIn)
+		reason += fmt.Sprintf("; all available servers asked for a backoff, %s for another %v", target.ID, opensIn.Round(time.Millisecond))
 	case dispatch.Unreached:
 		exchange.outcome = Unreached
-		if len(exchange.excludePeers) > 0 {
-			exchange.again = retryUnreached
+		if len(exchange.excludedPeers) > 0 {
+			exchange.retryAfter = unreachedRetryDelay
 		}
-		reason += ", and no server of it is reached from here"
+		reason += "; this node reaches none of its servers"
 	default:
 		exchange.outcome = NoServer
 	}
@@ -114,65 +112,64 @@
 	exchange.cause = reason
 }
 
-// callOne reads the answer to one call, passes it on if it is to be delivered, and says whether the request
-// has ended.
-func (exchange *exchange) callOne(leg *leg) bool {
-	defer leg.end()
-	if leg.Reply == nil {
-		exchange.lateAnswer(leg)
+// handleCallAttempt reads the response of one attempt and delivers it unless the call is to be retried. It reports
+// whether the request has ended.
+func (exchange *exchange) handleCallAttempt(attempt *attempt) bool {
+	defer attempt.release()
+	if attempt.Reply == nil {
+		exchange.avoidUnresponsive(attempt)
 		return false
 	}
-	if leg.NotRun {
-		exchange.refused(leg)
+	if attempt.NotRun {
+		exchange.recordRefusal(attempt)
 		return false
 	}
-	found, err := exchange.readAnswer(leg)
-	exchange.note(leg, err != nil || leg.Status >= http.StatusInternalServerError)
+	received, err := exchange.readResponse(attempt)
+	exchange.recordResult(attempt, err != nil || attempt.Status >= http.StatusInternalServerError)
 	if err != nil {
-		exchange.ran()
-		exchange.noteEnd(leg, err)
-		exchange.cause = "the answer of " + leg.target.ID + " broke off: " + err.Error()
-		exchange.exclude = append(exchange.exclude, leg.target.ID)
+		exchange.recordRun()
+		exchange.recordServerFailure(attempt, err)
+		exchange.cause = "read the response of server " + attempt.target.ID + ": " + err.Error()
+		exchange.excludedServers = append(exchange.excludedServers, attempt.target.ID)
 		return false
 	}
-	if found.passed {
+	if received.relayed {
 		return true
 	}
-	if leg.Status >= http.StatusInternalServerError && exchange.worthRepeating() {
-		exchange.ran()
-		exchange.cause = "server " + leg.target.ID + " failed: " + strconv.Itoa(leg.Status)
-		exchange.exclude = append(exchange.exclude, leg.target.ID)
-		exchange.keep(found)
+	if attempt.Status >= http.StatusInternalServerError && exchange.mayRetryFailure() {
+		exchange.recordRun()
+		exchange.cause = "server " + attempt.target.ID + " responded with status " + strconv.Itoa(attempt.Status)
+		exchange.excludedServers = append(exchange.excludedServers, attempt.target.ID)
+		exchange.setFallback(received)
 		return false
 	}
-	if leg.Status < http.StatusInternalServerError {
-		exchange.noteServed(leg)
+	if attempt.Status < http.StatusInternalServerError {
+		exchange.recordSuccess(attempt)
 	}
-	exchange.deliver(found)
+	exchange.deliver(received)
 	return true
 }
 
-// lateAnswer keeps calls off a server that answered nothing in time: it may
-// have lost power, and the next call would be lost like this one.
-func (exchange *exchange) lateAnswer(leg *leg) {
-	if !exchange.gone() && !leg.withheld && leg.peer == nil {
-		leg.target.Avoid(avoidUnreachable)
-		exchange.forwarder.Pool.Drop(leg.target.Address)
+// avoidUnresponsive excludes a server that sent no response in time: the server may have lost power, and the next
+// call would be lost too.
+func (exchange *exchange) avoidUnresponsive(attempt *attempt) {
+	if !exchange.callerGone() && !attempt.withheld && attempt.peer == nil {
+		attempt.target.Avoid(unreachableCooldown)
+		exchange.forwarder.Pool.Drop(attempt.target.Address)
 	}
 }
 
-// worthRepeating says whether a failure that the server itself answered may be
-// tried elsewhere.
-func (exchange *exchange) worthRepeating() bool {
+// mayRetryFailure reports whether a failure response of a server may be retried at another server.
+func (exchange *exchange) mayRetryFailure() bool {
 	return exchange.route.Repeatable() && exchange.runs+1 < exchange.route.MaxAttempts &&
-		exchange.left() > 4*leastLeft
+		exchange.timeLeft() > 4*minTimeLeft
 }
 
-// patience is how long one server is waited for.
-func (exchange *exchange) patience() time.Duration {
-	left := exchange.left()
+// attemptTimeout returns how long to wait for one server.
+func (exchange *exchange) attemptTimeout() time.Duration {
+	left := exchange.timeLeft()
 	if exchange.route.Kind == configuration.Idempotent && exchange.runs+1 < exchange.route.MaxAttempts {
-		return min(left, max(hedgeAfter, exchange.route.Target*3/2))
+		return min(left, max(minAttemptTimeout, exchange.route.Target*3/2))
 	}
 	return left
 }
--- a/internal/serve/forward/demand_test.go
+++ b/internal/serve/forward/demand_test.go
@@ -11,8 +11,8 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// counted is an exchange for a model without a group, and where its demand is counted.
-func counted(model string) (*exchange, *demand.Demand) {
+// newDemandExchange returns an exchange for a model without a group, and the counter of its demand.
+func newDemandExchange(model string) (*exchange, *demand.Demand) {
 	now := clock.Virtual()
 	held := demand.New(demand.Clock(now))
 	table := configuration.NewTable()
@@ -20,18 +20,18 @@
 		{Name: "drafts", Engine: &configuration.Engine{Models: []configuration.Model{{Name: "large"}}}},
 	}})
 	return &exchange{
-		forwarder: &Forwarder{Parts: Parts{Board: dispatch.New(dispatch.Clock(now), dispatch.Demands(held)), Now: now}},
+		forwarder: &Forwarder{Dependencies: Dependencies{Board: dispatch.New(dispatch.Clock(now), dispatch.Demands(held)), Now: now}},
 		request:   &Request{Model: model}, snapshot: table.Load(), service: "drafts",
 	}, held
 }
 
-// Guards against refused streams that don't count as demand: a model without a group would seem to need none.
+// Guards against refused streams that are not counted as demand: a model without a group would seem to need none.
 func TestStreamsWithoutASlotCountAsDemand(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	exchange, held := counted("large")
-	_, shed := exchange.sheds()
+	exchange, held := newDemandExchange("large")
+	_, shed := exchange.shouldShed()
 	expect.Expect(shed).To(gomega.BeFalse())
-	exchange.noSlot(nil, dispatch.None)
+	exchange.recordNoSlot(nil, dispatch.None)
 	expect.Expect(held.Counts.Asked.Load()).To(gomega.BeNumerically("==", 1))
 	expect.Expect(held.Counts.Refused.Load()).To(gomega.BeNumerically("==", 1))
 	rates, _ := held.Rates("drafts/large")
@@ -39,12 +39,12 @@
 	expect.Expect(rates.Asked[rankFresh]).To(gomega.BeNumerically(">", 0))
 }
 
-// Guards against memory and frames that grow with the names of models that callers make up.
-func TestModelsThatNothingServesAreNoDemand(t *testing.T) {
+// Guards against memory and frames that grow with the model names that callers make up.
+func TestUnknownModelsAreNotCountedAsDemand(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	exchange, held := counted("made up")
-	_, shed := exchange.sheds()
+	exchange, held := newDemandExchange("made up")
+	_, shed := exchange.shouldShed()
 	expect.Expect(shed).To(gomega.BeFalse())
-	exchange.noSlot(nil, dispatch.None)
+	exchange.recordNoSlot(nil, dispatch.None)
 	expect.Expect(held.Own()).To(gomega.BeEmpty())
 }
--- a/internal/serve/forward/detour.go
+++ b/internal/serve/forward/detour.go
@@ -13,213 +13,215 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// A request whose servers this node doesn't reach goes on through another node, once: the other one serves it as
-// if the caller had come there, and sends it no further. The head of the request tells, beside what the
-// caller wrote, what has become of it so far; the head of the answer tells whether that is a server's, and what has become
-// of the request at the other node. This file is the first node's part, inward.go the other one's.
+// Detours: a request whose servers this node does not reach is sent through a peer node. The peer serves the
+// request as if the caller had connected to the peer, and never sends the request to another node. The request
+// head carries the request's state in addition to the caller's headers. The response head tells whether a server
+// produced the response and what happened to the request on the peer. This file implements the sending node,
+// detourorigin.go the receiving one.
 
-// headerDetour carries what two nodes tell each other of a request. It never reaches a caller or a server.
+// headerDetour carries the state of a detoured request between two nodes. It never reaches a caller or a server.
 const headerDetour = "Hazelslip-Detour"
 
-// The names of what is told.
+// Names of the values in headerDetour.
 const (
-	fieldSender   = "Sender"
-	fieldVersion  = "ConfigurationVersion"
-	fieldKey      = "KeyDigest"
-	fieldRuns     = "Runs"
-	fieldGoesOn   = "GoesOn"
-	fieldCounted  = "Counted"
-	fieldResult   = "Result"
-	fieldOutcome  = "Outcome"
-	fieldCause    = "Cause"
-	fieldArrivals = "Arrivals"
+	fieldSender          = "Sender"
+	fieldVersion         = "ConfigurationVersion"
+	fieldKeyDigest       = "KeyDigest"
+	fieldRuns            = "Runs"
+	fieldPartlyDelivered = "GoesOn"
+	fieldDemandCounted   = "Counted"
+	fieldResult          = "Result"
+	fieldOutcome         = "Outcome"
+	fieldCause           = "Cause"
+	fieldSentAttempts    = "Arrivals"
 )
 
-// result is what the answer of another node is.
-type result string
+// detourResult is the kind of response that a peer node returns.
+type detourResult string
 
 const (
-	// resultServer: a server's answer, as it came.
-	resultServer result = "Server"
-	// resultNotRun: the request has not run there and never will.
-	resultNotRun result = "NotRun"
-	// resultDenied: the request is wrong in itself.
-	resultDenied result = "Denied"
-	// resultMayHaveRun: the request may have run, and there is no answer of a server.
-	resultMayHaveRun result = "MayHaveRun"
+	// resultServer: the response of a server, unchanged.
+	resultServer detourResult = "Server"
+	// resultNotRun: the request has not run on the peer's side and never will.
+	resultNotRun detourResult = "NotRun"
+	// resultDenied: the request is invalid or unauthorized.
+	resultDenied detourResult = "Denied"
+	// resultMayHaveRun: the request may have run, and there is no response of a server.
+	resultMayHaveRun detourResult = "MayHaveRun"
 )
 
 const (
-	// detoursMost bounds the requests of other nodes that a node has under way: each takes two connections.
-	detoursMost = 1024
-	// versionWait is how long a request waits for the configuration that its sender has.
-	versionWait = 200 * time.Millisecond
-	// detourWait is how long a request waits until a node is known that it can go through, and
-	// detourPart the part of its time that this may be, as a divisor.
-	detourWait = 300 * time.Millisecond
-	detourPart = 4
-	// detourTries is through how many nodes a request is sent that none has taken.
-	detourTries = 5
+	// maxInboundDetours bounds the requests of peer nodes in progress. Each takes two connections.
+	maxInboundDetours = 1024
+	// configurationWait is how long a request waits for the configuration version of its sender.
+	configurationWait = 200 * time.Millisecond
+	// peerWait is how long a request waits until a peer is known that reaches its servers. peerWaitDivisor limits
+	// the wait to a fraction of the request's time, as a divisor.
+	peerWait        = 300 * time.Millisecond
+	peerWaitDivisor = 4
+	// maxPeersTried is the number of peers that a request is sent to until one accepts it.
+	maxPeersTried = 5
 )
 
-// Why a request of another node isn't taken, beside what callers are refused for.
+// Outcomes of requests that a peer node rejects, in addition to the outcomes of callers' requests.
 const (
-	// Behind: the node doesn't have the configuration that the sender has.
+	// Behind: the peer does not have the sender's configuration version.
 	Behind Outcome = "Behind"
-	// Busy: it has as many requests of other nodes as it takes.
+	// Busy: the peer has as many requests of other nodes in progress as it accepts.
 	Busy Outcome = "Busy"
 )
 
-// goesOn says whether the caller has a part of the answer.
-func (exchange *exchange) goesOn() bool {
-	return exchange.begun || (exchange.inward != nil && exchange.inward.GoesOn)
+// partlyDelivered reports whether the caller already has a part of the response.
+func (exchange *exchange) partlyDelivered() bool {
+	return exchange.responseStarted || (exchange.origin != nil && exchange.origin.PartlyDelivered)
 }
 
-// reachedOnly says whether servers that this node doesn't reach are left to other nodes.
+// reachedOnly reports whether only servers that this node reaches may be picked.
 func (exchange *exchange) reachedOnly() bool {
-	return exchange.inward != nil || (exchange.forwarder.Detours != nil && !exchange.straight)
+	return exchange.origin != nil || (exchange.forwarder.Detours != nil && !exchange.ignoreReachability)
 }
 
-// mayDetour says whether the request may go through another node.
+// mayDetour reports whether the request may be sent through a peer node.
 func (exchange *exchange) mayDetour() bool {
-	return exchange.inward == nil && exchange.forwarder.Detours != nil
+	return exchange.origin == nil && exchange.forwarder.Detours != nil
 }
 
-// detour sends the request through other nodes, one after the other, as long as none took it. Serve
-// passes on the answer of the one that did. It returns whether the request has ended, and whether it reached a server, so
-// that sending it once more is a repeat.
-func (exchange *exchange) detour(serve func(leg *leg) bool) (ended, sent bool) {
-	for range detourTries {
+// sendThroughPeers sends the request to peer nodes, one after the other, until one accepts it. serve relays the
+// response of that peer. It returns whether the request has ended, and whether the request reached a server, so
+// that sending it again is a retry.
+func (exchange *exchange) sendThroughPeers(serve func(attempt *attempt) bool) (ended, sent bool) {
+	for range maxPeersTried {
 		peer, found := exchange.choosePeer()
-		if !found || exchange.left() <= leastLeft || exchange.gone() {
+		if !found || exchange.timeLeft() <= minTimeLeft || exchange.callerGone() {
 			break
 		}
-		before := exchange.arrivals
-		leg := exchange.attemptVia(peer)
-		if leg.Reply != nil {
-			ended, sent = exchange.takeReply(leg, serve)
+		before := exchange.sentAttempts
+		attempt := exchange.sendToPeer(peer)
+		if attempt.Reply != nil {
+			ended, sent = exchange.handlePeerReply(attempt, serve)
 		} else {
-			leg.end()
-			sent = exchange.arrivals > before
+			attempt.release()
+			sent = exchange.sentAttempts > before
 		}
 		if ended || sent {
 			return ended, sent
 		}
 	}
-	exchange.straight = true
+	exchange.ignoreReachability = true
 	return false, false
 }
 
-// choosePeer returns a node that reaches the request's service. Where none is known as yet it waits a
-// moment: nodes are asked as soon as a way is doubted.
+// choosePeer returns a peer that reaches the request's service. If no peer is known yet it waits briefly: peers
+// are queried as soon as a path is suspected.
 func (exchange *exchange) choosePeer() (*detour.Peer, bool) {
-	until := exchange.forwarder.Now() + min(detourWait, exchange.left()/detourPart)
+	deadline := exchange.forwarder.Now() + min(peerWait, exchange.timeLeft()/peerWaitDivisor)
 	for {
 		lost := exchange.forwarder.Board.Ways().Lost(true)
-		peer, found := exchange.forwarder.Detours.Choose(exchange.service, lost, exchange.excludePeers)
-		if found || len(exchange.excludePeers) > 0 || len(lost) == 0 || exchange.forwarder.Detours.Knows() || exchange.forwarder.Now() >= until || exchange.gone() {
+		peer, found := exchange.forwarder.Detours.Choose(exchange.service, lost, exchange.excludedPeers)
+		if found || len(exchange.excludedPeers) > 0 || len(lost) == 0 || exchange.forwarder.Detours.Knows() || exchange.forwarder.Now() >= deadline || exchange.callerGone() {
 			return peer, found
 		}
-		exchange.forwarder.DetourWanted()
-		time.Sleep(waitStep)
+		exchange.forwarder.RequestDetours()
+		time.Sleep(pollInterval)
 	}
 }
 
-// attemptVia sends the request to another node and reads the head of its answer.
-func (exchange *exchange) attemptVia(peer *detour.Peer) *leg {
+// sendToPeer sends the request to a peer node and reads the head of the response.
+func (exchange *exchange) sendToPeer(peer *detour.Peer) *attempt {
 	forwarder := exchange.forwarder
-	exchange.via = peer.Address
-	exchange.excludePeers = append(exchange.excludePeers, peer.Address)
-	exchange.last = dispatched{taken: peer.Taken()}
-	leg := exchange.newLeg(peer.Target, exchange.peerPatience())
-	leg.peer = peer
-	call := exchange.newCall(peer.Target)
+	exchange.lastPeer = peer.Address
+	exchange.excludedPeers = append(exchange.excludedPeers, peer.Address)
+	exchange.lastTarget = targetInfo{calls: peer.Taken()}
+	attempt := exchange.newAttempt(peer.Target, exchange.peerTimeout())
+	attempt.peer = peer
+	call := exchange.buildCall(peer.Target)
 	call.Server, call.Workspace = "", ""
 	call.Header = call.Header.Clone()
-	call.Header.Set(headerDetour, (&inward{
-		Sender: forwarder.Name, Version: exchange.snapshot.Configuration.Version, KeyDigest: configuration.KeyDigest(exchange.request.Key),
-		Runs: exchange.runs, GoesOn: exchange.begun, Counted: exchange.asked,
+	call.Header.Set(headerDetour, (&detourOrigin{
+		Sender: forwarder.NodeName, Version: exchange.snapshot.Configuration.Version, KeyDigest: configuration.KeyDigest(exchange.request.Key),
+		Runs: exchange.runs, PartlyDelivered: exchange.responseStarted, DemandCounted: exchange.demandCounted,
 	}).encode())
-	call.Cancel = leg.ender.set
+	call.Cancel = attempt.canceler.setCancel
 	call.Admit = func() error {
-		if leg.ender.over() {
-			return errGivenUp
+		if attempt.canceler.isCanceled() {
+			return errCanceled
 		}
 		return nil
 	}
 	forwarder.Counts.DetoursSent.Add(1)
 	reply, err := forwarder.DetourPool.Send(call)
 	if err == nil {
-		leg.Reply = reply
-		return leg
+		attempt.Reply = reply
+		return attempt
 	}
 	exchange.cause = "node " + peer.Address + ": " + err.Error()
-	if !exchange.gone() {
+	if !exchange.callerGone() {
 		forwarder.Detours.Failed(peer.Address)
 		forwarder.DetourPool.Drop(peer.Address)
 	}
 	if !errors.Is(err, backendserver.ErrNotSent) {
-		exchange.arrivals++
-		exchange.ran()
+		exchange.sentAttempts++
+		exchange.recordRun()
 	}
-	return leg
+	return attempt
 }
 
-// peerPatience is how long another node is waited for: as long as it waits for two servers where the call may run
-// twice.
-func (exchange *exchange) peerPatience() time.Duration {
+// peerTimeout returns how long to wait for a peer node: as long as the peer waits for two servers if the route is
+// idempotent.
+func (exchange *exchange) peerTimeout() time.Duration {
 	if exchange.route.Kind == configuration.Idempotent {
-		return min(exchange.left(), 2*exchange.patience())
+		return min(exchange.timeLeft(), 2*exchange.attemptTimeout())
 	}
-	return exchange.left()
+	return exchange.timeLeft()
 }
 
-// takeReply takes the answer of another node.
-func (exchange *exchange) takeReply(leg *leg, serve func(leg *leg) bool) (ended, sent bool) {
-	before := exchange.arrivals
-	told, err := url.ParseQuery(leg.Header.Get(headerDetour))
+// handlePeerReply handles the response of a peer node.
+func (exchange *exchange) handlePeerReply(attempt *attempt, serve func(attempt *attempt) bool) (ended, sent bool) {
+	before := exchange.sentAttempts
+	fields, err := url.ParseQuery(attempt.Header.Get(headerDetour))
 	if err != nil {
-		told = url.Values{}
+		fields = url.Values{}
 	}
-	leg.Header.Del(headerDetour)
-	exchange.takeTold(leg, told)
-	outcome := Outcome(told.Get(fieldOutcome))
-	exchange.cause = "node " + leg.peer.Address + ": " + told.Get(fieldCause)
-	switch result(told.Get(fieldResult)) {
+	attempt.Header.Del(headerDetour)
+	exchange.applyPeerState(attempt, fields)
+	outcome := Outcome(fields.Get(fieldOutcome))
+	exchange.cause = "node " + attempt.peer.Address + ": " + fields.Get(fieldCause)
+	switch detourResult(fields.Get(fieldResult)) {
 	case resultServer:
-		return serve(leg), true
+		return serve(attempt), true
 	case resultNotRun:
-		again := leg.Header.Get("Retry-After")
-		exchange.discard(leg)
+		retryAfter := attempt.Header.Get("Retry-After")
+		exchange.discard(attempt)
 		if outcome == Unreached || outcome == NoServer {
-			exchange.forwarder.Detours.Lacks(leg.peer.Address, exchange.service, exchange.forwarder.Board.Ways().Lost(true))
+			exchange.forwarder.Detours.Lacks(attempt.peer.Address, exchange.service, exchange.forwarder.Board.Ways().Lost(true))
 		}
-		if exchange.begun || exchange.mayHaveRun || elsewhere(outcome) {
-			return false, exchange.arrivals > before
+		if exchange.responseStarted || exchange.mayHaveRun || anotherPeerMayAccept(outcome) {
+			return false, exchange.sentAttempts > before
 		}
 		exchange.outcome = outcome
 		if exchange.route.Kind == configuration.Streaming {
-			exchange.countRefused()
+			exchange.countRefusedDemand()
 		}
-		exchange.refuseAsTold(again)
+		exchange.refuseWithRetryAfter(retryAfter)
 		return true, false
 	case resultDenied:
-		status := leg.Status
-		exchange.discard(leg)
-		if exchange.begun || exchange.mayHaveRun {
+		status := attempt.Status
+		exchange.discard(attempt)
+		if exchange.responseStarted || exchange.mayHaveRun {
 			return false, false
 		}
 		exchange.deny(status, outcome, exchange.cause)
 		return true, false
 	}
-	leg.end()
+	attempt.release()
 	exchange.outcome = outcome
 	exchange.mayHaveRun = true
 	return false, true
 }
 
-// elsewhere says whether another node may take a request that one refused for a reason.
-func elsewhere(outcome Outcome) bool {
+// anotherPeerMayAccept reports whether another peer may accept a request that one peer refused with the given
+// outcome.
+func anotherPeerMayAccept(outcome Outcome) bool {
 	switch outcome {
 	case Behind, Busy, Unreached, NoServer, NoConfiguration, OutOfMemory:
 		return true
@@ -227,33 +229,34 @@
 	return false
 }
 
-// discard reads what is left of a short answer, so that its connection can be used again.
-func (exchange *exchange) discard(leg *leg) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(leg, copyBuffer))
-	leg.end()
+// discard reads the rest of a short response, so that its connection can be reused.
+func (exchange *exchange) discard(attempt *attempt) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(attempt, copyBufferSize))
+	attempt.release()
 }
 
-// refuseAsTold refuses the request with the time to return that the other node named.
-func (exchange *exchange) refuseAsTold(again string) {
-	seconds, err := strconv.ParseFloat(again, 64)
+// refuseWithRetryAfter refuses the request with the retry delay that the peer returned.
+func (exchange *exchange) refuseWithRetryAfter(retryAfter string) {
+	seconds, err := strconv.ParseFloat(retryAfter, 64)
 	if err != nil {
-		exchange.refuse(exchange.outcome, retryNone, exchange.cause)
+		exchange.refuse(exchange.outcome, defaultRetryDelay, exchange.cause)
 		return
 	}
-	exchange.notBefore = time.Duration(seconds * float64(time.Second))
+	exchange.earliestRetry = time.Duration(seconds * float64(time.Second))
 	exchange.refuse(exchange.outcome, 0, exchange.cause)
 }
 
-// takeTold takes what the other node told of the request and of itself.
-func (exchange *exchange) takeTold(leg *leg, told url.Values) {
-	version, err := strconv.ParseInt(told.Get(fieldVersion), 10, 64)
+// applyPeerState updates the request with the state that the peer returned, and reports a newer configuration
+// version.
+func (exchange *exchange) applyPeerState(attempt *attempt, fields url.Values) {
+	version, err := strconv.ParseInt(fields.Get(fieldVersion), 10, 64)
 	if err == nil && version > exchange.snapshot.Configuration.Version {
-		exchange.forwarder.NewerAt(leg.peer.Peer, version)
+		exchange.forwarder.OnNewerVersion(attempt.peer.Peer, version)
 	}
-	if runs, err := strconv.Atoi(told.Get(fieldRuns)); err == nil {
+	if runs, err := strconv.Atoi(fields.Get(fieldRuns)); err == nil {
 		exchange.runs = max(exchange.runs, runs)
 	}
-	if arrivals, err := strconv.Atoi(told.Get(fieldArrivals)); err == nil {
-		exchange.arrivals += max(0, arrivals)
+	if arrivals, err := strconv.Atoi(fields.Get(fieldSentAttempts)); err == nil {
+		exchange.sentAttempts += max(0, arrivals)
 	}
 }
--- a/internal/serve/forward/exchange.go
+++ b/internal/serve/forward/exchange.go
@@ -14,7 +14,7 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// exchange is one request on its way.
+// exchange is the state of one request in progress.
 type exchange struct {
 	forwarder *Forwarder
 	writer    http.ResponseWriter
@@ -24,121 +24,120 @@
 	route     *configuration.Route
 	service   string
 	workspace string
-	// regions are those to whose servers the request may go, nil for all.
+	// regions are the regions whose servers may get the request, nil for all.
 	regions []string
-	// fingerprint tells what was asked; it is known once the body was read.
+	// fingerprint identifies the request's content. It is set once the body has been read.
 	fingerprint quarantine.Fingerprint
-	// priority ranks the request by its route or workspace.
+	// priority is the priority of the request's route or workspace.
 	priority int
-	// late says that the caller has asked before, and that the answer can't be
-	// in time any more.
-	late    bool
-	arrived time.Duration
-	// deadline is when the answer must be complete.
+	// pastTarget is set if the caller has retried and the response can no longer meet the route's target.
+	pastTarget bool
+	arrived    time.Duration
+	// deadline is when the response must be complete.
 	deadline time.Duration
-	// attempts counts the calls begun, arrivals those that left this node, and
-	// runs those that may have run.
-	attempts int
-	arrivals int
-	runs     int
-	exclude  []string
-	// mayHaveRun is set when a call left whose fate is not known.
-	mayHaveRun bool
-	budget     *retry.Window
-	// held is what the request holds of the node's memory, bodyHeld the part of it that is
+	// attempts counts the calls started, sentAttempts those sent off from this node, and runs those that may have
+	// run.
+	attempts        int
+	sentAttempts    int
+	runs            int
+	excludedServers []string
+	// mayHaveRun is set once a call was sent whose outcome is unknown.
+	mayHaveRun  bool
+	retryBudget *retry.Window
+	// reservation is the part of the node's memory budget that the request takes, bodyReserved the part of it for
 	// the request's body.
-	held     memory.Hold
-	bodyHeld int64
-	// begun says that the head of the answer was written.
-	begun bool
-	// fallback is a failure that a server answered; it is delivered if no other
-	// server does better.
-	fallback *answer
-	last     dispatched
-	pace     pace
+	reservation  memory.Hold
+	bodyReserved int64
+	// responseStarted is set once the head of the response was written.
+	responseStarted bool
+	// fallback is a server's error response that is delivered if no other server does better.
+	fallback   *response
+	lastTarget targetInfo
+	timing     eventTiming
 	// outcome and cause tell why the request ended as it did.
 	outcome Outcome
 	cause   string
-	// again is after which time the caller should come again, 0 for the usual.
-	again time.Duration
-	// notBefore is before which time coming again is of no use, 0 if that isn't known.
-	notBefore time.Duration
-	// inward is set where another node sent the request, whose caller is there. excludePeers are the nodes
-	// that this one sent it through in vain, via the last.
-	inward       *inward
-	excludePeers []string
-	via          string
-	// straight says that no other node took the request, so that servers are called that seem out of reach.
-	straight bool
-	// asked says that the stream was counted as demand.
-	asked bool
+	// retryAfter is the retry delay for the caller, 0 for the default.
+	retryAfter time.Duration
+	// earliestRetry is the delay before which a retry is pointless, 0 if unknown.
+	earliestRetry time.Duration
+	// origin is set if a peer node sent the request on behalf of its caller. excludedPeers are the peer nodes to
+	// which this node sent the request, lastPeer the last of them.
+	origin        *detourOrigin
+	excludedPeers []string
+	lastPeer      string
+	// ignoreReachability is set once no peer node took the request, so that servers are called even though they
+	// seem unreachable.
+	ignoreReachability bool
+	// demandCounted is set once the stream was counted as demand.
+	demandCounted bool
 }
 
-// pace is how the events of a stream came, for the log.
-type pace struct {
-	first, latest, longest time.Duration
+// eventTiming records when the events of a stream arrived, for the log.
+type eventTiming struct {
+	first, latest, longestPause time.Duration
 }
 
-// event notes that events came at a time since the request arrived.
-func (pace *pace) event(at time.Duration) {
-	if pace.first == 0 {
-		pace.first, pace.latest = at, at
+// record records that events arrived, at a time since the request's arrival.
+func (eventTiming *eventTiming) record(at time.Duration) {
+	if eventTiming.first == 0 {
+		eventTiming.first, eventTiming.latest = at, at
 	}
-	pace.longest = max(pace.longest, at-pace.latest)
-	pace.latest = at
+	eventTiming.longestPause = max(eventTiming.longestPause, at-eventTiming.latest)
+	eventTiming.latest = at
 }
 
-// dispatched is where the last call went, for the log.
-type dispatched struct {
+// targetInfo describes the target of the last call, for the log.
+type targetInfo struct {
 	server string
 	group  string
-	taken  int
+	calls  int
 }
 
-// admit finds the route, the workspace and the service of the request.
-func (exchange *exchange) admit() bool {
+// resolve determines the route, the workspace and the service of the request.
+func (exchange *exchange) resolve() bool {
 	request := exchange.request
 	exchange.awaitReady()
 	exchange.snapshot = exchange.forwarder.Configuration.Load()
 	if !exchange.snapshot.Known() {
-		exchange.refuse(NoConfiguration, retryUnknown, "no configuration is known yet")
+		exchange.refuse(NoConfiguration, startupRetryDelay, "no configuration is loaded yet")
 		return false
 	}
 	if request.ID == "" {
-		exchange.deny(http.StatusBadRequest, Malformed, "the request has no ID")
+		exchange.deny(http.StatusBadRequest, Malformed, "request has no ID")
 		return false
 	}
 	route, ok := exchange.snapshot.Match(request.Host, request.Path)
 	if !ok {
-		exchange.deny(http.StatusNotFound, NoRoute, "no route matches")
+		exchange.deny(http.StatusNotFound, NoRoute, "no route matches the request")
 		return false
 	}
 	exchange.route = route
 	exchange.priority = route.Priority
-	exchange.confine(route.Regions)
-	if !exchange.identify() {
+	exchange.restrictRegions(route.Regions)
+	if !exchange.authenticate() {
 		return false
 	}
-	exchange.late = route.Timeout > 0 && exchange.request.Left > 0 && route.Timeout-exchange.request.Left > route.Target
+	exchange.pastTarget = route.Timeout > 0 && exchange.request.TimeLeft > 0 && route.Timeout-exchange.request.TimeLeft > route.Target
 	exchange.service = pickService(route.Services, rand.Float64())
-	exchange.budget = exchange.forwarder.Budget(exchange.service)
-	if exchange.inward == nil {
-		exchange.budget.Request()
+	exchange.retryBudget = exchange.forwarder.RetryBudget(exchange.service)
+	if exchange.origin == nil {
+		exchange.retryBudget.Request()
 	}
-	exchange.deadline = exchange.timeLimit()
+	exchange.deadline = exchange.computeDeadline()
 	return true
 }
 
 const (
-	// startWait is how long a request waits at a node that has just started and knows no
-	// configuration or no servers yet: a little more than that takes where all nodes
-	// start at once. A caller that was refused instead found no node a second time.
-	startWait = 500 * time.Millisecond
-	// startPart is the part of the caller's time that it may be, as a divisor.
-	startPart = 4
+	// startupWait is how long a request waits on a node that has just started and has no configuration or no
+	// server list yet. The value is slightly more than that takes when all nodes start at once. Callers that were
+	// refused instead found no node on their retry either.
+	startupWait = 500 * time.Millisecond
+	// startupWaitDivisor limits startupWait to a fraction of the caller's time, as a divisor.
+	startupWaitDivisor = 4
 )
 
-// awaitReady waits a moment for a node that has just started.
+// awaitReady waits briefly if the node has just started.
 func (exchange *exchange) awaitReady() {
 	ready := exchange.forwarder.Ready
 	select {
@@ -149,9 +148,9 @@
 	if ready == nil {
 		return
 	}
-	wait := startWait
-	if left := exchange.request.Left; left > 0 {
-		wait = min(wait, left/startPart)
+	wait := startupWait
+	if left := exchange.request.TimeLeft; left > 0 {
+		wait = min(wait, left/startupWaitDivisor)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -162,28 +161,28 @@
 	}
 }
 
-// identify finds the workspace that holds the caller's key. What the caller
-// itself says of its workspace is never looked at.
-func (exchange *exchange) identify() bool {
+// authenticate finds the workspace to which the caller's key belongs. What the caller claims about its workspace
+// is never used.
+func (exchange *exchange) authenticate() bool {
 	if exchange.route.Anonymous || len(exchange.snapshot.Configuration.Workspaces) == 0 {
 		return true
 	}
-	workspace, ok := exchange.holder()
+	workspace, ok := exchange.callerWorkspace()
 	if !ok {
-		exchange.deny(http.StatusUnauthorized, UnknownKey, "the key is not known")
+		exchange.deny(http.StatusUnauthorized, UnknownKey, "unknown API key")
 		return false
 	}
 	exchange.workspace = workspace.Name
-	exchange.confine(workspace.Regions)
+	exchange.restrictRegions(workspace.Regions)
 	if workspace.HasPriority {
 		exchange.priority = workspace.Priority
 	}
 	return true
 }
 
-// confine binds the request to some regions beside those that it was bound to before. None
-// bind nothing.
-func (exchange *exchange) confine(regions []string) {
+// restrictRegions restricts the request to regions, in addition to earlier restrictions. An empty list does not
+// restrict.
+func (exchange *exchange) restrictRegions(regions []string) {
 	switch {
 	case len(regions) == 0:
 	case exchange.regions == nil:
@@ -211,43 +210,43 @@
 	return services[0].Name
 }
 
-// timeLimit is the earlier of the caller's deadline and the route's timeout.
-func (exchange *exchange) timeLimit() time.Duration {
+// computeDeadline returns the earlier of the caller's deadline and the route's timeout.
+func (exchange *exchange) computeDeadline() time.Duration {
 	limit := time.Duration(0)
 	if exchange.route.Timeout > 0 {
 		limit = exchange.arrived + exchange.route.Timeout
 	}
-	if exchange.request.Left > 0 {
-		own := exchange.arrived + exchange.request.Left - answerMargin
-		if limit == 0 || own < limit {
-			limit = own
+	if exchange.request.TimeLeft > 0 {
+		callerLimit := exchange.arrived + exchange.request.TimeLeft - responseMargin
+		if limit == 0 || callerLimit < limit {
+			limit = callerLimit
 		}
 	}
 	if limit == 0 {
-		limit = exchange.arrived + unlimited
+		limit = exchange.arrived + defaultTimeout
 	}
 	return limit
 }
 
-// unlimited bounds requests for which neither caller nor route says how long.
-const unlimited = 60 * time.Second
+// defaultTimeout bounds requests for which neither the caller nor the route sets a time limit.
+const defaultTimeout = 60 * time.Second
 
-func (exchange *exchange) left() time.Duration {
+func (exchange *exchange) timeLeft() time.Duration {
 	return exchange.deadline - exchange.forwarder.Now()
 }
 
-// gone says whether the caller has closed its connection.
-func (exchange *exchange) gone() bool {
+// callerGone reports whether the caller has closed its connection.
+func (exchange *exchange) callerGone() bool {
 	return exchange.inbound.Context().Err() != nil
 }
 
-// PoolName names the targets that can run a request: the groups of its model,
-// or the servers of a plain service.
+// PoolName returns the name of the pool of targets that can run a request: the groups of a model, or the servers
+// of a plain service.
 func PoolName(service, model string) string {
 	return service + "/" + model
 }
 
-func (exchange *exchange) pool() string {
+func (exchange *exchange) poolName() string {
 	service, ok := exchange.snapshot.Service(exchange.service)
 	if ok && service.Engine != nil {
 		return PoolName(exchange.service, exchange.request.Model)
@@ -255,22 +254,22 @@
 	return PoolName(exchange.service, "")
 }
 
-// mayRepeat says whether the request may go to a further server, and draws on
-// the budget for it.
-func (exchange *exchange) mayRepeat() bool {
+// mayRetry reports whether the request may be sent to a further server, and withdraws a retry from the budget if
+// needed.
+func (exchange *exchange) mayRetry() bool {
 	if exchange.mayHaveRun && !exchange.route.Repeatable() {
 		exchange.outcome = MustNotRepeat
 		return false
 	}
-	if exchange.arrivals == 0 {
-		// Nothing has reached a server yet, so this is no repeat.
+	if exchange.sentAttempts == 0 {
+		// Nothing has reached a server yet, so this is not a retry.
 		return true
 	}
 	if exchange.runs >= max(1, exchange.route.MaxAttempts) {
 		exchange.outcome = AttemptsSpent
 		return false
 	}
-	if !exchange.budget.Take() {
+	if !exchange.retryBudget.Take() {
 		exchange.outcome = BudgetSpent
 		return false
 	}
@@ -278,36 +277,34 @@
 	return true
 }
 
-// newCall makes the call for one server.
-func (exchange *exchange) newCall(target *dispatch.Target) *backendserver.Call {
+// buildCall builds the call for one server.
+func (exchange *exchange) buildCall(target *dispatch.Target) *backendserver.Call {
 	request := exchange.request
 	return &backendserver.Call{
 		ID: request.ID, Method: request.Method, Target: request.Target, Host: request.Host, Header: request.Header,
 		Body: request.Body, Address: target.Address, Server: target.ID, Workspace: exchange.workspace,
-		Left: exchange.left() - hopAllowance, Urgency: exchange.urgency(),
-		After: request.After, Continues: request.Continues,
+		Left: exchange.timeLeft() - hopMargin, Urgency: exchange.urgency(),
+		After: request.LastEventID, Continues: request.Resumes,
 	}
 }
 
-// The ranks within one priority. An answer that callers already read goes
-// first: each pause in it counts, and stopping it loses what it has. One that
-// can still be in time goes before one that can't.
+// Ranks within one priority. A partly delivered response comes first: every pause in it counts, and stopping it
+// wastes the part already delivered. Requests that can still meet their target come before those that cannot.
 const (
-	rankBegun = iota
+	rankPartlyDelivered = iota
 	rankFresh
 	rankLate
-	ranks
+	rankCount
 )
 
-// urgency ranks the request at the server: by priority, then by what waiting
-// costs.
+// urgency returns the rank of the request at the server: by priority first, then by the cost of waiting.
 func (exchange *exchange) urgency() int {
 	rank := rankFresh
 	switch {
-	case exchange.goesOn():
-		rank = rankBegun
-	case exchange.late:
+	case exchange.partlyDelivered():
+		rank = rankPartlyDelivered
+	case exchange.pastTarget:
 		rank = rankLate
 	}
-	return ranks*exchange.priority + rank
+	return rankCount*exchange.priority + rank
 }
--- /dev/null
+++ b/internal/serve/forward/failure.go
@@ -0,0 +1,98 @@
+package forward
+
+import (
+	"io"
+	"log/slog"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"hazelslip/internal/policy/dispatch"
+	"hazelslip/internal/policy/quarantine"
+)
+
+// recordServerFailure records that a server failed while it was running the call, if the error suggests so.
+func (exchange *exchange) recordServerFailure(attempt *attempt, err error) {
+	if attempt.peer != nil || exchange.callerGone() || attempt.call.Withdrawn() || !isServerFailure(attempt, err) {
+		return
+	}
+	if !attempt.call.Moved() {
+		attempt.target.Broke()
+	}
+	forwarder := exchange.forwarder
+	forwarder.Counts.ServerEnds.Add(1)
+	failures := exchange.reportFailure(attempt.target, attempt.call.Moved())
+	forwarder.Logger.LogAttrs(exchange.inbound.Context(), slog.LevelWarn, "forward: a server failed during a request.",
+		slog.String("RequestID", exchange.request.ID), slog.String("Fingerprint", exchange.fingerprint.String()),
+		slog.Int("Ends", failures), slog.String("Server", attempt.target.ID), slog.String("Group", attempt.target.Group),
+		slog.Int("Attempt", exchange.attempts), slog.Bool("StoodStill", attempt.call.Moved()), slog.Int64("EventsUpTo", exchange.request.LastEventID),
+		slog.Int64("SentMillisecondsAgo", (forwarder.Now()-attempt.startedAt).Milliseconds()), slog.String("Cause", err.Error()))
+}
+
+// reportFailure reports that a target's server failed during the request, and returns the number of such failures.
+// The failure of a stalled group counts only once it is confirmed.
+func (exchange *exchange) reportFailure(target *dispatch.Target, stalled bool) int {
+	list := exchange.forwarder.Quarantine
+	if !target.Reached() {
+		// This node may have lost the network path to the server, which failures the calls at all servers there at
+		// once.
+		exchange.forwarder.OnUnconfirmedFailure(target, exchange.fingerprint)
+		return 0
+	}
+	if stalled && !target.Lost() {
+		list.Doubt(exchange.fingerprint, target.Group, target.Run())
+		return 0
+	}
+	failures, changed := list.Ended(exchange.fingerprint, target.Run())
+	if changed {
+		exchange.forwarder.OnQuarantineChange(exchange.fingerprint)
+	}
+	return failures
+}
+
+// isServerFailure reports whether a call failed in the way that a failing server causes: the connection was closed
+// or reset, or the group lost a member and stalled. A call that this node canceled, or that timed out, says
+// nothing about its server.
+func isServerFailure(attempt *attempt, err error) bool {
+	return attempt.call.Moved() || errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE)
+}
+
+// recordSuccess records that the request got a complete response, which a request that makes servers fail never
+// does. A response without a length may have been cut off by such a failure and does not count.
+func (exchange *exchange) recordSuccess(attempt *attempt) {
+	if attempt.peer != nil || !attempt.Framed() || !exchange.forwarder.Quarantine.Served(exchange.fingerprint) {
+		return
+	}
+	exchange.forwarder.OnQuarantineChange(exchange.fingerprint)
+	exchange.forwarder.Logger.LogAttrs(exchange.inbound.Context(), slog.LevelInfo, "forward: a request during which a server had failed was answered.",
+		slog.String("RequestID", exchange.request.ID), slog.String("Fingerprint", exchange.fingerprint.String()))
+}
+
+// quarantined reports whether the request may not be sent to any server any more: so many servers failed while
+// running it that the next one would fail too, together with the calls of other callers there.
+func (exchange *exchange) quarantined() bool {
+	verdict, refused := exchange.forwarder.Quarantine.Refuses(exchange.fingerprint)
+	if !refused {
+		return false
+	}
+	if exchange.outcome != Quarantined {
+		exchange.forwarder.Counts.Quarantined.Add(1)
+	}
+	exchange.outcome, exchange.retryAfter = Quarantined, verdict.Left
+	exchange.cause = describeVerdict(verdict, exchange.forwarder.Now())
+	return true
+}
+
+// describeVerdict explains why a request is quarantined.
+func describeVerdict(verdict quarantine.Verdict, now time.Duration) string {
+	runs := make([]string, 0, len(verdict.Ends))
+	for _, end := range verdict.Ends {
+		runs = append(runs, end.Run)
+	}
+	last := verdict.Ends[len(verdict.Ends)-1].At
+	return "servers failed while running the request: " + strings.Join(runs, ", ") + "; last failure " +
+		strconv.FormatInt((now-last).Milliseconds(), 10) + " ms ago"
+}
--- a/internal/serve/forward/forward.go
+++ b/internal/serve/forward/forward.go
@@ -1,19 +1,16 @@
-// Package forward takes callers' requests, sends them to backend servers, and
-// returns the servers' answers unchanged.
+// Package forward sends callers' requests to backend servers and returns the servers' responses unchanged.
 //
-// It promises that a request whose route may not be repeated is sent to a
-// second server only if the first provably did not run it, and that the
-// statuses 429 and 503 are said only of requests that did not run and never
-// will. A request that may have run ends with its server's answer, with 502 or
-// 504, or, in the middle of a stream, with a broken connection.
+// A request whose route does not allow retries is sent to a second server only if the first server provably did
+// not run it. The statuses 429 and 503 are returned only for requests that did not run and never will. A request
+// that may have run ends with its server's response, with 502 or 504, or, in the middle of a stream, with a closed
+// connection.
 //
-// A stream whose server falls silent or breaks goes on at another, from the
-// last whole event that the caller was given, within the one answer that the
-// caller already reads.
+// A stream whose server stalls or disconnects resumes at another server, after the last complete event that the
+// caller received, within the same response.
 //
 // # Usage
 //
-//	forwarder := forward.New(forward.Parts{Configuration: table, Board: board, ...})
+//	forwarder := forward.New(forward.Dependencies{Configuration: table, Board: board, ...})
 //	server := &http.Server{Handler: forwarder}
 package forward
 
@@ -35,158 +32,160 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// Request is a caller's request.
+// Request is a decoded request of a caller.
 type Request struct {
 	ID     string
 	Method string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query exactly as the caller sent them.
 	Target string
 	Path   string
 	Host   string
-	// Header is what is passed on.
+	// Header holds the headers that are forwarded.
 	Header http.Header
 	Body   []byte
-	// Key is the caller's key, never passed on.
+	// Key is the caller's API key. It is never forwarded.
 	Key string
 	// Model is empty for plain services.
 	Model string
-	// PromptTokens and AnswerTokens are the sizes that the caller states.
+	// PromptTokens and AnswerTokens are the sizes that the caller declares.
 	PromptTokens int
 	AnswerTokens int
-	// After is the last event that the caller has of an earlier answer, where
-	// Continues is set.
-	After     int64
-	Continues bool
-	// Left is how long the caller said it will wait; 0 if it didn't.
-	Left time.Duration
+	// LastEventID is the last event that the caller received of an earlier response. It is valid if Resumes is
+	// set.
+	LastEventID int64
+	Resumes     bool
+	// TimeLeft is how long the caller waits for the response, 0 if the caller did not say.
+	TimeLeft time.Duration
 }
 
-// Parts is what a Forwarder works with.
-type Parts struct {
+// Dependencies are the constructor arguments of a Forwarder.
+type Dependencies struct {
 	Configuration *configuration.Table
 	Board         *dispatch.Board
 	Pool          *backendserver.Pool
-	// Decode reads a caller's request but for its body.
-	Decode func(request *http.Request) *Request
-	// DataCentre is this node's.
+	// DecodeRequest decodes a caller's request, except for the body.
+	DecodeRequest func(request *http.Request) *Request
+	// DataCentre is the data centre of this node.
 	DataCentre string
-	// Budget returns the window of repeats of a service.
-	Budget func(service string) *retry.Window
-	// Ready is closed once the node knows a configuration and the servers.
+	// RetryBudget returns the retry budget of a service.
+	RetryBudget func(service string) *retry.Window
+	// Ready is closed once the node has a configuration and the server list.
 	Ready <-chan struct{}
-	// Stopping says that the node is shutting down.
+	// Stopping reports whether the node is shutting down.
 	Stopping func() bool
-	// Ended is told of each request that ended.
-	Ended func(summary Summary)
-	// Quarantine knows which requests are sent to no server.
+	// OnRequestEnd is called for each request that ended.
+	OnRequestEnd func(summary Summary)
+	// Quarantine tracks the requests that may not be sent to any server.
 	Quarantine *quarantine.List
-	// Suspected is told of a request of which the Quarantine learned something here.
-	Suspected func(fingerprint quarantine.Fingerprint)
-	// Heard is told of the head of each answer.
-	Heard func(heard Heard)
-	// AskPermits is called when a request waits for a permit.
-	AskPermits func()
-	// Returns tells callers refused for a limit when to come back, Nodes how many nodes
-	// share it.
-	Returns *ratelimit.Returns
-	Nodes   func() int
-	// Memory is the budget of bytes that are buffered; nil for none.
+	// OnQuarantineChange is called for a request whose quarantine record changed on this node.
+	OnQuarantineChange func(fingerprint quarantine.Fingerprint)
+	// OnResponseHead is called with the head of each response.
+	OnResponseHead func(heard ResponseHead)
+	// RequestPermits is called when a request waits for a rate limit permit.
+	RequestPermits func()
+	// RetryScheduler assigns retry times to callers refused by a rate limit. NodeCount returns the number of nodes
+	// that share the limit.
+	RetryScheduler *ratelimit.Returns
+	NodeCount      func() int
+	// Memory is the budget for buffered bytes, nil for no limit.
 	Memory *memory.Budget
-	// Detours are the other nodes that requests go through whose servers this one doesn't reach, nil for
-	// none, DetourPool the connections there. DetourWanted is told that none is known.
-	Detours      *detour.Table
-	DetourPool   *backendserver.Pool
-	DetourWanted func()
-	// Name is this node's, NewerAt is told of a version in force at the node with an address.
-	Name    string
-	NewerAt func(address string, version int64)
-	// Unsure is told of a request under which a server may have ended, while the way there is doubted.
-	Unsure func(target *dispatch.Target, fingerprint quarantine.Fingerprint)
-	// Failed is told of a server that refused or broke a call of a group.
-	Failed func(target *dispatch.Target, culprit string)
-	Logger *slog.Logger
-	Now    clock.Now
+	// Detours lists the peer nodes to which this node sends requests whose servers this node does not reach, nil
+	// for none. DetourPool holds the connections to the peers. RequestDetours is called when no peer is known.
+	Detours        *detour.Table
+	DetourPool     *backendserver.Pool
+	RequestDetours func()
+	// NodeName is the name of this node. OnNewerVersion is called when the node at an address has a newer
+	// configuration version in force.
+	NodeName       string
+	OnNewerVersion func(address string, version int64)
+	// OnUnconfirmedFailure is called for a request during which a server may have failed while the path to the
+	// server is suspected.
+	OnUnconfirmedFailure func(target *dispatch.Target, fingerprint quarantine.Fingerprint)
+	// OnServerFailure is called for a server that refused or dropped a call of a group.
+	OnServerFailure func(target *dispatch.Target, culprit string)
+	Logger          *slog.Logger
+	Now             clock.Now
 }
 
-// Counts are the forwarder's counters; they only grow.
+// Counts holds the forwarder's counters, which only increase.
 type Counts struct {
 	Requests atomic.Uint64
 	Repeats  atomic.Uint64
-	// Quarantined are the requests that were refused, or not tried again, since servers
-	// end that run them; ServerEnds the ends of servers under requests.
+	// Quarantined counts the requests that were refused or not retried because servers fail when they run them.
+	// ServerEnds counts the server failures during requests.
 	Quarantined atomic.Uint64
-	// Limited are the requests that were refused for limits that servers name, BackedOff
-	// those for backoffs that they asked for.
+	// Limited counts the requests refused by rate limits that servers announced. BackedOff counts the requests
+	// refused by backoffs that servers asked for.
 	Limited    atomic.Uint64
 	BackedOff  atomic.Uint64
 	ServerEnds atomic.Uint64
-	// Shed are the streams that were refused since their pool can't run all that is asked of it and
-	// others go first, Unanswered the calls whose connection was closed before any answer.
+	// Shed counts the streams refused because demand exceeds the capacity of their pool and other streams have
+	// priority. Unanswered counts the calls whose connection closed before any response.
 	Shed       atomic.Uint64
 	Unanswered atomic.Uint64
-	// DetoursSent are the requests that were sent through other nodes, DetoursTaken those of other
-	// nodes, DetoursRefused those of them that were not taken.
+	// DetoursSent counts the requests sent to peer nodes, DetoursTaken the requests accepted from peer nodes,
+	// DetoursRefused the requests of peer nodes that were not accepted.
 	DetoursSent, DetoursTaken, DetoursRefused atomic.Uint64
 }
 
-// Forwarder is an http.Handler.
+// Forwarder is the http.Handler for callers' requests.
 type Forwarder struct {
-	Parts
+	Dependencies
 	Counts Counts
 
 	buffers sync.Pool
-	// inwards counts the requests of other nodes that are under way.
-	inwards atomic.Int64
+	// inboundDetours counts the requests of peer nodes in progress.
+	inboundDetours atomic.Int64
 }
 
-// New returns a forwarder.
-func New(parts Parts) *Forwarder {
-	if parts.Memory == nil {
-		parts.Memory = memory.New(0)
+// New returns a Forwarder.
+func New(dependencies Dependencies) *Forwarder {
+	if dependencies.Memory == nil {
+		dependencies.Memory = memory.New(0)
 	}
-	if parts.Unsure == nil {
-		parts.Unsure = func(*dispatch.Target, quarantine.Fingerprint) {}
+	if dependencies.OnUnconfirmedFailure == nil {
+		dependencies.OnUnconfirmedFailure = func(*dispatch.Target, quarantine.Fingerprint) {}
 	}
-	return &Forwarder{Parts: parts, buffers: sync.Pool{New: func() any { return new([copyBuffer]byte) }}}
+	return &Forwarder{Dependencies: dependencies, buffers: sync.Pool{New: func() any { return new([copyBufferSize]byte) }}}
 }
 
 const (
-	copyBuffer = 4 << 10
-	// bodyMost bounds a body while no configuration says how long it may be.
-	bodyMost = 4 << 20
-	// leastLeft is the least time in which an answer can still arrive.
-	leastLeft = 15 * time.Millisecond
-	// answerMargin is kept back from the caller's time for the answer's way.
-	answerMargin = 15 * time.Millisecond
-	// hopAllowance is taken off the time that a server is given.
-	hopAllowance = 5 * time.Millisecond
+	copyBufferSize = 4 << 10
+	// defaultMaxBodyBytes bounds a request body while no configuration sets a limit.
+	defaultMaxBodyBytes = 4 << 20
+	// minTimeLeft is the shortest remaining time in which a response can still arrive.
+	minTimeLeft = 15 * time.Millisecond
+	// responseMargin is subtracted from the caller's time for returning the response to the caller.
+	responseMargin = 15 * time.Millisecond
+	// hopMargin is subtracted from the time limit that is sent to a server.
+	hopMargin = 5 * time.Millisecond
 )
 
-// ServeHTTP serves one request.
+// ServeHTTP serves one request of a caller.
 func (forwarder *Forwarder) ServeHTTP(writer http.ResponseWriter, inbound *http.Request) {
 	forwarder.Counts.Requests.Add(1)
 	forwarder.serve(writer, inbound, nil)
 }
 
-// serve serves a request of a caller, or one that another node sent.
-func (forwarder *Forwarder) serve(writer http.ResponseWriter, inbound *http.Request, from *inward) {
+// serve handles a request of a caller, or one that a peer node sent (origin is not nil).
+func (forwarder *Forwarder) serve(writer http.ResponseWriter, inbound *http.Request, origin *detourOrigin) {
 	exchange := &exchange{
-		forwarder: forwarder, writer: writer, inbound: inbound, inward: from,
-		request: forwarder.Decode(inbound), arrived: forwarder.Now(),
+		forwarder: forwarder, writer: writer, inbound: inbound, origin: origin,
+		request: forwarder.DecodeRequest(inbound), arrived: forwarder.Now(),
 	}
-	if from != nil {
-		exchange.runs, exchange.mayHaveRun = from.Runs, from.Runs > 0
+	if origin != nil {
+		exchange.runs, exchange.mayHaveRun = origin.Runs, origin.Runs > 0
 	}
-	defer exchange.held.Release()
+	defer exchange.reservation.Release()
 	if forwarder.Stopping() {
 		writer.Header().Set("Connection", "close")
 	}
-	if !exchange.admit() || !exchange.readBody() {
+	if !exchange.resolve() || !exchange.readBody() {
 		return
 	}
 	if exchange.route.Kind == configuration.Streaming {
-		exchange.stream()
+		exchange.serveStream()
 		return
 	}
-	exchange.call()
+	exchange.serveCall()
 }
--- a/internal/serve/forward/memory_test.go
+++ b/internal/serve/forward/memory_test.go
@@ -23,8 +23,8 @@
 
 const megabyte = 1 << 20
 
-// took answers after a time with how many bytes came.
-func took(after time.Duration) http.HandlerFunc {
+// countBody responds, after a delay, with the number of bytes received.
+func countBody(after time.Duration) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		n, err := io.Copy(io.Discard, request.Body)
 		if err != nil {
@@ -35,78 +35,78 @@
 	}
 }
 
-// Guards against a node that buffers more bodies than its memory holds, against one that lets
-// a workspace with large bodies keep others out, and against refusals that come late.
-func TestLargeBodiesBeyondTheBudgetAreRefusedAtOnce(t *testing.T) {
+// Guards against a node that buffers more request bodies than its memory budget allows, against a workspace with
+// large bodies that keeps other workspaces out, and against late refusals.
+func TestBodiesBeyondMemoryBudgetAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		const budget = 8 * megabyte
-		rig := newRig(t, budget, took(2*time.Second))
+		rig := newRig(t, budget, countBody(2*time.Second))
 		calls := conc.WaitGroup{}
-		large, small := make([]answered, 40), make([]answered, 30)
+		large, small := make([]callResult, 40), make([]callResult, 30)
 		for number := range large {
-			body := text(megabyte)
+			body := bodyOfLength(megabyte)
 			if number%2 == 0 {
-				body = unsized(body)
+				body = withoutLength(body)
 			}
-			calls.Go(func() { large[number] = rig.ask(rig.request(number%2, "/book/1", body)) })
+			calls.Go(func() { large[number] = rig.do(rig.request(number%2, "/book/1", body)) })
 		}
 		time.Sleep(time.Second)
 		for number := range small {
-			calls.Go(func() { small[number] = rig.ask(rig.request(2+number%4, "/book/1", text(2<<10))) })
+			calls.Go(func() { small[number] = rig.do(rig.request(2+number%4, "/book/1", bodyOfLength(2<<10))) })
 		}
 		calls.Wait()
 		served := 0
-		for _, answered := range large {
-			expect.Expect(answered.err).NotTo(gomega.HaveOccurred())
-			if answered.status == http.StatusOK {
+		for _, result := range large {
+			expect.Expect(result.err).NotTo(gomega.HaveOccurred())
+			if result.status == http.StatusOK {
 				served++
-				expect.Expect(answered.body).To(gomega.Equal("took 1048576"))
+				expect.Expect(result.body).To(gomega.Equal("took 1048576"))
 				continue
 			}
-			expect.Expect(answered.status).To(gomega.Equal(http.StatusServiceUnavailable))
-			expect.Expect(answered.took).To(gomega.BeNumerically("<", 50*time.Millisecond))
-			again, err := strconv.ParseFloat(answered.header.Get("Retry-After"), 64)
+			expect.Expect(result.status).To(gomega.Equal(http.StatusServiceUnavailable))
+			expect.Expect(result.duration).To(gomega.BeNumerically("<", 50*time.Millisecond))
+			retryAfter, err := strconv.ParseFloat(result.header.Get("Retry-After"), 64)
 			expect.Expect(err).NotTo(gomega.HaveOccurred())
-			expect.Expect(again).To(gomega.And(gomega.BeNumerically(">=", 0.3), gomega.BeNumerically("<=", 0.5)))
+			expect.Expect(retryAfter).To(gomega.And(gomega.BeNumerically(">=", 0.3), gomega.BeNumerically("<=", 0.5)))
 		}
 		expect.Expect(served).To(gomega.And(gomega.BeNumerically(">=", 3), gomega.BeNumerically("<=", 7)))
-		for _, answered := range small {
-			expect.Expect(answered.status).To(gomega.Equal(http.StatusOK))
+		for _, result := range small {
+			expect.Expect(result.status).To(gomega.Equal(http.StatusOK))
 		}
-		held, most, refused := rig.memory.Sums()
+		held, peak, refused := rig.memory.Sums()
 		expect.Expect(held).To(gomega.BeZero())
-		expect.Expect(most).To(gomega.BeNumerically("<=", budget))
+		expect.Expect(peak).To(gomega.BeNumerically("<=", budget))
 		expect.Expect(refused).To(gomega.Equal(uint64(40 - served)))
-		expect.Expect(rig.outcome(forward.OutOfMemory)).To(gomega.Equal(40 - served))
-		expect.Expect(rig.lines).To(gomega.Equal(1), "refusals of the same seconds are one line")
-		expect.Expect(rig.end()).To(gomega.BeZero())
+		expect.Expect(rig.outcomeCount(forward.OutOfMemory)).To(gomega.Equal(40 - served))
+		expect.Expect(rig.memoryRefusalLines).To(gomega.Equal(1), "refusals within a few seconds share one log line")
+		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
 }
 
-// Guards against a refusal that asks the caller to come back later than it can.
-func TestRefusedBodyMayComeAgainInTime(t *testing.T) {
+// Guards against a retry delay that exceeds the caller's time.
+func TestRefusedBodyRetryFitsCallerDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		rig := newRig(t, 16<<10, took(0))
-		request := rig.request(0, "/book/1", text(100<<10))
+		rig := newRig(t, 16<<10, countBody(0))
+		request := rig.request(0, "/book/1", bodyOfLength(100<<10))
 		request.Header.Set("Left", "600")
-		again, err := strconv.ParseFloat(rig.ask(request).header.Get("Retry-After"), 64)
+		retryAfter, err := strconv.ParseFloat(rig.do(request).header.Get("Retry-After"), 64)
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
-		expect.Expect(again).To(gomega.And(gomega.BeNumerically(">", 0.05), gomega.BeNumerically("<", 0.2)))
-		expect.Expect(rig.end()).To(gomega.BeZero())
+		expect.Expect(retryAfter).To(gomega.And(gomega.BeNumerically(">", 0.05), gomega.BeNumerically("<", 0.2)))
+		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
 }
 
-// Guards against the rest of a refused body that is taken for the next request, and against a
-// refusal that the caller can't read since its connection was reset.
-func TestRestOfARefusedBodyIsNoRequest(t *testing.T) {
+// Guards against the rest of a refused body that is parsed as the next request, and against a refusal that the
+// caller cannot read because its connection was reset.
+func TestRestOfRefusedBodyIsNotParsedAsRequest(t *testing.T) {
 	for _, kind := range []string{"Content-Length: 900000", "Content-Length: 100000", "Transfer-Encoding: chunked"} {
 		synctest.Test(t, func(t *testing.T) {
 			expect := gomega.NewWithT(t)
 			arrived := atomic.Int32{}
 			rig := newRig(t, 16<<10, func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
-			conn, err := rig.wires.Dialer("caller")(context.Background(), "tcp", nodeAddress)
+			conn, err := rig.network.Dialer("caller")(context.Background(), "tcp", nodeAddress)
 			expect.Expect(err).NotTo(gomega.HaveOccurred())
 			inner := "POST /book/2 HTTP/1.1\r\nHost: h.example\r\nId: b\r\nKey: key-1\r\nContent-Length: 0\r\n\r\n"
 			body := strings.Repeat(inner, 900000/len(inner)+1)
@@ -124,42 +124,42 @@
 			expect.Expect(response.StatusCode).To(gomega.Equal(http.StatusServiceUnavailable))
 			expect.Expect(response.Close).To(gomega.BeTrue())
 			rest, _ := io.ReadAll(reader)
-			expect.Expect(rest).To(gomega.BeEmpty(), "nothing else was answered")
+			expect.Expect(rest).To(gomega.BeEmpty(), "nothing else was served")
 			writing.Wait()
 			conn.Close()
 			expect.Expect(arrived.Load()).To(gomega.BeZero())
-			expect.Expect(rig.end()).To(gomega.BeZero())
+			expect.Expect(rig.shutdown()).To(gomega.BeZero())
 		})
 	}
 }
 
-// Guards against a connection that stays open after a refusal, for a caller that sends no more.
-func TestRefusedCallerThatSendsNoMoreIsLeft(t *testing.T) {
+// Guards against a connection that stays open after a refusal although the caller sends nothing more.
+func TestConnectionClosesAfterRefusalOfStalledBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		rig := newRig(t, 16<<10, took(0))
-		conn, err := rig.wires.Dialer("caller")(context.Background(), "tcp", nodeAddress)
+		rig := newRig(t, 16<<10, countBody(0))
+		conn, err := rig.network.Dialer("caller")(context.Background(), "tcp", nodeAddress)
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
 		_, _ = io.WriteString(conn, "POST /book/1 HTTP/1.1\r\nHost: h.example\r\nId: a\r\nKey: key-0\r\nContent-Length: 100000\r\n\r\nsome")
-		began := time.Now()
+		startedAt := time.Now()
 		answers, _ := io.ReadAll(conn)
 		expect.Expect(string(answers)).To(gomega.HavePrefix("HTTP/1.1 503 "))
-		expect.Expect(time.Since(began)).To(gomega.BeNumerically("<", 2*time.Second))
+		expect.Expect(time.Since(startedAt)).To(gomega.BeNumerically("<", 2*time.Second))
 		conn.Close()
-		expect.Expect(rig.end()).To(gomega.BeZero())
+		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
 }
 
-// Guards against a caller that keeps what was reserved for its body by never sending it.
-func TestBodyThatDoesNotComeIsGivenUp(t *testing.T) {
+// Guards against a caller that holds the memory reserved for its body by never sending the body.
+func TestStalledBodyTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		rig := newRig(t, 8*megabyte, took(0))
+		rig := newRig(t, 8*megabyte, countBody(0))
 		body, rest := io.Pipe()
 		request := rig.request(0, "/book/1", body)
 		request.ContentLength = megabyte
-		answers := make(chan answered, 1)
-		go func() { answers <- rig.ask(request) }()
+		answers := make(chan callResult, 1)
+		go func() { answers <- rig.do(request) }()
 		_, _ = io.WriteString(rest, "some")
 		time.Sleep(time.Second)
 		held, _, _ := rig.memory.Sums()
@@ -167,15 +167,16 @@
 		got := <-answers
 		_ = rest.Close()
 		expect.Expect(got.status).To(gomega.Equal(http.StatusServiceUnavailable))
-		expect.Expect(got.took).To(gomega.BeNumerically("~", routeTimeout, 100*time.Millisecond))
-		expect.Expect(rig.outcome(forward.TimeUp)).To(gomega.Equal(1))
-		expect.Expect(rig.end()).To(gomega.BeZero())
+		expect.Expect(got.duration).To(gomega.BeNumerically("~", routeTimeout, 100*time.Millisecond))
+		expect.Expect(rig.outcomeCount(forward.TimeUp)).To(gomega.Equal(1))
+		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
 }
 
-// Guards against an answer that is refused, or cut, since it doesn't fit into the memory or is
-// longer than what is kept; and against one that waits for its caller longer than the call had.
-func TestAnswerThatDoesNotFitIsDelivered(t *testing.T) {
+// Guards against a response that is refused or truncated because it does not fit into the memory budget or is
+// longer than the buffer limit, and against a relayed response that is cut off at the call's time limit while the
+// caller is not reading.
+func TestResponseBeyondMemoryBudgetIsRelayed(t *testing.T) {
 	for _, length := range []int{megabyte, 10 * megabyte} {
 		for _, framed := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
@@ -186,9 +187,9 @@
 					if framed {
 						writer.Header().Set("Content-Length", strconv.Itoa(length))
 					}
-					_, _ = io.Copy(writer, text(length))
+					_, _ = io.Copy(writer, bodyOfLength(length))
 				})
-				response, err := rig.callers.Do(rig.request(0, "/ping/1", text(100)))
+				response, err := rig.callers.Do(rig.request(0, "/ping/1", bodyOfLength(100)))
 				expect.Expect(err).NotTo(gomega.HaveOccurred())
 				time.Sleep(2 * routeTimeout)
 				body, err := io.ReadAll(response.Body)
@@ -196,55 +197,54 @@
 				expect.Expect(err).NotTo(gomega.HaveOccurred())
 				expect.Expect(response.StatusCode).To(gomega.Equal(http.StatusOK))
 				expect.Expect(len(body)).To(gomega.Equal(length))
-				_, most, refused := rig.memory.Sums()
-				expect.Expect(most).To(gomega.BeNumerically("<=", budget))
+				_, peak, refused := rig.memory.Sums()
+				expect.Expect(peak).To(gomega.BeNumerically("<=", budget))
 				expect.Expect(refused).To(gomega.BeZero())
-				expect.Expect(rig.outcome(forward.Answered)).To(gomega.Equal(1))
-				expect.Expect(rig.end()).To(gomega.BeZero())
+				expect.Expect(rig.outcomeCount(forward.Answered)).To(gomega.Equal(1))
+				expect.Expect(rig.shutdown()).To(gomega.BeZero())
 			})
 		}
 	}
 }
 
-// Guards against an answer that is cut while it is passed on, since its server took longer than a
-// first server is waited for.
-func TestAnswerThatIsPassedOnMayTakeItsTime(t *testing.T) {
+// Guards against a relayed response that is cut off because its server took longer than the attempt timeout.
+func TestRelayedResponseMayExceedAttemptTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		rig := newRig(t, 16<<10, func(writer http.ResponseWriter, request *http.Request) {
 			_, _ = io.Copy(io.Discard, request.Body)
 			for range 5 {
-				_, _ = io.Copy(writer, text(100<<10))
+				_, _ = io.Copy(writer, bodyOfLength(100<<10))
 				_ = http.NewResponseController(writer).Flush()
 				time.Sleep(routeTimeout / 5)
 			}
 		})
-		got := rig.ask(rig.request(0, "/ping/1", text(100)))
+		got := rig.do(rig.request(0, "/ping/1", bodyOfLength(100)))
 		expect.Expect(got.err).NotTo(gomega.HaveOccurred())
 		expect.Expect(len(got.body)).To(gomega.Equal(500 << 10))
-		expect.Expect(rig.end()).To(gomega.BeZero())
+		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
 }
 
-// Guards against an answer that looks whole though its server broke off while it was passed on.
-func TestAnswerThatBreaksOffWhilePassedOnIsCut(t *testing.T) {
+// Guards against a relayed response that looks complete although its server disconnected.
+func TestTruncatedRelayedResponseIsNotComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		rig := newRig(t, 16<<10, func(writer http.ResponseWriter, request *http.Request) {
 			_, _ = io.Copy(io.Discard, request.Body)
-			_, _ = io.Copy(writer, text(megabyte))
+			_, _ = io.Copy(writer, bodyOfLength(megabyte))
 			panic(http.ErrAbortHandler)
 		})
-		got := rig.ask(rig.request(0, "/ping/1", text(100)))
+		got := rig.do(rig.request(0, "/ping/1", bodyOfLength(100)))
 		expect.Expect(got.err).To(gomega.HaveOccurred())
-		expect.Expect(rig.outcome(forward.Answered)).To(gomega.BeZero())
-		expect.Expect(rig.end()).To(gomega.BeZero())
+		expect.Expect(rig.outcomeCount(forward.Answered)).To(gomega.BeZero())
+		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
 }
 
-// Guards against a caller that reads slowly and makes the node buffer its stream, and against
-// one whose stream is taken from its group, since nothing comes of it while it isn't read.
-func TestSlowReaderOfAStreamHoldsBackItsServer(t *testing.T) {
+// Guards against a node that buffers the stream of a slow reader, and against a stream that is moved away from its
+// group as stalled because the caller is not reading it.
+func TestSlowStreamReaderAppliesBackpressure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		written, runs := atomic.Int64{}, atomic.Int32{}
@@ -259,21 +259,21 @@
 		})
 		watching, stop := context.WithCancel(context.Background())
 		watch := conc.WaitGroup{}
-		silent := atomic.Int32{}
+		stalled := atomic.Int32{}
 		watch.Go(func() {
 			for watching.Err() == nil {
-				silent.Add(int32(len(rig.board.Watch())))
+				stalled.Add(int32(len(rig.board.Watch())))
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
-		conn, err := rig.wires.Dialer("caller")(context.Background(), "tcp", nodeAddress)
+		conn, err := rig.network.Dialer("caller")(context.Background(), "tcp", nodeAddress)
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
 		_, _ = io.WriteString(conn, "POST /draft/1 HTTP/1.1\r\nHost: h.example\r\nId: a\r\nKey: key-0\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(4 * time.Second)
 		expect.Expect(written.Load()).To(gomega.BeNumerically("<", 32<<10))
-		held, most, _ := rig.memory.Sums()
-		expect.Expect(held).To(gomega.BeNumerically(">", 0), "what is pending is counted")
-		expect.Expect(most).To(gomega.BeNumerically("<", 32<<10))
+		held, peak, _ := rig.memory.Sums()
+		expect.Expect(held).To(gomega.BeNumerically(">", 0), "the pending buffer is reserved")
+		expect.Expect(peak).To(gomega.BeNumerically("<", 32<<10))
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
 		defer response.Body.Close()
@@ -281,16 +281,16 @@
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
 		expect.Expect(strings.Count(string(body), "id: ")).To(gomega.Equal(1000))
 		expect.Expect(runs.Load()).To(gomega.Equal(int32(1)))
-		expect.Expect(silent.Load()).To(gomega.BeZero(), "the group doesn't stand still")
+		expect.Expect(stalled.Load()).To(gomega.BeZero(), "the group is not stalled")
 		conn.Close()
 		stop()
 		watch.Wait()
-		expect.Expect(rig.end()).To(gomega.BeZero())
+		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
 }
 
-// Guards against a caller that hangs and keeps its place at a server after its time is up.
-func TestHungCallerKeepsNoPlaceBeyondItsTime(t *testing.T) {
+// Guards against a hung caller that keeps its slot at a server after the call has timed out.
+func TestHungCallerFreesSlotAtTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		ended := make(chan struct{})
@@ -304,7 +304,7 @@
 				_ = http.NewResponseController(writer).Flush()
 			}
 		})
-		conn, err := rig.wires.Dialer("caller")(context.Background(), "tcp", nodeAddress)
+		conn, err := rig.network.Dialer("caller")(context.Background(), "tcp", nodeAddress)
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
 		_, _ = io.WriteString(conn, "POST /draft/1 HTTP/1.1\r\nHost: h.example\r\nId: a\r\nKey: key-0\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(routeTimeout - 100*time.Millisecond)
@@ -314,11 +314,11 @@
 		expect.Expect(taken()).To(gomega.BeZero())
 		<-ended
 		conn.Close()
-		expect.Expect(rig.end()).To(gomega.BeZero())
+		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
 }
 
-// Guards against bytes that stay counted, or a place that stays taken, whoever breaks off and when.
+// Guards against memory that stays reserved, or a slot that stays taken, whichever side disconnects and whenever.
 func TestRandomEndsLeaveNothingHeld(t *testing.T) {
 	for round := range suite.Rounds(4) {
 		seed := suite.Seed() + uint64(round)
@@ -339,9 +339,9 @@
 			calls := conc.WaitGroup{}
 			for range 300 {
 				workspace, path := draw(workspaces), []string{"/ping/1", "/book/1", "/draft/1"}[draw(3)]
-				body := text(draw(200 << 10))
+				body := bodyOfLength(draw(200 << 10))
 				if draw(2) == 0 {
-					body = unsized(body)
+					body = withoutLength(body)
 				}
 				ctx, leave := context.WithCancel(context.Background())
 				if draw(3) == 0 {
@@ -349,12 +349,12 @@
 				}
 				calls.Go(func() {
 					defer leave()
-					rig.ask(rig.request(workspace, path, body).WithContext(ctx))
+					rig.do(rig.request(workspace, path, body).WithContext(ctx))
 				})
 				time.Sleep(time.Duration(draw(20)) * time.Millisecond)
 			}
 			calls.Wait()
-			held := rig.end()
+			held := rig.shutdown()
 			_, _, refused := rig.memory.Sums()
 			expect.Expect(held).To(gomega.BeZero(), "HAZELSLIP_SEED %d", seed)
 			expect.Expect(refused).NotTo(gomega.BeZero())
@@ -365,7 +365,7 @@
 	}
 }
 
-// randomServer answers, fails or breaks off at some point.
+// randomServer responds, fails or disconnects at a random point.
 func randomServer(draw func(most int) int, writer http.ResponseWriter, request *http.Request) {
 	if draw(6) == 0 {
 		panic(http.ErrAbortHandler)
--- a/internal/serve/forward/outcome.go
+++ b/internal/serve/forward/outcome.go
@@ -8,22 +8,22 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// Outcome says how a request ended, for logs and counters.
+// Outcome is how a request ended, for logs and counters.
 type Outcome string
 
-// The outcomes of requests.
+// Outcomes of requests.
 const (
 	Answered Outcome = "Answered"
-	// NoConfiguration: this node has just started.
+	// NoConfiguration: the node has just started and has no configuration.
 	NoConfiguration Outcome = "NoConfiguration"
 	Malformed       Outcome = "Malformed"
 	NoRoute         Outcome = "NoRoute"
 	UnknownKey      Outcome = "UnknownKey"
-	// NoServer: no group of the model, or no server of the service, is known to
-	// serve. Full: all have as many calls as they may.
-	// Limited: only servers could take it that name a limit, which is used up.
-	// BackedOff: only servers could take it that asked for a backoff.
-	// Unreached: this node reaches none that could take it, and no other node did.
+	// NoServer: no group of the model, or no server of the service, is known to be serving.
+	// Full: all groups or servers have as many calls as they may.
+	// Limited: the only available servers announce a rate limit that is used up.
+	// BackedOff: the only available servers asked for a backoff.
+	// Unreached: this node reaches no server that could take the request, and no peer node took it.
 	NoServer  Outcome = "NoServer"
 	Unreached Outcome = "Unreached"
 	Limited   Outcome = "Limited"
@@ -31,23 +31,23 @@
 	Full      Outcome = "Full"
 	// Broken: the connection or the stream broke, and nothing more was tried.
 	Broken Outcome = "Broken"
-	// MustNotRepeat, AttemptsSpent and BudgetSpent say why nothing more was
-	// tried after a failure.
+	// MustNotRepeat, AttemptsSpent and BudgetSpent: after a failure, the request was not retried because the route
+	// allows no retry, all attempts were used, or the retry budget was exhausted.
 	MustNotRepeat Outcome = "MustNotRepeat"
 	AttemptsSpent Outcome = "AttemptsSpent"
 	BudgetSpent   Outcome = "BudgetSpent"
-	// Quarantined: servers ended that ran it, so that it is sent to none any more.
+	// Quarantined: servers failed while running the request, so that it is sent to no server any more.
 	Quarantined Outcome = "Quarantined"
-	// OutOfMemory: the body didn't fit into the node's budget of memory and was not read.
+	// OutOfMemory: the body did not fit into the node's memory budget and was not read.
 	OutOfMemory Outcome = "OutOfMemory"
 	// TimeUp: the caller's deadline or the route's timeout has passed.
 	TimeUp     Outcome = "TimeUp"
 	CallerLeft Outcome = "CallerLeft"
-	// ServerFailed: the server's own failure was passed on.
+	// ServerFailed: the server's own error response was passed on.
 	ServerFailed Outcome = "ServerFailed"
 )
 
-// Summary is a request that ended.
+// Summary describes a request that ended.
 type Summary struct {
 	Route        string
 	Kind         configuration.Kind
@@ -56,10 +56,10 @@
 	Attempts     int
 	FirstEvent   time.Duration
 	LongestPause time.Duration
-	Took         time.Duration
+	Duration     time.Duration
 }
 
-// log writes the one line of a request that ended, and counts it.
+// log writes the log line of a request that ended and reports the summary.
 func (exchange *exchange) log(status int) {
 	level := slog.LevelInfo
 	if status < http.StatusOK || status >= http.StatusMultipleChoices {
@@ -72,26 +72,26 @@
 		exchange.outcome = Answered
 	}
 	summary := exchange.summary(status)
-	exchange.forwarder.Ended(summary)
+	exchange.forwarder.OnRequestEnd(summary)
 	exchange.forwarder.Logger.LogAttrs(exchange.inbound.Context(), level, "forward: a request ended.",
 		slog.String("RequestID", exchange.request.ID), slog.String("Route", summary.Route),
 		slog.String("Workspace", exchange.workspace), slog.Int("Status", status),
 		slog.String("Outcome", string(exchange.outcome)), slog.String("Cause", exchange.cause),
 		slog.String("Fingerprint", exchange.fingerprint.String()),
 		slog.Int("Attempts", exchange.attempts), slog.Bool("MayHaveRun", exchange.mayHaveRun),
-		slog.String("Via", exchange.via), slog.String("For", exchange.inward.sender()),
-		slog.String("Server", exchange.last.server), slog.String("Group", exchange.last.group), slog.Int("Taken", exchange.last.taken),
+		slog.String("Via", exchange.lastPeer), slog.String("For", exchange.origin.sender()),
+		slog.String("Server", exchange.lastTarget.server), slog.String("Group", exchange.lastTarget.group), slog.Int("Taken", exchange.lastTarget.calls),
 		slog.Int64("ConfigurationVersion", exchange.snapshotVersion()),
 		slog.Int64("FirstEventMilliseconds", summary.FirstEvent.Milliseconds()),
 		slog.Int64("LongestPauseMilliseconds", summary.LongestPause.Milliseconds()),
-		slog.Int64("Milliseconds", summary.Took.Milliseconds()))
+		slog.Int64("Milliseconds", summary.Duration.Milliseconds()))
 }
 
 func (exchange *exchange) summary(status int) Summary {
 	summary := Summary{
 		Status: status, Outcome: exchange.outcome, Attempts: exchange.attempts,
-		FirstEvent: exchange.pace.first, LongestPause: exchange.pace.longest,
-		Took: exchange.forwarder.Now() - exchange.arrived,
+		FirstEvent: exchange.timing.first, LongestPause: exchange.timing.longestPause,
+		Duration: exchange.forwarder.Now() - exchange.arrived,
 	}
 	if exchange.route != nil {
 		summary.Route, summary.Kind = exchange.route.Name, exchange.route.Kind
--- a/internal/serve/forward/pick_test.go
+++ b/internal/serve/forward/pick_test.go
@@ -17,86 +17,86 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// full is an exchange for a model whose only group has all its places taken.
-func full() (*exchange, *dispatch.Board) {
+// newFullExchange returns an exchange for a model whose only group has all its slots taken.
+func newFullExchange() (*exchange, *dispatch.Board) {
 	now := clock.Virtual()
 	board := dispatch.New(dispatch.Clock(now))
 	board.Update(map[string][]dispatch.Spec{PoolName("drafts", "large"): {{ID: "a", Group: "g", Slots: 8, Pass: 40 * time.Millisecond}}})
-	board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 8 + streamBeyond}})
+	board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 8 + maxQueuedStreams}})
 	table := configuration.NewTable()
 	table.Offer(&configuration.Configuration{Version: 1, Services: []configuration.Service{{Name: "drafts", Engine: &configuration.Engine{}}}})
 	return &exchange{
-		forwarder: &Forwarder{Parts: Parts{Board: board, Quarantine: quarantine.New(), Now: now}}, inbound: httptest.NewRequest(http.MethodPost, "/", nil),
+		forwarder: &Forwarder{Dependencies: Dependencies{Board: board, Quarantine: quarantine.New(), Now: now}}, inbound: httptest.NewRequest(http.MethodPost, "/", nil),
 		request: &Request{Model: "large"}, snapshot: table.Load(), service: "drafts",
 		route: &configuration.Route{Target: 300 * time.Millisecond}, deadline: now() + 6*time.Second,
 	}, board
 }
 
-// At peak load a place comes free every few milliseconds, and the counts of
-// other nodes lag. A fresh stream waits a fraction of its target for one; if none
-// comes it is refused while its caller has lost next to nothing.
-func TestFreshStreamWaitsAMomentForAPlace(t *testing.T) {
+// Guards against fresh streams that are refused although a slot is about to be free: at peak load, a slot is freed
+// every few milliseconds, and the counts of other nodes lag. A fresh stream waits for a fraction of its target and
+// is then refused early.
+func TestFreshStreamWaitsBrieflyForSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		exchange, board := full()
-		began := time.Now()
-		_, verdict := exchange.pick(streamBeyond)
+		exchange, board := newFullExchange()
+		startedAt := time.Now()
+		_, verdict := exchange.pickGroup(maxQueuedStreams)
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Full))
-		expect.Expect(time.Since(began)).To(gomega.BeNumerically("<=", 300*time.Millisecond/8))
+		expect.Expect(time.Since(startedAt)).To(gomega.BeNumerically("<=", 300*time.Millisecond/8))
 		go func() {
 			time.Sleep(20 * time.Millisecond)
 			board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 3}})
 		}()
-		_, verdict = exchange.pick(streamBeyond)
+		_, verdict = exchange.pickGroup(maxQueuedStreams)
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
 	})
 }
 
-// Without any group that serves there is nothing to wait for.
+// Guards against a stream that waits although no group is serving.
 func TestStreamWithoutAGroupIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		exchange, board := full()
+		exchange, board := newFullExchange()
 		board.Update(map[string][]dispatch.Spec{})
-		began := time.Now()
-		_, verdict := exchange.pick(streamBeyond)
+		startedAt := time.Now()
+		_, verdict := exchange.pickGroup(maxQueuedStreams)
 		expect.Expect(verdict).To(gomega.Equal(dispatch.None))
-		expect.Expect(time.Since(began)).To(gomega.BeZero())
+		expect.Expect(time.Since(startedAt)).To(gomega.BeZero())
 	})
 }
 
-// A stream midway has lost its group, and the others are full or not there yet.
-// What its caller has read would be lost, so it waits longer, but less than the
-// gap after which callers give up.
-func TestBegunStreamWaitsLonger(t *testing.T) {
+// Guards against a stream that lost its group and is refused while the other groups are full or not formed yet:
+// the part already delivered would be wasted. Such a stream waits longer, but less than the pause after which
+// callers give up.
+func TestResumedStreamWaitsLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		exchange, board := full()
-		exchange.begun = true
+		exchange, board := newFullExchange()
+		exchange.responseStarted = true
 		board.Update(map[string][]dispatch.Spec{})
-		began := time.Now()
-		_, verdict := exchange.pick(resumeBeyond)
+		startedAt := time.Now()
+		_, verdict := exchange.pickGroup(maxQueuedResumed)
 		expect.Expect(verdict).To(gomega.Equal(dispatch.None))
-		expect.Expect(time.Since(began)).To(gomega.And(gomega.BeNumerically(">", 800*time.Millisecond), gomega.BeNumerically("<", 2*time.Second)))
+		expect.Expect(time.Since(startedAt)).To(gomega.And(gomega.BeNumerically(">", 800*time.Millisecond), gomega.BeNumerically("<", 2*time.Second)))
 	})
 }
 
-// Guards against a request that is refused though a permit for a limited server is on its way,
-// and against one that waits for it longer than a fraction of its target.
-func TestRequestWaitsAMomentForAPermit(t *testing.T) {
+// Guards against a request that is refused although a permit for a rate-limited server is on its way, and against
+// one that waits for the permit longer than a fraction of its target.
+func TestRequestWaitsBrieflyForPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		exchange, _ := full()
+		exchange, _ := newFullExchange()
 		limits := ratelimit.New(ratelimit.Clock(exchange.forwarder.Now))
 		board := dispatch.New(dispatch.Clock(exchange.forwarder.Now), dispatch.Notices(notice.New(limits)))
 		board.Update(map[string][]dispatch.Spec{PoolName("drafts", "large"): {{ID: "a", Group: "g", Slots: 8}}})
 		limits.Answered(ratelimit.Run{Server: "a"}, ratelimit.Answer{Named: true, Rate: 20})
 		asked := 0
-		exchange.forwarder.Board, exchange.forwarder.AskPermits = board, func() { asked++ }
-		began := time.Now()
-		_, verdict := exchange.pick(streamBeyond)
+		exchange.forwarder.Board, exchange.forwarder.RequestPermits = board, func() { asked++ }
+		startedAt := time.Now()
+		_, verdict := exchange.pickGroup(maxQueuedStreams)
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Limited))
-		expect.Expect(time.Since(began)).To(gomega.BeNumerically("<=", 300*time.Millisecond/8))
+		expect.Expect(time.Since(startedAt)).To(gomega.BeNumerically("<=", 300*time.Millisecond/8))
 		expect.Expect(asked).To(gomega.Equal(1))
 		home := func(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Home: true, Part: 1} }
 		limits.Refresh(home)
@@ -105,7 +105,7 @@
 			time.Sleep(20 * time.Millisecond)
 			limits.Refresh(home)
 		}()
-		_, verdict = exchange.pick(streamBeyond)
+		_, verdict = exchange.pickGroup(maxQueuedStreams)
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
 	})
 }
--- a/internal/serve/forward/refuse.go
+++ b/internal/serve/forward/refuse.go
@@ -8,80 +8,78 @@
 	"time"
 )
 
-// Times after which a refused caller is asked to come again.
+// Delays after which refused callers are asked to retry.
 const (
-	// retryUnknown is for a node that has just started.
-	retryUnknown = 300 * time.Millisecond
-	// retryNone is longer than a lost group takes to be replaced by a staged
-	// spare, and most of what a caller's deadline lets it wait. A caller that
-	// returns sooner finds the same full groups and is refused for good.
-	retryNone = 1300 * time.Millisecond
-	// retryUnreached is for a node that reaches no server, while others seem to: callers come back to another one.
-	retryUnreached = 150 * time.Millisecond
-	// retryMemory is for a body that doesn't fit at this node: bodies are held for as long as
-	// calls take, and the balancer may choose another node.
-	retryMemory = 400 * time.Millisecond
-	// retryPart is the part of the caller's time that this may be, as a divisor: callers wait
-	// a third of it at the most, and the time is spread by a quarter.
-	retryPart = 4
+	// startupRetryDelay is for a node that has just started.
+	startupRetryDelay = 300 * time.Millisecond
+	// defaultRetryDelay is longer than it takes to replace a lost group by a staged spare, and most of the time
+	// that a caller's deadline allows. A caller that returns sooner finds the same full groups and is refused for
+	// good.
+	defaultRetryDelay = 1300 * time.Millisecond
+	// unreachedRetryDelay is for a node that reaches no server while other nodes seem to: the retry arrives at
+	// another node.
+	unreachedRetryDelay = 150 * time.Millisecond
+	// memoryRetryDelay is for a body that does not fit on this node. Bodies are held as long as calls take, and
+	// the load balancer may choose another node for the retry.
+	memoryRetryDelay = 400 * time.Millisecond
+	// retryDelayDivisor limits a delay to a fraction of the caller's remaining time, as a divisor: callers wait at
+	// most a third of that time, and the delay is randomized by a quarter.
+	retryDelayDivisor = 4
 )
 
 const (
-	// returnRate is how many callers a second are asked back to a pool of servers whose
-	// backoff has passed: the first one tries a server, the others find it taking calls.
-	returnRate = 25
-	// returnStep is how much later callers come back for each rank by which they are less
-	// urgent.
-	returnStep = 20 * time.Millisecond
+	// backoffReturnRate is how many callers per second are asked to return to a pool whose backoff has passed. The
+	// first caller tests a server; the others find it accepting calls.
+	backoffReturnRate = 25
+	// urgencyRetryStep is the extra delay for each step of lower priority.
+	urgencyRetryStep = 20 * time.Millisecond
 )
 
-// returnAfter is after which time a caller should come back to servers whose backoff ends
-// after a time: not before that, and one after the other.
-func (exchange *exchange) returnAfter(opens time.Duration) time.Duration {
-	turn := exchange.forwarder.Returns.After(exchange.pool()+" after a backoff", returnRate)
-	return opens + turn + time.Duration(exchange.priority)*returnStep
+// retryAfterBackoff returns the retry delay for servers whose backoff ends after opens: callers return no earlier
+// than that, and one after the other.
+func (exchange *exchange) retryAfterBackoff(opensIn time.Duration) time.Duration {
+	delay := exchange.forwarder.RetryScheduler.After(exchange.poolName()+" after a backoff", backoffReturnRate)
+	return opensIn + delay + time.Duration(exchange.priority)*urgencyRetryStep
 }
 
-// refuse answers that the request has not run and never will. Callers are told
-// to come again at times that are spread, so that they don't all return at
-// once.
-func (exchange *exchange) refuse(outcome Outcome, again time.Duration, cause string) {
+// refuse responds that the request has not run and never will. Retry delays are randomized, so that refused
+// callers do not all return at once.
+func (exchange *exchange) refuse(outcome Outcome, delay time.Duration, cause string) {
 	exchange.outcome, exchange.cause = outcome, cause
-	exchange.tellSender(resultNotRun)
-	spread := max(exchange.notBefore, time.Duration(float64(again)*(0.75+rand.Float64()/2)))
-	exchange.writer.Header().Set("Retry-After", strconv.FormatFloat(spread.Seconds(), 'f', 3, 64))
-	exchange.finish(http.StatusServiceUnavailable)
+	exchange.setDetourResult(resultNotRun)
+	retryAfter := max(exchange.earliestRetry, time.Duration(float64(delay)*(0.75+rand.Float64()/2)))
+	exchange.writer.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	exchange.writeStatus(http.StatusServiceUnavailable)
 }
 
-// deny answers a request that is wrong in itself.
+// deny rejects an invalid or unauthorized request.
 func (exchange *exchange) deny(status int, outcome Outcome, cause string) {
 	exchange.outcome, exchange.cause = outcome, cause
-	exchange.tellSender(resultDenied)
-	exchange.finish(status)
+	exchange.setDetourResult(resultDenied)
+	exchange.writeStatus(status)
 }
 
-// fail answers that the request may have run.
+// fail responds that the request may have run.
 func (exchange *exchange) fail(status int) {
-	exchange.tellSender(resultMayHaveRun)
-	exchange.finish(status)
+	exchange.setDetourResult(resultMayHaveRun)
+	exchange.writeStatus(status)
 }
 
-func (exchange *exchange) finish(status int) {
+func (exchange *exchange) writeStatus(status int) {
 	exchange.writer.Header().Set("Content-Length", "0")
 	exchange.writer.WriteHeader(status)
 	exchange.log(status)
 }
 
-// end answers a request that no further server will get.
-func (exchange *exchange) end() {
+// finishUnserved ends a request that is sent to no further server.
+func (exchange *exchange) finishUnserved() {
 	switch {
-	case exchange.gone():
+	case exchange.callerGone():
 		exchange.outcome = CallerLeft
 		exchange.log(0)
 		panic(http.ErrAbortHandler)
-	case exchange.begun:
-		// An answer that was begun can only be cut, so that it doesn't look
-		// complete.
+	case exchange.responseStarted:
+		// A partly delivered response can only be cut off, so that it does not look complete.
 		exchange.log(http.StatusBadGateway)
 		panic(http.ErrAbortHandler)
 	case exchange.fallback != nil:
@@ -90,8 +88,8 @@
 		if exchange.outcome == "" {
 			exchange.outcome = TimeUp
 		}
-		exchange.refuse(exchange.outcome, cmp.Or(exchange.again, retryNone), exchange.cause)
-	case exchange.left() <= leastLeft:
+		exchange.refuse(exchange.outcome, cmp.Or(exchange.retryAfter, defaultRetryDelay), exchange.cause)
+	case exchange.timeLeft() <= minTimeLeft:
 		exchange.outcome = TimeUp
 		exchange.fail(http.StatusGatewayTimeout)
 	default:
--- a/internal/serve/forward/refuse_test.go
+++ b/internal/serve/forward/refuse_test.go
@@ -11,12 +11,12 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against a refusal that is lost to a reset, over a connection of the kernel's and for a
-// caller that reads only after it has written its body, or has failed to.
-func TestRefusalReachesACallerThatWritesFirst(t *testing.T) {
+// Guards against a refusal that is lost to a connection reset. The test uses kernel sockets and a caller that
+// reads only after writing its body, or failing to.
+func TestRefusalReachesCallerStillSendingBody(t *testing.T) {
 	for _, length := range []string{"100000", "4000000"} {
 		expect := gomega.NewWithT(t)
-		rig := newRig(t, 16<<10, took(0))
+		rig := newRig(t, 16<<10, countBody(0))
 		server := httptest.NewServer(rig.handler)
 		conn, err := net.Dial("tcp", server.Listener.Addr().String())
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/serve/forward/regions_test.go
+++ b/internal/serve/forward/regions_test.go
@@ -6,8 +6,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against a request that leaves the regions of its workspace since its route allows more.
-func TestRegionsOfRouteAndWorkspaceBothBind(t *testing.T) {
+// Guards against a request that leaves the regions of its workspace because its route allows more regions.
+func TestRegionsAreRestrictedByRouteAndWorkspace(t *testing.T) {
 	for _, one := range []struct{ route, workspace, expected []string }{
 		{nil, nil, nil},
 		{[]string{"andes", "coast"}, nil, []string{"andes", "coast"}},
@@ -16,8 +16,8 @@
 		{[]string{"andes"}, []string{"coast"}, []string{}},
 	} {
 		exchange := &exchange{}
-		exchange.confine(one.route)
-		exchange.confine(one.workspace)
+		exchange.restrictRegions(one.route)
+		exchange.restrictRegions(one.workspace)
 		gomega.NewWithT(t).Expect(exchange.regions).To(gomega.Equal(one.expected), "%v and %v", one.route, one.workspace)
 	}
 }
--- a/internal/serve/forward/rig_test.go
+++ b/internal/serve/forward/rig_test.go
@@ -32,19 +32,19 @@
 	nodeAddress   = "node:1"
 	serverAddress = "server:1"
 	workspaces    = 6
-	// routeTimeout is that of all routes of the rig.
+	// routeTimeout is the timeout of all routes of the rig.
 	routeTimeout = 5 * time.Second
 )
 
-// rig is a forwarder between callers and one server over connections in memory.
+// rig is a forwarder between callers and one server, over in-memory connections.
 type rig struct {
-	wires  *network.Network
-	memory *memory.Budget
-	board  *dispatch.Board
+	network *network.Network
+	memory  *memory.Budget
+	board   *dispatch.Board
 
-	mu       sync.Mutex
-	outcomes map[forward.Outcome]int
-	lines    int
+	mu                 sync.Mutex
+	outcomes           map[forward.Outcome]int
+	memoryRefusalLines int
 
 	handler http.Handler
 	serving conc.WaitGroup
@@ -56,7 +56,7 @@
 func newRig(t *testing.T, budget int64, handler http.HandlerFunc) *rig {
 	t.Helper()
 	now := clock.Virtual()
-	rig := &rig{wires: network.New(), memory: memory.New(budget), outcomes: map[forward.Outcome]int{}}
+	rig := &rig{network: network.New(), memory: memory.New(budget), outcomes: map[forward.Outcome]int{}}
 	notices := notice.New(ratelimit.New(ratelimit.Clock(now)), notice.Clock(now))
 	rig.board = dispatch.New(dispatch.Clock(now), dispatch.Notices(notices))
 	rig.board.Update(map[string][]dispatch.Spec{
@@ -65,7 +65,7 @@
 	})
 	table := configuration.NewTable()
 	table.Offer(rigConfiguration())
-	dial := rig.wires.Dialer("node")
+	dial := rig.network.Dialer("node")
 	rig.pool = backendserver.New(backendserver.Codec{
 		Encode: func(call *backendserver.Call) http.Header { return call.Header },
 		Decode: func(*backendserver.Call, int, http.Header) backendserver.Verdict { return backendserver.Verdict{} },
@@ -75,17 +75,17 @@
 		return dial(ctx, "tcp", address)
 	}))
 	window := retry.NewWindow(retry.Allowance{Ratio: 0.2, Least: 1000, Span: 10 * time.Second}, func() int { return 1 }, now)
-	forwarder := forward.New(forward.Parts{
-		Configuration: table, Board: rig.board, Pool: rig.pool, Decode: decode, Memory: rig.memory, Now: now,
-		Budget: func(string) *retry.Window { return window }, Stopping: func() bool { return false },
-		Returns: ratelimit.NewReturns(now), Quarantine: quarantine.New(quarantine.Clock(now)), Suspected: func(quarantine.Fingerprint) {},
-		Heard: func(forward.Heard) {}, Failed: func(*dispatch.Target, string) {}, Ended: rig.ended, Nodes: func() int { return 1 },
-		AskPermits: func() {}, Logger: slog.New(slog.NewTextHandler(rig, nil)),
+	forwarder := forward.New(forward.Dependencies{
+		Configuration: table, Board: rig.board, Pool: rig.pool, DecodeRequest: decode, Memory: rig.memory, Now: now,
+		RetryBudget: func(string) *retry.Window { return window }, Stopping: func() bool { return false },
+		RetryScheduler: ratelimit.NewReturns(now), Quarantine: quarantine.New(quarantine.Clock(now)), OnQuarantineChange: func(quarantine.Fingerprint) {},
+		OnResponseHead: func(forward.ResponseHead) {}, OnServerFailure: func(*dispatch.Target, string) {}, OnRequestEnd: rig.recordSummary, NodeCount: func() int { return 1 },
+		RequestPermits: func() {}, Logger: slog.New(slog.NewTextHandler(rig, nil)),
 	})
 	rig.handler = forwarder
 	rig.serve(t, nodeAddress, forwarder)
 	rig.serve(t, serverAddress, handler)
-	rig.callers = &http.Client{Transport: &http.Transport{DialContext: rig.wires.Dialer("callers"), DisableCompression: true}}
+	rig.callers = &http.Client{Transport: &http.Transport{DialContext: rig.network.Dialer("callers"), DisableCompression: true}}
 	return rig
 }
 
@@ -114,28 +114,28 @@
 		Header: inbound.Header, Key: inbound.Header.Get("Key"), Model: "m",
 	}
 	left, _ := strconv.Atoi(inbound.Header.Get("Left"))
-	request.Left = time.Duration(left) * time.Millisecond
+	request.TimeLeft = time.Duration(left) * time.Millisecond
 	forward.StripHopByHop(request.Header)
 	return request
 }
 
-// Write counts the log lines on refusals.
+// Write counts the log lines about refused bodies.
 func (rig *rig) Write(line []byte) (int, error) {
 	rig.mu.Lock()
 	defer rig.mu.Unlock()
 	if strings.Contains(string(line), "lack of memory") {
-		rig.lines++
+		rig.memoryRefusalLines++
 	}
 	return len(line), nil
 }
 
-func (rig *rig) ended(summary forward.Summary) {
+func (rig *rig) recordSummary(summary forward.Summary) {
 	rig.mu.Lock()
 	defer rig.mu.Unlock()
 	rig.outcomes[summary.Outcome]++
 }
 
-func (rig *rig) outcome(outcome forward.Outcome) int {
+func (rig *rig) outcomeCount(outcome forward.Outcome) int {
 	rig.mu.Lock()
 	defer rig.mu.Unlock()
 	return rig.outcomes[outcome]
@@ -143,7 +143,7 @@
 
 func (rig *rig) serve(t *testing.T, address string, handler http.Handler) {
 	t.Helper()
-	listener, err := rig.wires.Listen(address)
+	listener, err := rig.network.Listen(address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,8 +152,8 @@
 	rig.serving.Go(func() { _ = server.Serve(listener) })
 }
 
-// end ends everything, and returns what the budget still holds.
-func (rig *rig) end() int64 {
+// shutdown stops everything and returns the bytes that the memory budget still holds.
+func (rig *rig) shutdown() int64 {
 	rig.callers.CloseIdleConnections()
 	time.Sleep(time.Minute)
 	held, _, _ := rig.memory.Sums()
@@ -161,7 +161,7 @@
 	return held
 }
 
-// stop ends the servers.
+// stop closes the servers and the forwarder's connections.
 func (rig *rig) stop() {
 	for _, server := range rig.servers {
 		server.Close()
@@ -182,32 +182,32 @@
 	return request
 }
 
-// answered is what a caller got.
-type answered struct {
-	status int
-	header http.Header
-	body   string
-	took   time.Duration
-	err    error
+// callResult is the result of a call for the caller.
+type callResult struct {
+	status   int
+	header   http.Header
+	body     string
+	duration time.Duration
+	err      error
 }
 
-func (rig *rig) ask(request *http.Request) answered {
-	began := time.Now()
+func (rig *rig) do(request *http.Request) callResult {
+	startedAt := time.Now()
 	response, err := rig.callers.Do(request)
 	if err != nil {
-		return answered{err: err, took: time.Since(began)}
+		return callResult{err: err, duration: time.Since(startedAt)}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answered{status: response.StatusCode, header: response.Header, body: string(body), took: time.Since(began), err: err}
+	return callResult{status: response.StatusCode, header: response.Header, body: string(body), duration: time.Since(startedAt), err: err}
 }
 
-// text is a body of so many bytes.
-func text(length int) io.Reader {
+// bodyOfLength returns a body of the given length.
+func bodyOfLength(length int) io.Reader {
 	return strings.NewReader(strings.Repeat("x", length))
 }
 
-// unsized hides the length of a body.
-func unsized(body io.Reader) io.Reader {
+// withoutLength hides the length of a body, so that the body is sent chunked.
+func withoutLength(body io.Reader) io.Reader {
 	return struct{ io.Reader }{body}
 }
--- a/internal/serve/forward/stream.go
+++ b/internal/serve/forward/stream.go
@@ -14,96 +14,98 @@
 )
 
 const (
-	// streamBeyond is how many streams may wait at a group whose places are all
-	// taken. A place of seventeen comes free every 50 to 90 ms, so four wait less
-	// than their target at a group that is only just full, and keep it busy while
-	// the nodes' counts lag.
-	streamBeyond = 4
-	// resumeBeyond is the same for a stream that goes on elsewhere: its caller
-	// already reads, and what it has would be lost.
-	resumeBeyond = 6
-	// eventMost bounds one event.
-	eventMost = 1 << 20
-	// pendingKept is how large a buffer is kept for the next events of a stream.
-	pendingKept = 16 << 10
+	// maxQueuedStreams is how many streams may queue at a group whose slots are all taken. A full group of
+	// seventeen slots frees one every 50 to 90 ms, so four queued streams wait less than their target at a group
+	// that has just filled up, and keep the group busy while the nodes' counts lag.
+	maxQueuedStreams = 4
+	// maxQueuedResumed is the same limit for a stream that resumes at another group. The caller already has a part
+	// of the response, which a refusal would waste.
+	maxQueuedResumed = 6
+	// maxEventBytes bounds the size of one event.
+	maxEventBytes = 1 << 20
+	// maxKeptBuffer is the largest buffer that is kept for the next events of a stream.
+	maxKeptBuffer = 16 << 10
 )
 
-// stream serves a request whose answer is a series of events.
-func (exchange *exchange) stream() {
-	if overload, shed := exchange.sheds(); shed {
+// serveStream serves a request whose response is a stream of events.
+func (exchange *exchange) serveStream() {
+	if overload, shed := exchange.shouldShed(); shed {
 		exchange.forwarder.Counts.Shed.Add(1)
-		exchange.cause = fmt.Sprintf("streams of rank %d are shed: the pool can begin %.0f calls a second, %.0f are asked for, of which %.0f go first",
+		exchange.cause = fmt.Sprintf("stream of rank %d shed: pool can start %.0f calls/s, demand is %.0f calls/s, of which %.0f have priority",
 			exchange.urgency(), overload.Capacity, overload.Asked, overload.Before)
-		exchange.again = min(retryNone, exchange.left()/retryPart)
-		exchange.noSlot(nil, dispatch.Full)
-		exchange.end()
+		exchange.retryAfter = min(defaultRetryDelay, exchange.timeLeft()/retryDelayDivisor)
+		exchange.recordNoSlot(nil, dispatch.Full)
+		exchange.finishUnserved()
 		return
 	}
-	for exchange.left() > leastLeft && !exchange.gone() && !exchange.quarantined() && exchange.mayRepeat() {
-		beyond := streamBeyond
+	for exchange.timeLeft() > minTimeLeft && !exchange.callerGone() && !exchange.quarantined() && exchange.mayRetry() {
+		maxQueued := maxQueuedStreams
 		if exchange.mayHaveRun {
-			beyond = resumeBeyond
+			maxQueued = maxQueuedResumed
 		}
-		target, verdict := exchange.pick(beyond)
+		target, verdict := exchange.pickGroup(maxQueued)
 		if exchange.quarantined() {
 			break
 		}
 		if verdict == dispatch.Unreached && exchange.mayDetour() {
-			if ended, sent := exchange.detour(exchange.streamOne); ended {
+			if ended, sent := exchange.sendThroughPeers(exchange.handleStreamAttempt); ended {
 				return
 			} else if sent {
 				continue
 			}
-			if !exchange.forwarder.Board.WayLost(exchange.pool()) {
-				target, verdict = exchange.pick(beyond)
+			if !exchange.forwarder.Board.WayLost(exchange.poolName()) {
+				target, verdict = exchange.pickGroup(maxQueued)
 			}
 		}
 		if verdict != dispatch.Chosen {
-			exchange.noSlot(target, verdict)
+			exchange.recordNoSlot(target, verdict)
 			break
 		}
-		if exchange.streamOne(exchange.attempt(target, exchange.left())) {
+		if exchange.handleStreamAttempt(exchange.send(target, exchange.timeLeft())) {
 			return
 		}
 	}
-	exchange.end()
+	exchange.finishUnserved()
 }
 
-// noSlot notes why the stream was given no group, and counts it as demand that its pool has no slot for.
-func (exchange *exchange) noSlot(target *dispatch.Target, verdict dispatch.Verdict) {
-	exchange.noTarget(target, verdict)
-	exchange.countRefused()
+// recordNoSlot records why the stream got no group, and counts the stream as demand for which its pool has no
+// slot.
+func (exchange *exchange) recordNoSlot(target *dispatch.Target, verdict dispatch.Verdict) {
+	exchange.recordNoTarget(target, verdict)
+	exchange.countRefusedDemand()
 }
 
-// countRefused counts a stream that was refused since its pool has no slot for it. One of another node's caller is counted
-// there.
-func (exchange *exchange) countRefused() {
-	if exchange.inward == nil && exchange.configured() && (exchange.outcome == Full || exchange.outcome == NoServer) {
-		exchange.forwarder.Board.Refused(exchange.pool())
+// countRefusedDemand counts a stream that was refused because its pool has no slot. A stream received from a peer
+// node is counted by that node.
+func (exchange *exchange) countRefusedDemand() {
+	if exchange.origin == nil && exchange.poolConfigured() && (exchange.outcome == Full || exchange.outcome == NoServer) {
+		exchange.forwarder.Board.Refused(exchange.poolName())
 	}
 }
 
-// sheds counts the stream as demand, and says whether it is refused since its pool is asked for more than it can run and
-// other streams go first. Only an operator who gives streams different priorities says which are refused so that
-// others are in time; elsewhere they wait at the servers. A caller that has a part of its answer isn't refused the rest.
-func (exchange *exchange) sheds() (dispatch.Overload, bool) {
-	if !exchange.configured() || exchange.inward.counted() {
+// shouldShed counts the stream as demand and reports whether the stream is refused because demand exceeds the
+// capacity of its pool and other streams have priority. Streams are shed only in services whose streams have
+// different priorities: by setting priorities, the operator defines which streams are refused so that others meet
+// their target. Elsewhere, streams queue at the servers. A stream whose caller already has a part of the response
+// is not shed.
+func (exchange *exchange) shouldShed() (dispatch.Overload, bool) {
+	if !exchange.poolConfigured() || exchange.origin.demandCounted() {
 		return dispatch.Overload{}, false
 	}
-	board, pool, rank := exchange.forwarder.Board, exchange.pool(), exchange.urgency()
-	if !exchange.asked {
-		exchange.asked = true
+	board, pool, rank := exchange.forwarder.Board, exchange.poolName(), exchange.urgency()
+	if !exchange.demandCounted {
+		exchange.demandCounted = true
 		defer board.Asked(pool, rank)
 	}
-	if !exchange.snapshot.Ranked(exchange.service) || exchange.request.Continues {
+	if !exchange.snapshot.Ranked(exchange.service) || exchange.request.Resumes {
 		return dispatch.Overload{}, false
 	}
 	return board.Sheds(pool, rank, dispatch.Wish{Regions: exchange.regions})
 }
 
-// configured says whether the configuration knows the stream's pool. Callers name models freely, and demand is kept and
-// told by pool, so names that nothing serves must not add to it.
-func (exchange *exchange) configured() bool {
+// poolConfigured reports whether the configuration knows the stream's pool. Callers choose model names freely, and
+// demand is stored and reported for each pool, so that unknown model names must not be counted.
+func (exchange *exchange) poolConfigured() bool {
 	service, ok := exchange.snapshot.Service(exchange.service)
 	if !ok || service.Engine == nil {
 		return ok
@@ -113,206 +115,201 @@
 }
 
 const (
-	// waitShare is the part of its target that a stream may wait here for a
-	// place. A place of a full pool comes free every few milliseconds; whoever
-	// waits longer would rather be told at once.
-	waitShare = 0.12
-	// waitResumed is how long a stream that was begun may wait: its caller gives
-	// up a stream only after seconds.
-	waitResumed = 900 * time.Millisecond
-	// waitStep is how often a place is looked for.
-	waitStep = 8 * time.Millisecond
+	// slotWaitFraction is the fraction of its target that a stream may wait on this node for a slot. A full pool
+	// frees a slot every few milliseconds, and a caller that would wait longer is better refused at once.
+	slotWaitFraction = 0.12
+	// resumedSlotWait is how long a partly delivered stream may wait for a slot. Callers abandon a stream only
+	// after seconds.
+	resumedSlotWait = 900 * time.Millisecond
+	// pollInterval is the time between two checks while a request waits.
+	pollInterval = 8 * time.Millisecond
 )
 
-// pick chooses a group, and waits a little for a place if all are full.
-func (exchange *exchange) pick(beyond int) (*dispatch.Target, dispatch.Verdict) {
-	wait := exchange.placeWait()
-	if exchange.goesOn() {
-		wait = waitResumed
+// pickGroup picks a group and waits briefly for a slot if all groups are full.
+func (exchange *exchange) pickGroup(maxQueued int) (*dispatch.Target, dispatch.Verdict) {
+	wait := exchange.slotWait()
+	if exchange.partlyDelivered() {
+		wait = resumedSlotWait
 	}
-	return exchange.pickWithin(wait, beyond, func(verdict dispatch.Verdict) bool {
-		return verdict != dispatch.Chosen && verdict != dispatch.Unreached && (verdict != dispatch.None || exchange.goesOn())
+	return exchange.pickWithWait(wait, maxQueued, func(verdict dispatch.Verdict) bool {
+		return verdict != dispatch.Chosen && verdict != dispatch.Unreached && (verdict != dispatch.None || exchange.partlyDelivered())
 	})
 }
 
-// placeWait is how long a request that was not begun may wait here for a place.
-func (exchange *exchange) placeWait() time.Duration {
-	return time.Duration(waitShare * float64(exchange.route.Target))
+// slotWait returns how long a request may wait on this node for a slot before any response has started.
+func (exchange *exchange) slotWait() time.Duration {
+	return time.Duration(slotWaitFraction * float64(exchange.route.Target))
 }
 
-// pickWithin chooses a target, and looks again for some time after the verdicts that are
-// worth it.
-func (exchange *exchange) pickWithin(wait time.Duration, beyond int, worth func(verdict dispatch.Verdict) bool) (*dispatch.Target, dispatch.Verdict) {
-	until := exchange.forwarder.Now() + wait
-	var done func()
+// pickWithWait picks a target, and picks again until wait is over as long as worth accepts the verdict.
+func (exchange *exchange) pickWithWait(wait time.Duration, maxQueued int, keepWaiting func(verdict dispatch.Verdict) bool) (*dispatch.Target, dispatch.Verdict) {
+	deadline := exchange.forwarder.Now() + wait
+	var stopWaiting func()
 	for {
-		target, verdict := exchange.forwarder.Board.Pick(exchange.pool(), dispatch.Wish{
-			DataCentre: exchange.forwarder.DataCentre, Exclude: exchange.exclude, Beyond: beyond, Proven: exchange.mayHaveRun,
+		target, verdict := exchange.forwarder.Board.Pick(exchange.poolName(), dispatch.Wish{
+			DataCentre: exchange.forwarder.DataCentre, Exclude: exchange.excludedServers, Beyond: maxQueued, Proven: exchange.mayHaveRun,
 			Urgency: exchange.urgency(), Regions: exchange.regions, ReachedOnly: exchange.reachedOnly(),
 		})
-		if !worth(verdict) || exchange.opensLater(target, verdict, until) || exchange.forwarder.Now()+waitStep > until || exchange.left() < 2*leastLeft || exchange.gone() || exchange.quarantined() {
+		if !keepWaiting(verdict) || exchange.backoffOutlastsWait(target, verdict, deadline) || exchange.forwarder.Now()+pollInterval > deadline || exchange.timeLeft() < 2*minTimeLeft || exchange.callerGone() || exchange.quarantined() {
 			return target, verdict
 		}
-		if verdict == dispatch.Limited && done == nil {
-			done = target.Await(exchange.urgency())
-			defer done()
-			exchange.forwarder.AskPermits()
+		if verdict == dispatch.Limited && stopWaiting == nil {
+			stopWaiting = target.Await(exchange.urgency())
+			defer stopWaiting()
+			exchange.forwarder.RequestPermits()
 		}
-		time.Sleep(waitStep)
+		time.Sleep(pollInterval)
 	}
 }
 
-// opensLater says whether the wait for a place ends before any server's backoff does. The
-// caller is told at once then, unless it has a part of its answer: a group may be formed.
-func (exchange *exchange) opensLater(target *dispatch.Target, verdict dispatch.Verdict, until time.Duration) bool {
-	return verdict == dispatch.BackedOff && !exchange.goesOn() && target.OpensAt() > until
+// backoffOutlastsWait reports whether the wait ends before the backoff of any server does. The caller is then
+// refused at once, unless it already has a part of the response: a new group may form in the meantime.
+func (exchange *exchange) backoffOutlastsWait(target *dispatch.Target, verdict dispatch.Verdict, deadline time.Duration) bool {
+	return verdict == dispatch.BackedOff && !exchange.partlyDelivered() && target.OpensAt() > deadline
 }
 
-// streamOne passes on the stream, or the rest of it, that one call brings and says whether
-// the request has ended.
-func (exchange *exchange) streamOne(leg *leg) bool {
-	defer leg.end()
-	if leg.Reply == nil {
+// handleStreamAttempt relays the events of one attempt and reports whether the request has ended.
+func (exchange *exchange) handleStreamAttempt(attempt *attempt) bool {
+	defer attempt.release()
+	if attempt.Reply == nil {
 		return false
 	}
 	switch {
-	case leg.NotRun:
-		exchange.refused(leg)
+	case attempt.NotRun:
+		exchange.recordRefusal(attempt)
 		return false
-	case leg.Status != http.StatusOK:
-		return exchange.streamFailed(leg)
+	case attempt.Status != http.StatusOK:
+		return exchange.handleStreamFailure(attempt)
 	}
-	err := exchange.relay(leg)
-	exchange.note(leg, err != nil)
+	err := exchange.relayEvents(attempt)
+	exchange.recordResult(attempt, err != nil)
 	if err == nil {
-		exchange.noteServed(leg)
+		exchange.recordSuccess(attempt)
 		exchange.log(http.StatusOK)
 		return true
 	}
-	exchange.ran()
-	exchange.noteEnd(leg, err)
-	exchange.cause = "the stream of " + leg.target.ID + " broke off: " + err.Error()
-	if leg.use.Moved() {
-		exchange.cause = "group " + leg.target.Group + " stood still"
+	exchange.recordRun()
+	exchange.recordServerFailure(attempt, err)
+	exchange.cause = "relay the stream of server " + attempt.target.ID + ": " + err.Error()
+	if attempt.call.Moved() {
+		exchange.cause = "group " + attempt.target.Group + " stalled"
 	}
-	exchange.exclude = append(exchange.exclude, leg.target.ID)
+	exchange.excludedServers = append(exchange.excludedServers, attempt.target.ID)
 	return false
 }
 
-// streamFailed deals with a group that answered a failure of its own.
-func (exchange *exchange) streamFailed(leg *leg) bool {
-	exchange.exclude = append(exchange.exclude, leg.target.ID)
-	exchange.cause = "server " + leg.target.ID + " answered " + strconv.Itoa(leg.Status)
-	if exchange.begun {
-		exchange.note(leg, leg.Status >= http.StatusInternalServerError)
-		exchange.ran()
+// handleStreamFailure handles a response other than 200 from a group.
+func (exchange *exchange) handleStreamFailure(attempt *attempt) bool {
+	exchange.excludedServers = append(exchange.excludedServers, attempt.target.ID)
+	exchange.cause = "server " + attempt.target.ID + " responded with status " + strconv.Itoa(attempt.Status)
+	if exchange.responseStarted {
+		exchange.recordResult(attempt, attempt.Status >= http.StatusInternalServerError)
+		exchange.recordRun()
 		return false
 	}
-	found, err := exchange.readAnswer(leg)
-	exchange.note(leg, err != nil || leg.Status >= http.StatusInternalServerError)
+	received, err := exchange.readResponse(attempt)
+	exchange.recordResult(attempt, err != nil || attempt.Status >= http.StatusInternalServerError)
 	if err != nil {
-		exchange.noteEnd(leg, err)
-		exchange.ran()
+		exchange.recordServerFailure(attempt, err)
+		exchange.recordRun()
 		return false
 	}
-	if found.passed {
+	if received.relayed {
 		return true
 	}
-	if leg.Status >= http.StatusInternalServerError && exchange.worthRepeating() {
-		exchange.ran()
-		exchange.keep(found)
+	if attempt.Status >= http.StatusInternalServerError && exchange.mayRetryFailure() {
+		exchange.recordRun()
+		exchange.setFallback(received)
 		return false
 	}
-	exchange.deliver(found)
+	exchange.deliver(received)
 	return true
 }
 
-// errGap means that a stream doesn't go on where it was left.
-var errGap = errors.New("an event is missing or comes twice")
+// errEventGap means that a stream does not continue after the last delivered event.
+var errEventGap = errors.New("event IDs are not consecutive")
 
-// relay passes the events of one leg on, whole ones only. It returns nil when
-// the stream is complete.
-func (exchange *exchange) relay(leg *leg) error {
-	buffer, _ := exchange.forwarder.buffers.Get().(*[copyBuffer]byte)
+// relayEvents relays the complete events of one attempt. It returns nil when the stream is complete.
+func (exchange *exchange) relayEvents(attempt *attempt) error {
+	buffer, _ := exchange.forwarder.buffers.Get().(*[copyBufferSize]byte)
 	defer exchange.forwarder.buffers.Put(buffer)
-	pending, counted := []byte{}, 0
-	defer func() { exchange.held.Shrink(int64(counted)) }()
+	pending, reserved := []byte{}, 0
+	defer func() { exchange.reservation.Shrink(int64(reserved)) }()
 	for {
-		n, err := leg.Read(buffer[:])
+		n, err := attempt.Read(buffer[:])
 		pending = append(pending, buffer[:n]...)
-		if grown := cap(pending) - counted; grown > 0 {
-			exchange.held.Take(int64(grown))
-			counted = cap(pending)
+		if grown := cap(pending) - reserved; grown > 0 {
+			exchange.reservation.Take(int64(grown))
+			reserved = cap(pending)
 		}
-		whole := bytes.LastIndex(pending, eventEnd) + len(eventEnd)
-		if whole >= len(eventEnd) {
-			if err := exchange.passEvents(leg, pending[:whole]); err != nil {
+		complete := bytes.LastIndex(pending, eventSeparator) + len(eventSeparator)
+		if complete >= len(eventSeparator) {
+			if err := exchange.forwardEvents(attempt, pending[:complete]); err != nil {
 				return err
 			}
-			pending = append(pending[:0], pending[whole:]...)
-			if counted > pendingKept && len(pending) == 0 {
-				exchange.held.Shrink(int64(counted))
-				pending, counted = nil, 0
+			pending = append(pending[:0], pending[complete:]...)
+			if reserved > maxKeptBuffer && len(pending) == 0 {
+				exchange.reservation.Shrink(int64(reserved))
+				pending, reserved = nil, 0
 			}
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return exchange.complete(leg, pending)
+			return exchange.checkComplete(attempt, pending)
 		case err != nil:
 			return err
-		case len(pending) > eventMost:
-			return errors.New("an event is too long")
+		case len(pending) > maxEventBytes:
+			return errors.New("event exceeds the size limit")
 		}
 	}
 }
 
-var eventEnd = []byte("\n\n")
+var eventSeparator = []byte("\n\n")
 
-// complete ends the answer if its end is beyond doubt.
-func (exchange *exchange) complete(leg *leg, pending []byte) error {
+// checkComplete returns an error unless the stream ended in a way that proves it complete.
+func (exchange *exchange) checkComplete(attempt *attempt, pending []byte) error {
 	switch {
 	case len(pending) > 0:
-		return errors.New("the last event is not whole")
-	case !exchange.begun:
-		return errors.New("there was no event")
-	case !leg.Framed():
-		return errors.New("its end can't be told from a broken connection")
+		return errors.New("stream ended in the middle of an event")
+	case !exchange.responseStarted:
+		return errors.New("stream ended without an event")
+	case !attempt.Framed():
+		return errors.New("response has no length or chunked encoding, so that its end may be a lost connection")
 	}
 	return nil
 }
 
-// passEvents passes whole events on at once and notes the last one's ID.
-func (exchange *exchange) passEvents(leg *leg, events []byte) error {
-	last, err := lastEvent(events, exchange.request.After, exchange.request.Continues)
+// forwardEvents relays complete events in one write and records the ID of the last one.
+func (exchange *exchange) forwardEvents(attempt *attempt, events []byte) error {
+	last, err := lastEventID(events, exchange.request.LastEventID, exchange.request.Resumes)
 	if err != nil {
 		return err
 	}
-	leg.use.Events(bytes.Count(events, eventEnd))
-	came := exchange.forwarder.Now()
-	exchange.pace.event(came - exchange.arrived)
-	if !exchange.begun {
-		// Not before: a failure that is answered in its place must not bear the
-		// server's headers.
-		exchange.passHead(leg.Header)
-		exchange.begun = true
+	attempt.call.Events(bytes.Count(events, eventSeparator))
+	receivedAt := exchange.forwarder.Now()
+	exchange.timing.record(receivedAt - exchange.arrived)
+	if !exchange.responseStarted {
+		// The headers are written only now: an error response sent instead must not carry the server's headers.
+		exchange.copyHeaders(attempt.Header)
+		exchange.responseStarted = true
 		exchange.writer.WriteHeader(http.StatusOK)
 	}
-	leg.use.Hold()
+	attempt.call.Hold()
 	err = exchange.writeEvents(events)
-	leg.use.Resume()
+	attempt.call.Resume()
 	if err != nil {
-		return errors.Wrap(err, "write to the caller")
+		return errors.Wrap(err, "write events to the caller")
 	}
-	leg.use.PassedOn(exchange.forwarder.Now() - came)
+	attempt.call.PassedOn(exchange.forwarder.Now() - receivedAt)
 	if last >= 0 {
-		exchange.request.After = last
-		exchange.request.Continues = true
+		exchange.request.LastEventID = last
+		exchange.request.Resumes = true
 	}
 	return nil
 }
 
-// writeEvents returns once the caller's connection has taken the events, so that a caller
-// that reads slowly holds back the server, and nothing is buffered for it here.
+// writeEvents returns once the caller's connection has accepted the events. A slow caller thus slows down the
+// server, and nothing is buffered for the caller on this node.
 func (exchange *exchange) writeEvents(events []byte) error {
 	if _, err := exchange.writer.Write(events); err != nil {
 		return err
@@ -320,28 +317,28 @@
 	return http.NewResponseController(exchange.writer).Flush()
 }
 
-var eventID = []byte("id:")
+var eventIDField = []byte("id:")
 
-// lastEvent returns the ID of the last of some whole events, -1 if none has
-// one. IDs must go up by one from the event before.
-func lastEvent(events []byte, after int64, continues bool) (int64, error) {
+// lastEventID returns the ID of the last event in events, or -1 if no event has one. IDs must increase by one from
+// event to event.
+func lastEventID(events []byte, previous int64, resumes bool) (int64, error) {
 	last := int64(-1)
-	if continues {
-		last = after
+	if resumes {
+		last = previous
 	}
 	for len(events) > 0 {
 		line, rest, _ := bytes.Cut(events, []byte("\n"))
 		events = rest
-		value, found := bytes.CutPrefix(line, eventID)
+		value, found := bytes.CutPrefix(line, eventIDField)
 		if !found {
 			continue
 		}
 		id, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 		if err != nil {
-			return 0, errors.Wrap(err, "read the ID of an event")
+			return 0, errors.Wrap(err, "parse an event ID")
 		}
 		if last >= 0 && id != last+1 {
-			return 0, errors.Wrapf(errGap, "event %d after %d", id, last)
+			return 0, errors.Wrapf(errEventGap, "event %d previous %d", id, last)
 		}
 		last = id
 	}
