--- a/internal/serve/draft/draft.go
+++ b/internal/serve/draft/draft.go
@@ -293,7 +293,7 @@
 		failed := err != nil && !errors.Is(err, errCallerGone) && job.ctx.Err() == nil
 		choice.Done(failed, job.server.now())
 	}()
-	// A group that stops responding without closing its connection would block the draft for ever. The watchdog
+	// A group that stops responding without closing its connection would block the draft forever. The watchdog
 	// cancels the attempt, which closes the connection.
 	watchdog := time.AfterFunc(job.firstTokenTimeout(), cancel)
 	defer watchdog.Stop()
--- a/internal/serve/forward/demand_test.go
+++ b/internal/serve/forward/demand_test.go
@@ -14,27 +14,27 @@
 // newDemandExchange returns an exchange for a model without a group, and the counter of its demand.
 func newDemandExchange(model string) (*exchange, *demand.Demand) {
 	now := clock.Virtual()
-	held := demand.New(demand.Clock(now))
+	counter := demand.New(demand.Clock(now))
 	table := configuration.NewTable()
 	table.Offer(&configuration.Configuration{Version: 1, Services: []configuration.Service{
 		{Name: "drafts", Engine: &configuration.Engine{Models: []configuration.Model{{Name: "large"}}}},
 	}})
 	return &exchange{
-		forwarder: &Forwarder{Dependencies: Dependencies{Board: dispatch.New(dispatch.Clock(now), dispatch.Demands(held)), Now: now}},
+		forwarder: &Forwarder{Dependencies: Dependencies{Board: dispatch.New(dispatch.Clock(now), dispatch.Demands(counter)), Now: now}},
 		request:   &Request{Model: model}, snapshot: table.Load(), service: "drafts",
-	}, held
+	}, counter
 }
 
 // Guards against refused streams that are not counted as demand: a model without a group would seem to need none.
 func TestStreamsWithoutASlotCountAsDemand(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	exchange, held := newDemandExchange("large")
+	exchange, counter := newDemandExchange("large")
 	_, shed := exchange.shouldShed()
 	expect.Expect(shed).To(gomega.BeFalse())
 	exchange.recordNoSlot(nil, dispatch.None)
-	expect.Expect(held.Counts.Asked.Load()).To(gomega.BeNumerically("==", 1))
-	expect.Expect(held.Counts.Refused.Load()).To(gomega.BeNumerically("==", 1))
-	rates, _ := held.Rates("drafts/large")
+	expect.Expect(counter.Counts.Asked.Load()).To(gomega.BeNumerically("==", 1))
+	expect.Expect(counter.Counts.Refused.Load()).To(gomega.BeNumerically("==", 1))
+	rates, _ := counter.Rates("drafts/large")
 	expect.Expect(rates.Refused).To(gomega.BeNumerically(">", 0))
 	expect.Expect(rates.Asked[rankFresh]).To(gomega.BeNumerically(">", 0))
 }
@@ -42,9 +42,9 @@
 // Guards against memory and frames that grow with the model names that callers make up.
 func TestUnknownModelsAreNotCountedAsDemand(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	exchange, held := newDemandExchange("made up")
+	exchange, counter := newDemandExchange("made up")
 	_, shed := exchange.shouldShed()
 	expect.Expect(shed).To(gomega.BeFalse())
 	exchange.recordNoSlot(nil, dispatch.None)
-	expect.Expect(held.Own()).To(gomega.BeEmpty())
+	expect.Expect(counter.Own()).To(gomega.BeEmpty())
 }
--- a/internal/serve/forward/detour.go
+++ b/internal/serve/forward/detour.go
@@ -256,7 +256,7 @@
 	if runs, err := strconv.Atoi(fields.Get(fieldRuns)); err == nil {
 		exchange.runs = max(exchange.runs, runs)
 	}
-	if arrivals, err := strconv.Atoi(fields.Get(fieldSentAttempts)); err == nil {
-		exchange.sentAttempts += max(0, arrivals)
+	if sentAttempts, err := strconv.Atoi(fields.Get(fieldSentAttempts)); err == nil {
+		exchange.sentAttempts += max(0, sentAttempts)
 	}
 }
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -52,19 +52,19 @@
 func newNodePair(t *testing.T, handler http.HandlerFunc) *nodePair {
 	t.Helper()
 	now := clock.Virtual()
-	made := &nodePair{rig: newRig(t, 0, handler), paths: reach.New(reach.Clock(now)), firstTable: configuration.NewTable()}
-	made.firstTable.Offer(rigConfiguration())
-	second := made.handler.(*forward.Forwarder)
-	made.serve(t, detourAddress, second.DetourHandler())
-	made.firstBoard = dispatch.New(dispatch.Clock(now), dispatch.Ways(made.paths))
-	made.firstBoard.Update(map[string][]dispatch.Spec{
+	pair := &nodePair{rig: newRig(t, 0, handler), paths: reach.New(reach.Clock(now)), firstTable: configuration.NewTable()}
+	pair.firstTable.Offer(rigConfiguration())
+	second := pair.handler.(*forward.Forwarder)
+	pair.serve(t, detourAddress, second.DetourHandler())
+	pair.firstBoard = dispatch.New(dispatch.Clock(now), dispatch.Ways(pair.paths))
+	pair.firstBoard.Update(map[string][]dispatch.Spec{
 		forward.PoolName("ledger", ""):   {{ID: "s", Service: "ledger", Address: "nowhere:1", Slots: 1000}},
 		forward.PoolName("writers", "m"): {{ID: "s", Service: "writers", Group: "g", Address: "nowhere:1", Slots: 1000, Pass: 40 * time.Millisecond}},
 	})
-	made.losePath("ledger")
-	made.losePath("writers")
-	made.peers = detour.New("", detour.Clock(now))
-	dial := made.network.Dialer("first")
+	pair.losePath("ledger")
+	pair.losePath("writers")
+	pair.peers = detour.New("", detour.Clock(now))
+	dial := pair.network.Dialer("first")
 	pool := backendserver.New(backendserver.Codec{
 		Encode: func(call *backendserver.Call) http.Header { return call.Header },
 		Decode: func(*backendserver.Call, int, http.Header) backendserver.Verdict { return backendserver.Verdict{} },
@@ -73,18 +73,18 @@
 		defer cancel()
 		return dial(ctx, "tcp", address)
 	}))
-	made.retryWindow = retry.NewWindow(retry.Allowance{Ratio: 0.2, Least: 1000, Span: 10 * time.Second}, func() int { return 1 }, now)
+	pair.retryWindow = retry.NewWindow(retry.Allowance{Ratio: 0.2, Least: 1000, Span: 10 * time.Second}, func() int { return 1 }, now)
 	first := forward.New(forward.Dependencies{
-		Configuration: made.firstTable, Board: made.firstBoard, Pool: pool, DecodeRequest: decode, Now: now, NodeName: "first",
-		Detours: made.peers, DetourPool: pool, RequestDetours: func() {}, OnNewerVersion: func(_ string, version int64) { made.newerVersions = append(made.newerVersions, version) },
-		RetryBudget: func(string) *retry.Window { return made.retryWindow }, Stopping: func() bool { return false },
+		Configuration: pair.firstTable, Board: pair.firstBoard, Pool: pool, DecodeRequest: decode, Now: now, NodeName: "first",
+		Detours: pair.peers, DetourPool: pool, RequestDetours: func() {}, OnNewerVersion: func(_ string, version int64) { pair.newerVersions = append(pair.newerVersions, version) },
+		RetryBudget: func(string) *retry.Window { return pair.retryWindow }, Stopping: func() bool { return false },
 		RetryScheduler: ratelimit.NewReturns(now), Quarantine: quarantine.New(quarantine.Clock(now)), OnQuarantineChange: func(quarantine.Fingerprint) {},
-		OnResponseHead: func(forward.ResponseHead) {}, OnServerFailure: func(*dispatch.Target, string) {}, OnRequestEnd: func(summary forward.Summary) { made.firstOutcomes = append(made.firstOutcomes, summary.Outcome) }, NodeCount: func() int { return 1 },
+		OnResponseHead: func(forward.ResponseHead) {}, OnServerFailure: func(*dispatch.Target, string) {}, OnRequestEnd: func(summary forward.Summary) { pair.firstOutcomes = append(pair.firstOutcomes, summary.Outcome) }, NodeCount: func() int { return 1 },
 		RequestPermits: func() {}, Logger: slog.New(slog.DiscardHandler),
 	})
-	made.serve(t, firstAddress, first)
-	made.closeConnections = func() { pool.Sweep(func(string) bool { return false }) }
-	return made
+	pair.serve(t, firstAddress, first)
+	pair.closeConnections = func() { pool.Sweep(func(string) bool { return false }) }
+	return pair
 }
 
 // losePath makes the first node's path to a service count as lost.
@@ -101,11 +101,11 @@
 }
 
 // offerVersion puts a configuration version in force on a node.
-func offerVersion(table *configuration.Table, number int64, change func(made *configuration.Configuration)) {
-	made := rigConfiguration()
-	made.Version = number
-	change(made)
-	table.Offer(made)
+func offerVersion(table *configuration.Table, number int64, change func(configured *configuration.Configuration)) {
+	configured := rigConfiguration()
+	configured.Version = number
+	change(configured)
+	table.Offer(configured)
 }
 
 // sendThroughFirst sends a request to the first node, which knows the second one as a peer.
@@ -140,14 +140,14 @@
 		writer.WriteHeader(http.StatusAccepted)
 		_, _ = io.WriteString(writer, "done")
 	}, func(expect *gomega.WithT, pair *nodePair) {
-		found := pair.sendThroughFirst("/book/1?a=b%20c", func(request *http.Request) {
+		result := pair.sendThroughFirst("/book/1?a=b%20c", func(request *http.Request) {
 			request.Header.Set("Other", "kept")
 			request.Header.Set("Hazelslip-Detour", "forged")
 		})
-		expect.Expect(found.status).To(gomega.Equal(http.StatusAccepted))
-		expect.Expect(found.body).To(gomega.Equal("done"))
-		expect.Expect(found.header.Get("Signature")).To(gomega.Equal("s"))
-		expect.Expect(found.header).NotTo(gomega.HaveKey("Hazelslip-Detour"))
+		expect.Expect(result.status).To(gomega.Equal(http.StatusAccepted))
+		expect.Expect(result.body).To(gomega.Equal("done"))
+		expect.Expect(result.header.Get("Signature")).To(gomega.Equal("s"))
+		expect.Expect(result.header).NotTo(gomega.HaveKey("Hazelslip-Detour"))
 		expect.Expect(seen.RequestURI).To(gomega.Equal("/book/1?a=b%20c"))
 		expect.Expect(body).To(gomega.Equal("body"))
 		expect.Expect(seen.Header.Get("Other")).To(gomega.Equal("kept"))
@@ -160,10 +160,10 @@
 	withNodePair(t, func(http.ResponseWriter, *http.Request) { panic("unexpected call") }, func(expect *gomega.WithT, pair *nodePair) {
 		pair.board.Update(map[string][]dispatch.Spec{forward.PoolName("ledger", ""): {{ID: "s", Address: serverAddress}}})
 		pair.board.PeerLoads(map[string]dispatch.Share{"s": {Calls: 100}})
-		found := pair.sendThroughFirst("/book/1", nil)
-		expect.Expect(found.status).To(gomega.Equal(http.StatusServiceUnavailable))
-		expect.Expect(found.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
-		expect.Expect(found.header).NotTo(gomega.HaveKey("Hazelslip-Detour"))
+		result := pair.sendThroughFirst("/book/1", nil)
+		expect.Expect(result.status).To(gomega.Equal(http.StatusServiceUnavailable))
+		expect.Expect(result.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
+		expect.Expect(result.header).NotTo(gomega.HaveKey("Hazelslip-Detour"))
 		expect.Expect(pair.outcomeCount(forward.Full)).To(gomega.Equal(1))
 	})
 }
@@ -216,8 +216,8 @@
 		pair.board.Update(map[string][]dispatch.Spec{forward.PoolName("ledger", ""): {{ID: "s", Service: "ledger", Address: serverAddress, Slots: 9}}})
 		pair.losePathOfSecond("ledger")
 		startedAt := time.Now()
-		found := pair.sendThroughFirst("/book/1", nil)
-		expect.Expect(found.status).To(gomega.Equal(http.StatusServiceUnavailable))
+		result := pair.sendThroughFirst("/book/1", nil)
+		expect.Expect(result.status).To(gomega.Equal(http.StatusServiceUnavailable))
 		expect.Expect(time.Since(startedAt)).To(gomega.BeNumerically("<", 500*time.Millisecond))
 		expect.Expect(pair.outcomeCount(forward.Unreached)).To(gomega.Equal(1))
 	})
@@ -236,10 +236,10 @@
 		request := pair.request(0, "/book/1", strings.NewReader("body"))
 		request.URL.Host = firstAddress
 		startedAt := time.Now()
-		found := pair.do(request)
-		expect.Expect(found.status).To(gomega.Equal(http.StatusServiceUnavailable))
+		result := pair.do(request)
+		expect.Expect(result.status).To(gomega.Equal(http.StatusServiceUnavailable))
 		expect.Expect(time.Since(startedAt)).To(gomega.BeNumerically("<", 200*time.Millisecond))
-		retryAfter, err := strconv.ParseFloat(found.header.Get("Retry-After"), 64)
+		retryAfter, err := strconv.ParseFloat(result.header.Get("Retry-After"), 64)
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
 		expect.Expect(retryAfter).To(gomega.BeNumerically(">", 0.9), "a slot frees up later")
 		expect.Expect(pair.firstOutcomes).To(gomega.Equal([]forward.Outcome{forward.Full}))
@@ -248,9 +248,9 @@
 
 // losePathOfSecond makes the second node's path to a service count as lost.
 func (nodePair *nodePair) losePathOfSecond(service string) {
-	ways := nodePair.board.Ways()
-	ways.Of(reach.Place{Service: service}).Unopened("s", time.Hour)
-	for _, probe := range ways.Due() {
+	paths := nodePair.board.Ways()
+	paths.Of(reach.Place{Service: service}).Unopened("s", time.Hour)
+	for _, probe := range paths.Due() {
 		probe.Done(nil)
 	}
 }
@@ -267,8 +267,8 @@
 	}, func(expect *gomega.WithT, pair *nodePair) {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
-		found := pair.sendThroughFirst("/book/1", func(request *http.Request) { *request = *request.WithContext(ctx) })
-		expect.Expect(found.err).To(gomega.HaveOccurred())
+		result := pair.sendThroughFirst("/book/1", func(request *http.Request) { *request = *request.WithContext(ctx) })
+		expect.Expect(result.err).To(gomega.HaveOccurred())
 		expect.Expect(<-ended).To(gomega.BeNumerically("<", 350*time.Millisecond))
 	})
 }
@@ -282,11 +282,11 @@
 			"Sender=x&ConfigurationVersion=1&Runs=0&KeyDigest=key-0": http.StatusUnauthorized,
 			"Sender=x&ConfigurationVersion=1&Runs=0":                 http.StatusUnauthorized,
 		} {
-			found := pair.sendThroughFirst("/book/1", func(request *http.Request) {
+			result := pair.sendThroughFirst("/book/1", func(request *http.Request) {
 				request.URL.Host = detourAddress
 				request.Header.Set("Hazelslip-Detour", header)
 			})
-			expect.Expect(found.status).To(gomega.Equal(status), header)
+			expect.Expect(result.status).To(gomega.Equal(status), header)
 		}
 	})
 }
@@ -299,8 +299,8 @@
 		_ = http.NewResponseController(writer).Flush()
 		panic(http.ErrAbortHandler)
 	}, func(expect *gomega.WithT, pair *nodePair) {
-		found := pair.sendThroughFirst("/draft/1", nil)
-		expect.Expect(found.err).To(gomega.HaveOccurred())
-		expect.Expect(found.body).To(gomega.Equal("id: 0\ndata: a\n\n"))
+		result := pair.sendThroughFirst("/draft/1", nil)
+		expect.Expect(result.err).To(gomega.HaveOccurred())
+		expect.Expect(result.body).To(gomega.Equal("id: 0\ndata: a\n\n"))
 	})
 }
--- a/internal/serve/forward/detourorigin.go
+++ b/internal/serve/forward/detourorigin.go
@@ -102,20 +102,20 @@
 // awaitConfiguration waits briefly until the node has a configuration version. Handling a request under an older
 // version than its sender's would admit callers whose keys were revoked.
 func (forwarder *Forwarder) awaitConfiguration(request *http.Request, version int64) bool {
-	for until := forwarder.Now() + configurationWait; forwarder.Configuration.Load().Configuration.Version < version; time.Sleep(pollInterval) {
-		if forwarder.Now() >= until || request.Context().Err() != nil {
+	for deadline := forwarder.Now() + configurationWait; forwarder.Configuration.Load().Configuration.Version < version; time.Sleep(pollInterval) {
+		if forwarder.Now() >= deadline || request.Context().Err() != nil {
 			return false
 		}
 	}
 	return true
 }
 
-func (forwarder *Forwarder) encodeDetourResult(result detourResult, outcome Outcome, cause string, runs, arrivals int) string {
+func (forwarder *Forwarder) encodeDetourResult(result detourResult, outcome Outcome, cause string, runs, sentAttempts int) string {
 	values := url.Values{}
 	values.Set(fieldResult, string(result))
 	values.Set(fieldVersion, strconv.FormatInt(forwarder.Configuration.Load().Configuration.Version, 10))
 	values.Set(fieldRuns, strconv.Itoa(runs))
-	values.Set(fieldSentAttempts, strconv.Itoa(arrivals))
+	values.Set(fieldSentAttempts, strconv.Itoa(sentAttempts))
 	if outcome != "" {
 		values.Set(fieldOutcome, string(outcome))
 		values.Set(fieldCause, cause)
--- a/internal/serve/forward/exchange.go
+++ b/internal/serve/forward/exchange.go
@@ -66,7 +66,7 @@
 	origin        *detourOrigin
 	excludedPeers []string
 	lastPeer      string
-	// ignoreReachability is set once no peer node took the request, so that servers are called even though they
+	// ignoreReachability is set once no peer node accepted the request, so that servers are called even though they
 	// seem unreachable.
 	ignoreReachability bool
 	// demandCounted is set once the stream was counted as demand.
--- a/internal/serve/forward/failure.go
+++ b/internal/serve/forward/failure.go
@@ -37,7 +37,7 @@
 func (exchange *exchange) reportFailure(target *dispatch.Target, stalled bool) int {
 	list := exchange.forwarder.Quarantine
 	if !target.Reached() {
-		// This node may have lost the network path to the server, which failures the calls at all servers there at
+		// This node may have lost the network path to the server, which ends the calls at all servers there at
 		// once.
 		exchange.forwarder.OnUnconfirmedFailure(target, exchange.fingerprint)
 		return 0
--- a/internal/serve/forward/forward.go
+++ b/internal/serve/forward/forward.go
@@ -80,7 +80,7 @@
 	// OnQuarantineChange is called for a request whose quarantine record changed on this node.
 	OnQuarantineChange func(fingerprint quarantine.Fingerprint)
 	// OnResponseHead is called with the head of each response.
-	OnResponseHead func(heard ResponseHead)
+	OnResponseHead func(head ResponseHead)
 	// RequestPermits is called when a request waits for a rate limit permit.
 	RequestPermits func()
 	// RetryScheduler assigns retry times to callers refused by a rate limit. NodeCount returns the number of nodes
--- a/internal/serve/forward/memory_test.go
+++ b/internal/serve/forward/memory_test.go
@@ -142,8 +142,8 @@
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
 		_, _ = io.WriteString(conn, "POST /book/1 HTTP/1.1\r\nHost: h.example\r\nId: a\r\nKey: key-0\r\nContent-Length: 100000\r\n\r\nsome")
 		startedAt := time.Now()
-		answers, _ := io.ReadAll(conn)
-		expect.Expect(string(answers)).To(gomega.HavePrefix("HTTP/1.1 503 "))
+		responses, _ := io.ReadAll(conn)
+		expect.Expect(string(responses)).To(gomega.HavePrefix("HTTP/1.1 503 "))
 		expect.Expect(time.Since(startedAt)).To(gomega.BeNumerically("<", 2*time.Second))
 		conn.Close()
 		expect.Expect(rig.shutdown()).To(gomega.BeZero())
@@ -158,16 +158,16 @@
 		body, rest := io.Pipe()
 		request := rig.request(0, "/book/1", body)
 		request.ContentLength = megabyte
-		answers := make(chan callResult, 1)
-		go func() { answers <- rig.do(request) }()
+		results := make(chan callResult, 1)
+		go func() { results <- rig.do(request) }()
 		_, _ = io.WriteString(rest, "some")
 		time.Sleep(time.Second)
 		held, _, _ := rig.memory.Sums()
 		expect.Expect(held).To(gomega.BeNumerically(">=", megabyte))
-		got := <-answers
+		result := <-results
 		_ = rest.Close()
-		expect.Expect(got.status).To(gomega.Equal(http.StatusServiceUnavailable))
-		expect.Expect(got.duration).To(gomega.BeNumerically("~", routeTimeout, 100*time.Millisecond))
+		expect.Expect(result.status).To(gomega.Equal(http.StatusServiceUnavailable))
+		expect.Expect(result.duration).To(gomega.BeNumerically("~", routeTimeout, 100*time.Millisecond))
 		expect.Expect(rig.outcomeCount(forward.TimeUp)).To(gomega.Equal(1))
 		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
@@ -219,9 +219,9 @@
 				time.Sleep(routeTimeout / 5)
 			}
 		})
-		got := rig.do(rig.request(0, "/ping/1", bodyOfLength(100)))
-		expect.Expect(got.err).NotTo(gomega.HaveOccurred())
-		expect.Expect(len(got.body)).To(gomega.Equal(500 << 10))
+		result := rig.do(rig.request(0, "/ping/1", bodyOfLength(100)))
+		expect.Expect(result.err).NotTo(gomega.HaveOccurred())
+		expect.Expect(len(result.body)).To(gomega.Equal(500 << 10))
 		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
 }
@@ -235,8 +235,8 @@
 			_, _ = io.Copy(writer, bodyOfLength(megabyte))
 			panic(http.ErrAbortHandler)
 		})
-		got := rig.do(rig.request(0, "/ping/1", bodyOfLength(100)))
-		expect.Expect(got.err).To(gomega.HaveOccurred())
+		result := rig.do(rig.request(0, "/ping/1", bodyOfLength(100)))
+		expect.Expect(result.err).To(gomega.HaveOccurred())
 		expect.Expect(rig.outcomeCount(forward.Answered)).To(gomega.BeZero())
 		expect.Expect(rig.shutdown()).To(gomega.BeZero())
 	})
@@ -327,10 +327,10 @@
 			draws := make(chan int, 1)
 			source := rand.New(rand.NewPCG(seed, 190))
 			draws <- 0
-			draw := func(most int) int {
+			draw := func(limit int) int {
 				<-draws
 				defer func() { draws <- 0 }()
-				return source.IntN(most)
+				return source.IntN(limit)
 			}
 			const budget = 2 * megabyte
 			rig := newRig(t, budget, func(writer http.ResponseWriter, request *http.Request) {
@@ -343,12 +343,12 @@
 				if draw(2) == 0 {
 					body = withoutLength(body)
 				}
-				ctx, leave := context.WithCancel(context.Background())
+				ctx, cancel := context.WithCancel(context.Background())
 				if draw(3) == 0 {
-					time.AfterFunc(time.Duration(draw(400))*time.Millisecond, leave)
+					time.AfterFunc(time.Duration(draw(400))*time.Millisecond, cancel)
 				}
 				calls.Go(func() {
-					defer leave()
+					defer cancel()
 					rig.do(rig.request(workspace, path, body).WithContext(ctx))
 				})
 				time.Sleep(time.Duration(draw(20)) * time.Millisecond)
@@ -366,7 +366,7 @@
 }
 
 // randomServer responds, fails or disconnects at a random point.
-func randomServer(draw func(most int) int, writer http.ResponseWriter, request *http.Request) {
+func randomServer(draw func(limit int) int, writer http.ResponseWriter, request *http.Request) {
 	if draw(6) == 0 {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/serve/forward/outcome.go
+++ b/internal/serve/forward/outcome.go
@@ -23,7 +23,7 @@
 	// Full: all groups or servers have as many calls as they may.
 	// Limited: the only available servers announce a rate limit that is used up.
 	// BackedOff: the only available servers asked for a backoff.
-	// Unreached: this node reaches no server that could take the request, and no peer node took it.
+	// Unreached: this node reaches no server that could take the request, and no peer node accepted it.
 	NoServer  Outcome = "NoServer"
 	Unreached Outcome = "Unreached"
 	Limited   Outcome = "Limited"
--- a/internal/serve/forward/pick_test.go
+++ b/internal/serve/forward/pick_test.go
@@ -91,13 +91,13 @@
 		board := dispatch.New(dispatch.Clock(exchange.forwarder.Now), dispatch.Notices(notice.New(limits)))
 		board.Update(map[string][]dispatch.Spec{PoolName("drafts", "large"): {{ID: "a", Group: "g", Slots: 8}}})
 		limits.Answered(ratelimit.Run{Server: "a"}, ratelimit.Answer{Named: true, Rate: 20})
-		asked := 0
-		exchange.forwarder.Board, exchange.forwarder.RequestPermits = board, func() { asked++ }
+		requested := 0
+		exchange.forwarder.Board, exchange.forwarder.RequestPermits = board, func() { requested++ }
 		startedAt := time.Now()
 		_, verdict := exchange.pickGroup(maxQueuedStreams)
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Limited))
 		expect.Expect(time.Since(startedAt)).To(gomega.BeNumerically("<=", 300*time.Millisecond/8))
-		expect.Expect(asked).To(gomega.Equal(1))
+		expect.Expect(requested).To(gomega.Equal(1))
 		home := func(ratelimit.Run) ratelimit.Duty { return ratelimit.Duty{Home: true, Part: 1} }
 		limits.Refresh(home)
 		time.Sleep(time.Second)
--- a/internal/serve/forward/refuse.go
+++ b/internal/serve/forward/refuse.go
@@ -35,8 +35,8 @@
 	urgencyRetryStep = 20 * time.Millisecond
 )
 
-// retryAfterBackoff returns the retry delay for servers whose backoff ends after opens: callers return no earlier
-// than that, and one after the other.
+// retryAfterBackoff returns the retry delay for servers whose backoff ends in opensIn. Callers return after the end
+// of the backoff, one after the other.
 func (exchange *exchange) retryAfterBackoff(opensIn time.Duration) time.Duration {
 	delay := exchange.forwarder.RetryScheduler.After(exchange.poolName()+" after a backoff", backoffReturnRate)
 	return opensIn + delay + time.Duration(exchange.priority)*urgencyRetryStep
--- a/internal/serve/forward/regions_test.go
+++ b/internal/serve/forward/regions_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a request that leaves the regions of its workspace because its route allows more regions.
 func TestRegionsAreRestrictedByRouteAndWorkspace(t *testing.T) {
-	for _, one := range []struct{ route, workspace, expected []string }{
+	for _, test := range []struct{ route, workspace, expected []string }{
 		{nil, nil, nil},
 		{[]string{"andes", "coast"}, nil, []string{"andes", "coast"}},
 		{nil, []string{"coast"}, []string{"coast"}},
@@ -16,8 +16,8 @@
 		{[]string{"andes"}, []string{"coast"}, []string{}},
 	} {
 		exchange := &exchange{}
-		exchange.restrictRegions(one.route)
-		exchange.restrictRegions(one.workspace)
-		gomega.NewWithT(t).Expect(exchange.regions).To(gomega.Equal(one.expected), "%v and %v", one.route, one.workspace)
+		exchange.restrictRegions(test.route)
+		exchange.restrictRegions(test.workspace)
+		gomega.NewWithT(t).Expect(exchange.regions).To(gomega.Equal(test.expected), "%v and %v", test.route, test.workspace)
 	}
 }
--- a/internal/serve/forward/responsehead.go
+++ b/internal/serve/forward/responsehead.go
@@ -25,9 +25,9 @@
 }
 
 // NoticeResponse returns the part of the head that the server's notice record stores.
-func (heard *ResponseHead) NoticeResponse() notice.Answer {
+func (responseHead *ResponseHead) NoticeResponse() notice.Answer {
 	return notice.Answer{
-		Backoff: notice.Backoff(heard.Signals.Backoff), Draining: heard.Signals.Draining, Taken: heard.Accepted, Began: heard.SentAt,
+		Backoff: notice.Backoff(responseHead.Signals.Backoff), Draining: responseHead.Signals.Draining, Taken: responseHead.Accepted, Began: responseHead.SentAt,
 	}
 }
 
--- a/internal/serve/forward/stream.go
+++ b/internal/serve/forward/stream.go
@@ -141,7 +141,7 @@
 	return time.Duration(slotWaitFraction * float64(exchange.route.Target))
 }
 
-// pickWithWait picks a target, and picks again until wait is over as long as worth accepts the verdict.
+// pickWithWait picks a target. As long as keepWaiting accepts the verdict, pickWithWait picks again until the wait is over.
 func (exchange *exchange) pickWithWait(wait time.Duration, maxQueued int, keepWaiting func(verdict dispatch.Verdict) bool) (*dispatch.Target, dispatch.Verdict) {
 	deadline := exchange.forwarder.Now() + wait
 	var stopWaiting func()
@@ -338,7 +338,7 @@
 			return 0, errors.Wrap(err, "parse an event ID")
 		}
 		if last >= 0 && id != last+1 {
-			return 0, errors.Wrapf(errEventGap, "event %d previous %d", id, last)
+			return 0, errors.Wrapf(errEventGap, "event %d follows event %d", id, last)
 		}
 		last = id
 	}
