--- a/internal/serve/draft/draft.go
+++ b/internal/serve/draft/draft.go
@@ -127,7 +127,7 @@
 // that the caller has disconnected, and ends the draft.
 func (server *Server) Run(ctx context.Context, request Request, emit func(token string) error) Result {
 	startedAt := time.Now()
-	pass, refusal := server.gate.Enter(ctx, admission.Request{Class: request.Class, Workspace: request.Workspace}, func() admission.Capacity {
+	permit, refusal := server.gate.Enter(ctx, admission.Request{Class: request.Class, Workspace: request.Workspace}, func() admission.Capacity {
 		return server.capacity(request.Class.Model)
 	})
 	if refusal != nil {
@@ -135,10 +135,10 @@
 		request.Entry.Addf("refused: %s", refusal.Cause)
 		return Result{Failure: &Failure{Outcome: outcome.NotRun, Cause: refusal.Cause, RetryAfter: refusal.RetryAfter}}
 	}
-	defer pass.Leave()
+	defer permit.Leave()
 	server.running.Add(1)
 	defer server.running.Add(-1)
-	if pass.Guaranteed {
+	if permit.Guaranteed {
 		request.Priority += guaranteedPriorityBoost
 	}
 	job := &job{server: server, ctx: ctx, request: request, emit: emit, startedAt: startedAt}
