--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -244,15 +244,15 @@
 	}
 }
 
-func (node *Node) forwarderDependencies() forward.Parts {
-	return forward.Parts{
-		Configuration: node.configuration, Board: node.board, Pool: node.pool, Decode: node.platform.DecodeCaller,
-		DataCentre: node.settings.DataCentre, Budget: node.retryBudget, Ready: node.stateKnown, Stopping: node.stopping.Load,
-		Quarantine: node.quarantine, Suspected: node.suspectChanged, Heard: node.handleNotice,
-		AskPermits: node.refreshPermits, Returns: ratelimit.NewRetryScheduler(node.now), Nodes: func() int { return node.peers.budgetNodes() },
-		Detours: node.detours.tableOrNil(), DetourPool: node.detours.pool, DetourWanted: node.detours.requestQuery, Unsure: node.detours.deferFailure,
-		Name: node.settings.Name, NewerAt: func(address string, version int64) { node.peers.fetchIfNewerFrom(address, version) },
-		Memory: node.memory, Failed: node.handleCallFailure, Ended: node.requestMetrics.record, Logger: node.logger, Now: node.now,
+func (node *Node) forwarderDependencies() forward.Dependencies {
+	return forward.Dependencies{
+		Configuration: node.configuration, Board: node.board, Pool: node.pool, DecodeRequest: node.platform.DecodeCaller,
+		DataCentre: node.settings.DataCentre, RetryBudget: node.retryBudget, Ready: node.stateKnown, Stopping: node.stopping.Load,
+		Quarantine: node.quarantine, OnQuarantineChange: node.suspectChanged, OnResponseHead: node.handleNotice,
+		RequestPermits: node.refreshPermits, RetryScheduler: ratelimit.NewRetryScheduler(node.now), NodeCount: func() int { return node.peers.budgetNodes() },
+		Detours: node.detours.tableOrNil(), DetourPool: node.detours.pool, RequestDetours: node.detours.requestQuery, OnUnconfirmedFailure: node.detours.deferFailure,
+		NodeName: node.settings.Name, OnNewerVersion: func(address string, version int64) { node.peers.fetchIfNewerFrom(address, version) },
+		Memory: node.memory, OnServerFailure: node.handleCallFailure, OnRequestEnd: node.requestMetrics.record, Logger: node.logger, Now: node.now,
 	}
 }
 
@@ -277,7 +277,7 @@
 			return errors.Wrapf(err, "listen at %s", node.settings.Listen.Detour)
 		}
 		node.detours.listener = listener
-		node.detours.server = &http.Server{Handler: node.forwarder.Inward(), ReadHeaderTimeout: headerTimeout, IdleTimeout: detourIdleTimeout, ErrorLog: discardLogger()}
+		node.detours.server = &http.Server{Handler: node.forwarder.DetourHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: detourIdleTimeout, ErrorLog: discardLogger()}
 	}
 	if node.memory.Limited() {
 		node.listeners[0] = newCallerListener(node.listeners[0])
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -31,12 +31,12 @@
 }
 
 // handleNotice applies what a response states about its server: rate limit, backoff and draining.
-func (node *Node) handleNotice(received forward.Heard) {
+func (node *Node) handleNotice(received forward.ResponseHead) {
 	if !received.Stray {
 		node.handleLimitNotice(&received)
 	}
-	content := &received.Said
-	changes := node.notices.HandleResponse(received.Record, received.Answer())
+	content := &received.Signals
+	changes := node.notices.HandleResponse(received.Record, received.NoticeResponse())
 	if changes.Backoff != notice.Unchanged {
 		node.logNotice(backoffMessages[changes.Backoff], &received,
 			slog.Int64("BackoffMilliseconds", content.Backoff.Span.Milliseconds()), slog.String("Value", content.Backoff.Unreadable))
@@ -110,23 +110,23 @@
 }
 
 // logNotice logs a change that a response caused.
-func (node *Node) logNotice(message string, received *forward.Heard, attributes ...slog.Attr) {
+func (node *Node) logNotice(message string, received *forward.ResponseHead, attributes ...slog.Attr) {
 	attributes = append(attributes,
 		slog.String("Server", received.Record.Server), slog.Int64("Born", received.Record.Born), slog.String("Group", received.Group),
 		slog.String("Source", received.Source), slog.String("RequestID", received.RequestID),
-		slog.Int64("SentMillisecondsAgo", (node.now()-received.Sent).Milliseconds()), slog.Int("SentLately", received.Record.Gate.SentLately()))
+		slog.Int64("SentMillisecondsAgo", (node.now()-received.SentAt).Milliseconds()), slog.Int("SentLately", received.Record.Gate.SentLately()))
 	node.logger.LogAttrs(context.Background(), slog.LevelInfo, message, attributes...)
 }
 
 // handleLimitNotice applies what a response states about the rate limit of its server.
-func (node *Node) handleLimitNotice(received *forward.Heard) {
-	limit, run := received.Said.Limit, received.Record.Run
+func (node *Node) handleLimitNotice(received *forward.ResponseHead) {
+	limit, run := received.Signals.Limit, received.Record.Run
 	if !limit.Named && limit.Unreadable == "" && !node.limits.Any() {
 		return
 	}
 	previous, _ := node.limits.Limit(run)
 	change := node.limits.HandleResponse(run, ratelimit.Response{
-		HasLimit: limit.Named, Rate: limit.Rate, Unreadable: limit.Unreadable, Refused: !received.Taken, SentAt: received.Chosen,
+		HasLimit: limit.Named, Rate: limit.Rate, Unreadable: limit.Unreadable, Refused: !received.Accepted, SentAt: received.ChosenAt,
 	})
 	if change == ratelimit.Unchanged {
 		return
@@ -148,9 +148,9 @@
 		return
 	}
 	now := node.now()
-	node.handleNotice(forward.Heard{
-		Record: node.notices.Record(ratelimit.Run{Server: server.ID, Born: server.Born}), Said: content, Source: source,
-		Group: server.Group.Name, Chosen: now, Sent: now,
+	node.handleNotice(forward.ResponseHead{
+		Record: node.notices.Record(ratelimit.Run{Server: server.ID, Born: server.Born}), Signals: content, Source: source,
+		Group: server.Group.Name, ChosenAt: now, SentAt: now,
 	})
 }
 
--- a/internal/run/gateway/request_metrics.go
+++ b/internal/run/gateway/request_metrics.go
@@ -83,14 +83,14 @@
 	requestMetrics.mu.Unlock()
 	switch {
 	case summary.Outcome == forward.Full || summary.Outcome == forward.NoServer:
-		requestMetrics.refusal.observe(summary.Took)
+		requestMetrics.refusal.observe(summary.Duration)
 	case summary.Outcome != forward.Answered:
 	case summary.Kind == configuration.Streaming:
 		requestMetrics.firstEvent.observe(summary.FirstEvent)
 		requestMetrics.longestPause.observe(summary.LongestPause)
-		requestMetrics.stream.observe(summary.Took)
+		requestMetrics.stream.observe(summary.Duration)
 	default:
-		requestMetrics.call.observe(summary.Took)
+		requestMetrics.call.observe(summary.Duration)
 	}
 }
 
--- a/internal/serve/forward/demand_test.go
+++ b/internal/serve/forward/demand_test.go
@@ -11,40 +11,40 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// counted is an exchange for a model without a group, and where its demand is counted.
-func counted(model string) (*exchange, *demand.Demand) {
+// newDemandExchange returns an exchange for a model without a group, and the counter of its demand.
+func newDemandExchange(model string) (*exchange, *demand.Demand) {
 	now := clock.Virtual()
-	held := demand.New(demand.Clock(now))
+	counter := demand.New(demand.Clock(now))
 	table := configuration.NewTable()
 	table.Offer(&configuration.Configuration{Version: 1, Services: []configuration.Service{
 		{Name: "drafts", Engine: &configuration.Engine{Models: []configuration.Model{{Name: "large"}}}},
 	}})
 	return &exchange{
-		forwarder: &Forwarder{Parts: Parts{Board: dispatch.New(dispatch.Clock(now), dispatch.Demand(held)), Now: now}},
+		forwarder: &Forwarder{Dependencies: Dependencies{Board: dispatch.New(dispatch.Clock(now), dispatch.Demand(counter)), Now: now}},
 		request:   &Request{Model: model}, snapshot: table.Load(), service: "drafts",
-	}, held
+	}, counter
 }
 
-// Guards against refused streams that don't count as demand: a model without a group would seem to need none.
+// Guards against refused streams that are not counted as demand: a model without a group would seem to need none.
 func TestStreamsWithoutASlotCountAsDemand(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	exchange, held := counted("large")
-	_, shed := exchange.sheds()
+	exchange, counter := newDemandExchange("large")
+	_, shed := exchange.shouldShed()
 	expect.Expect(shed).To(gomega.BeFalse())
-	exchange.noSlot(nil, dispatch.NoTarget)
-	expect.Expect(held.Counts.Requested.Load()).To(gomega.BeNumerically("==", 1))
-	expect.Expect(held.Counts.Refused.Load()).To(gomega.BeNumerically("==", 1))
-	rates, _ := held.Rates("drafts/large")
+	exchange.recordNoSlot(nil, dispatch.NoTarget)
+	expect.Expect(counter.Counts.Requested.Load()).To(gomega.BeNumerically("==", 1))
+	expect.Expect(counter.Counts.Refused.Load()).To(gomega.BeNumerically("==", 1))
+	rates, _ := counter.Rates("drafts/large")
 	expect.Expect(rates.Refused).To(gomega.BeNumerically(">", 0))
 	expect.Expect(rates.Requested[rankFresh]).To(gomega.BeNumerically(">", 0))
 }
 
-// Guards against memory and frames that grow with the names of models that callers make up.
-func TestModelsThatNothingServesAreNoDemand(t *testing.T) {
+// Guards against memory and frames that grow with the model names that callers make up.
+func TestUnknownModelsAreNotCountedAsDemand(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	exchange, held := counted("made up")
-	_, shed := exchange.sheds()
+	exchange, counter := newDemandExchange("made up")
+	_, shed := exchange.shouldShed()
 	expect.Expect(shed).To(gomega.BeFalse())
-	exchange.noSlot(nil, dispatch.NoTarget)
-	expect.Expect(held.Local()).To(gomega.BeEmpty())
+	exchange.recordNoSlot(nil, dispatch.NoTarget)
+	expect.Expect(counter.Local()).To(gomega.BeEmpty())
 }
