--- a/internal/fleet/fabric/fabric.go
+++ b/internal/fleet/fabric/fabric.go
@@ -1,21 +1,19 @@
-// Package fabric keeps what is known about the backend servers of a data
-// centre's fabric domains.
+// Package fabric tracks the status of the backend servers in the fabric domains of a data centre.
 //
-// The domains are split among the live nodes of the data centre: the node
-// whose duty a domain is reads its servers' reports, and its peers pull these
-// readings. A node whose knowledge of a domain has grown old reads it itself,
-// so neither a lost watcher nor a cut between nodes leaves a domain unwatched.
+// The domains are divided among the live nodes of the data centre. The node that owns a domain reads the reports of
+// its servers, and the node's peers pull these statuses. A node whose information about a domain is too old reads the
+// domain itself, so neither the loss of a watcher nor a network partition between nodes leaves a domain unwatched.
 //
-// Every Fact carries the moment before it was asked for, on this node's own
-// clock, by the most cautious reckoning; a report that was held up on its way
-// is old when it arrives, and cannot make a lost server look alive.
+// Each ServerStatus carries the time before its report was requested, on this node's clock; where that time is
+// uncertain, the oldest possible one. A delayed report is therefore old on arrival, and cannot make a lost server look
+// alive.
 //
 // # Usage
 //
-//	facts := fabric.New(clock.Boot)
-//	watcher := fabric.NewWatcher(facts, table, read, probe)
+//	table := fabric.New(clock.Boot)
+//	watcher := fabric.NewWatcher(table, owns, read, probe)
 //	watcher.Start()
-//	snapshot := facts.Snapshot()
+//	snapshot := table.Snapshot()
 package fabric
 
 import (
@@ -30,144 +28,140 @@
 	"hazelslip/internal/peer/instancelist"
 )
 
-// Fact is the newest report of one server. At is the moment before it was
-// asked for; zero means that it was never read.
-type Fact struct {
+// ServerStatus is the newest report of one server. RequestedAt is a time just before the report was requested;
+// zero means that no report was ever read.
+type ServerStatus struct {
 	FabricDomain string
 	Address      string
 	Report       engine.Report
-	At           time.Duration
-	// FirstMissed is since when every try to read it has failed, 0 while the
-	// last one succeeded.
-	FirstMissed time.Duration
-	// ListedLeaving is what the instance list says.
+	RequestedAt  time.Duration
+	// UnresponsiveSince is when the current series of failed reads began, 0 if the last read succeeded.
+	UnresponsiveSince time.Duration
+	// ListedLeaving is set when the instance list says that the server is leaving.
 	ListedLeaving bool
 }
 
 // Leaving reports whether the server should get no new work.
-func (fact *Fact) Leaving() bool {
-	return fact.ListedLeaving || fact.Report.Leaving
+func (server *ServerStatus) Leaving() bool {
+	return server.ListedLeaving || server.Report.Leaving
 }
 
-// Age is how old the fact is at most.
-func (fact *Fact) Age(now time.Duration) time.Duration {
-	if fact.At == 0 {
+// Age returns the maximum age of the report.
+func (server *ServerStatus) Age(now time.Duration) time.Duration {
+	if server.RequestedAt == 0 {
 		return 1 << 62
 	}
-	return now - fact.At
+	return now - server.RequestedAt
 }
 
-// Snapshot holds the facts of each domain, ordered by address. It never
-// changes.
+// Snapshot holds the server statuses by domain, ordered by address. It is immutable.
 type Snapshot struct {
-	Domains map[string][]Fact
+	Domains map[string][]ServerStatus
 }
 
-// Facts collects facts from this node's own readings and from peers.
-type Facts struct {
+// StatusTable collects server statuses from this node's own readings and from peers.
+type StatusTable struct {
 	now      clock.Now
 	snapshot atomic.Pointer[Snapshot]
 	changed  chan struct{}
 
 	mu      sync.Mutex
-	servers map[string]*Fact
+	servers map[string]*ServerStatus
 }
 
-// New returns facts about nothing.
-func New(now clock.Now) *Facts {
-	facts := &Facts{now: now, changed: make(chan struct{}, 1), servers: map[string]*Fact{}}
-	facts.snapshot.Store(&Snapshot{Domains: map[string][]Fact{}})
-	return facts
+// New returns an empty table.
+func New(now clock.Now) *StatusTable {
+	table := &StatusTable{now: now, changed: make(chan struct{}, 1), servers: map[string]*ServerStatus{}}
+	table.snapshot.Store(&Snapshot{Domains: map[string][]ServerStatus{}})
+	return table
 }
 
-// List takes the servers of the instance list. A server that is no longer
-// listed is forgotten once it does not answer either: the list may lag or be
-// wrong, and a server that answers is still there.
-func (facts *Facts) List(instances []instancelist.Instance) {
-	facts.mu.Lock()
-	defer facts.mu.Unlock()
+// UpdateListed applies the instance list. The list may lag or be wrong, and a server that answers still exists: so a
+// server that is no longer listed is removed only when its last report is older than UnlistedRetention.
+func (table *StatusTable) UpdateListed(instances []instancelist.Instance) {
+	table.mu.Lock()
+	defer table.mu.Unlock()
 	listed := map[string]bool{}
 	for _, instance := range instances {
 		listed[instance.Address] = true
-		fact, ok := facts.servers[instance.Address]
+		server, ok := table.servers[instance.Address]
 		if !ok {
-			fact = &Fact{FabricDomain: instance.FabricDomain, Address: instance.Address}
-			facts.servers[instance.Address] = fact
+			server = &ServerStatus{FabricDomain: instance.FabricDomain, Address: instance.Address}
+			table.servers[instance.Address] = server
 		}
-		fact.ListedLeaving = instance.Leaving
+		server.ListedLeaving = instance.Leaving
 	}
-	for address, fact := range facts.servers {
-		if !listed[address] && fact.Age(facts.now()) > ForgetAfter {
-			delete(facts.servers, address)
+	for address, server := range table.servers {
+		if !listed[address] && server.Age(table.now()) > UnlistedRetention {
+			delete(table.servers, address)
 		}
 	}
-	facts.publishLocked()
+	table.publishLocked()
 }
 
-// ForgetAfter is how long a server that is not listed is kept after its last
-// report.
-const ForgetAfter = 10 * time.Second
+// UnlistedRetention is how long an unlisted server is kept after its last report.
+const UnlistedRetention = 10 * time.Second
 
-// Put takes reports that are newer than what is known, in one go.
-func (facts *Facts) Put(domain string, readings []Fact) {
-	facts.mu.Lock()
-	defer facts.mu.Unlock()
-	for index := range readings {
-		facts.putLocked(domain, &readings[index])
+// Merge applies those statuses that are newer than the known ones, and publishes one snapshot.
+func (table *StatusTable) Merge(domain string, statuses []ServerStatus) {
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	for index := range statuses {
+		table.mergeLocked(domain, &statuses[index])
 	}
-	facts.publishLocked()
+	table.publishLocked()
 }
 
-func (facts *Facts) putLocked(domain string, reading *Fact) {
-	known, ok := facts.servers[reading.Address]
+func (table *StatusTable) mergeLocked(domain string, update *ServerStatus) {
+	existing, ok := table.servers[update.Address]
 	if !ok {
-		known = &Fact{FabricDomain: domain, Address: reading.Address}
-		facts.servers[reading.Address] = known
+		existing = &ServerStatus{FabricDomain: domain, Address: update.Address}
+		table.servers[update.Address] = existing
 	}
-	if reading.At <= known.At {
+	if update.RequestedAt <= existing.RequestedAt {
 		return
 	}
-	known.Report, known.At, known.FirstMissed = reading.Report, reading.At, 0
+	existing.Report, existing.RequestedAt, existing.UnresponsiveSince = update.Report, update.RequestedAt, 0
 }
 
-// Missed notes that a server did not answer a question asked at the moment.
-func (facts *Facts) Missed(address string, at time.Duration) {
-	facts.mu.Lock()
-	defer facts.mu.Unlock()
-	fact, ok := facts.servers[address]
-	if !ok || fact.FirstMissed != 0 || fact.At >= at {
+// MarkUnresponsive records that a server did not answer a request sent at the given time.
+func (table *StatusTable) MarkUnresponsive(address string, requestedAt time.Duration) {
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	server, ok := table.servers[address]
+	if !ok || server.UnresponsiveSince != 0 || server.RequestedAt >= requestedAt {
 		return
 	}
-	fact.FirstMissed = at
-	facts.publishLocked()
+	server.UnresponsiveSince = requestedAt
+	table.publishLocked()
 }
 
-func (facts *Facts) publishLocked() {
-	domains := map[string][]Fact{}
-	for _, fact := range facts.servers {
-		domains[fact.FabricDomain] = append(domains[fact.FabricDomain], *fact)
+func (table *StatusTable) publishLocked() {
+	domains := map[string][]ServerStatus{}
+	for _, server := range table.servers {
+		domains[server.FabricDomain] = append(domains[server.FabricDomain], *server)
 	}
 	for _, members := range domains {
-		slices.SortFunc(members, func(a, b Fact) int { return strings.Compare(a.Address, b.Address) })
+		slices.SortFunc(members, func(a, b ServerStatus) int { return strings.Compare(a.Address, b.Address) })
 	}
-	facts.snapshot.Store(&Snapshot{Domains: domains})
+	table.snapshot.Store(&Snapshot{Domains: domains})
 	select {
-	case facts.changed <- struct{}{}:
+	case table.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Snapshot returns what is known now.
-func (facts *Facts) Snapshot() *Snapshot {
-	return facts.snapshot.Load()
+// Snapshot returns the current statuses.
+func (table *StatusTable) Snapshot() *Snapshot {
+	return table.snapshot.Load()
 }
 
-// Changed returns a channel that gets a value when something changed.
-func (facts *Facts) Changed() <-chan struct{} {
-	return facts.changed
+// Changed returns a channel that receives a value after each change; changes may be coalesced.
+func (table *StatusTable) Changed() <-chan struct{} {
+	return table.changed
 }
 
-// DomainNames returns the names of the known domains, in order.
+// DomainNames returns the names of the known domains, sorted.
 func (snapshot *Snapshot) DomainNames() []string {
 	names := make([]string, 0, len(snapshot.Domains))
 	for name := range snapshot.Domains {
--- a/internal/fleet/fabric/watcher.go
+++ b/internal/fleet/fabric/watcher.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// ReadEvery is how often a watcher reads its servers.
-	ReadEvery = time.Second
-	// TooOld is the age of knowledge at which a node reads a domain itself.
-	TooOld = 2500 * time.Millisecond
-	// readTimeout bounds one report; a paused server is missed, not waited for.
+	// ReadInterval is how often a watcher reads its servers.
+	ReadInterval = time.Second
+	// FallbackAge is the age of a domain's newest report at which a node reads the domain itself, although another
+	// node owns it.
+	FallbackAge = 2500 * time.Millisecond
+	// readTimeout bounds the read of one report. A paused server counts as unresponsive and does not delay the
+	// others.
 	readTimeout     = 700 * time.Millisecond
 	readConcurrency = 32
 )
 
-// Reading is one watcher's latest reading of one domain.
+// Reading is the latest reading of a domain by one watcher.
 type Reading struct {
 	FabricDomain string
-	// Sequence grows with each reading, Version only with those in which
-	// something besides the ages changed.
-	Sequence uint64
-	Version  uint64
-	Facts    []Fact
-	Missed   []string
+	// Sequence increases with each reading, Version only with a reading in which something besides the ages changed.
+	Sequence     uint64
+	Version      uint64
+	Servers      []ServerStatus
+	Unresponsive []string
 }
 
-// WatcherState is what a Watcher shows in the state dump.
+// WatcherState is the state dump of a Watcher.
 type WatcherState struct {
 	Domains   []string
 	Reads     uint64
@@ -45,18 +46,18 @@
 	Fallbacks uint64
 }
 
-// Watcher reads the domains that are this node's duty.
+// Watcher reads the servers of the domains that this node owns.
 type Watcher struct {
 	*lifecycle.Part
-	facts *Facts
+	table *StatusTable
 	now   clock.Now
-	mine  func(duty string) bool
+	owns  func(key string) bool
 	read  func(ctx context.Context, address string) (engine.Report, error)
-	// probe asks a peer to read a server that this node cannot reach. The
-	// duration is the report's age, counted from before this node asked.
+	// probe asks a peer to read a server that this node cannot reach. The returned duration is the age of the report,
+	// counted from before this node asked.
 	probe func(ctx context.Context, address string) (engine.Report, time.Duration, bool)
 
-	reads, misses, probes, saves, fallbacks atomic.Uint64
+	reads, misses, probes, probeSuccesses, fallbacks atomic.Uint64
 
 	mu       sync.Mutex
 	readings map[string]*Reading
@@ -64,86 +65,85 @@
 	sequence uint64
 }
 
-// NewWatcher returns a watcher. Mine tells which domains are this node's duty.
+// NewWatcher returns a watcher. The function owns reports whether this node owns an assignment key.
 func NewWatcher(
-	facts *Facts,
-	mine func(duty string) bool,
+	table *StatusTable,
+	owns func(key string) bool,
 	read func(ctx context.Context, address string) (engine.Report, error),
 	probe func(ctx context.Context, address string) (engine.Report, time.Duration, bool),
 ) *Watcher {
 	return &Watcher{
-		Part: lifecycle.New("watcher"), facts: facts, now: facts.now, mine: mine, read: read, probe: probe,
+		Part: lifecycle.New("watcher"), table: table, now: table.now, owns: owns, read: read, probe: probe,
 		readings: map[string]*Reading{}, probing: map[string]bool{},
 	}
 }
 
-// Start begins to watch.
+// Start starts reading at ReadInterval.
 func (watcher *Watcher) Start() {
-	watcher.Every(ReadEvery, watcher.Tick)
+	watcher.Every(ReadInterval, watcher.Tick)
 }
 
-// Duty is the name under which a domain's watch is spread over the nodes.
-func Duty(domain string) string {
+// AssignmentKey returns the key by which the watching of a domain is assigned to a node.
+func AssignmentKey(domain string) string {
 	return "domain/" + domain
 }
 
-// Tick reads each domain that is this node's duty, or that it knows too little
-// of.
+// Tick reads each domain that this node owns, and each one whose information is too old.
 func (watcher *Watcher) Tick() {
-	snapshot := watcher.facts.Snapshot()
+	snapshot := watcher.table.Snapshot()
 	due := []string{}
 	for _, domain := range snapshot.DomainNames() {
-		mine := watcher.mine(Duty(domain))
-		if !mine && watcher.newest(snapshot.Domains[domain]) < TooOld {
-			watcher.forget(domain)
+		owned := watcher.owns(AssignmentKey(domain))
+		if !owned && watcher.freshestAge(snapshot.Domains[domain]) < FallbackAge {
+			watcher.dropReading(domain)
 			continue
 		}
-		if !mine {
+		if !owned {
 			watcher.fallbacks.Add(1)
 		}
 		due = append(due, domain)
 	}
 	reads := pool.New().WithMaxGoroutines(readConcurrency)
-	results := make([][]Fact, len(due))
+	results := make([][]ServerStatus, len(due))
 	for index, domain := range due {
 		results[index] = slices.Clone(snapshot.Domains[domain])
-		for at := range results[index] {
-			reads.Go(func() { watcher.readOne(&results[index][at]) })
+		for server := range results[index] {
+			reads.Go(func() { watcher.readReport(&results[index][server]) })
 		}
 	}
 	reads.Wait()
 	for index, domain := range due {
-		watcher.finish(domain, results[index])
+		watcher.publish(domain, results[index])
 	}
 }
 
-// newest is the age of the freshest fact of a domain.
-func (watcher *Watcher) newest(facts []Fact) time.Duration {
+// freshestAge returns the age of the newest report of a domain.
+func (watcher *Watcher) freshestAge(servers []ServerStatus) time.Duration {
 	age := time.Duration(1 << 62)
-	for index := range facts {
-		age = min(age, facts[index].Age(watcher.now()))
+	for index := range servers {
+		age = min(age, servers[index].Age(watcher.now()))
 	}
 	return age
 }
 
-func (watcher *Watcher) readOne(fact *Fact) {
+func (watcher *Watcher) readReport(server *ServerStatus) {
 	ctx, cancel := watcher.Context(readTimeout)
 	defer cancel()
-	at := watcher.now()
+	requestedAt := watcher.now()
 	watcher.reads.Add(1)
-	report, err := watcher.read(ctx, fact.Address)
+	report, err := watcher.read(ctx, server.Address)
 	if err != nil {
 		watcher.misses.Add(1)
-		watcher.ask(fact.Address, fact.FabricDomain, at)
+		watcher.probeViaPeer(server.Address, server.FabricDomain, requestedAt)
 		return
 	}
-	fact.Report, fact.At, fact.FirstMissed = report, at, 0
+	server.Report, server.RequestedAt, server.UnresponsiveSince = report, requestedAt, 0
 }
 
-// ask lets another node try a server before it counts as missed: a cut between
-// one node and one server must not cost a healthy group. It does not hold up
-// the tick, or one paused server would make the reports of all others stale.
-func (watcher *Watcher) ask(address, domain string, at time.Duration) {
+// probeViaPeer asks another node to read a server before the server counts as unresponsive, because a broken
+// connection between one node and one server must not cost a healthy group. It runs in the background: if it delayed
+// the tick, one paused server would make the reports of all others stale.
+func (watcher *Watcher) probeViaPeer(address, domain string, requestedAt time.Duration) {
 	if !watcher.beginProbe(address) {
 		return
 	}
@@ -153,11 +153,11 @@
 		defer cancel()
 		report, age, ok := watcher.probe(ctx, address)
 		if !ok {
-			watcher.facts.Missed(address, at)
+			watcher.table.MarkUnresponsive(address, requestedAt)
 			return
 		}
-		watcher.saves.Add(1)
-		watcher.facts.Put(domain, []Fact{{FabricDomain: domain, Address: address, Report: report, At: watcher.now() - age}})
+		watcher.probeSuccesses.Add(1)
+		watcher.table.Merge(domain, []ServerStatus{{FabricDomain: domain, Address: address, Report: report, RequestedAt: watcher.now() - age}})
 	})
 }
 
@@ -178,35 +178,35 @@
 	delete(watcher.probing, address)
 }
 
-// finish publishes a reading to this node and, through Readings, to its peers.
-func (watcher *Watcher) finish(domain string, facts []Fact) {
-	watcher.facts.Put(domain, facts)
-	fresh, missed := []Fact{}, []string{}
-	for _, fact := range watcher.facts.Snapshot().Domains[domain] {
-		if fact.FirstMissed != 0 {
-			missed = append(missed, fact.Address)
-		} else if fact.At != 0 {
-			fresh = append(fresh, fact)
+// publish makes a reading available to this node and, through Readings, to its peers.
+func (watcher *Watcher) publish(domain string, servers []ServerStatus) {
+	watcher.table.Merge(domain, servers)
+	fresh, unresponsive := []ServerStatus{}, []string{}
+	for _, server := range watcher.table.Snapshot().Domains[domain] {
+		if server.UnresponsiveSince != 0 {
+			unresponsive = append(unresponsive, server.Address)
+		} else if server.RequestedAt != 0 {
+			fresh = append(fresh, server)
 		}
 	}
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	watcher.sequence++
-	before := watcher.readings[domain]
-	reading := &Reading{FabricDomain: domain, Sequence: watcher.sequence, Version: watcher.sequence, Facts: fresh, Missed: missed}
-	if before != nil && sameReports(before.Facts, fresh) {
-		reading.Version = before.Version
+	previous := watcher.readings[domain]
+	reading := &Reading{FabricDomain: domain, Sequence: watcher.sequence, Version: watcher.sequence, Servers: fresh, Unresponsive: unresponsive}
+	if previous != nil && sameReports(previous.Servers, fresh) {
+		reading.Version = previous.Version
 	}
 	watcher.readings[domain] = reading
 }
 
-func sameReports(before, after []Fact) bool {
-	return slices.EqualFunc(before, after, func(a, b Fact) bool {
+func sameReports(previous, current []ServerStatus) bool {
+	return slices.EqualFunc(previous, current, func(a, b ServerStatus) bool {
 		return a.Address == b.Address && SameReport(a.Report, b.Report)
 	})
 }
 
-// SameReport compares two reports but for where in memory they stand.
+// SameReport reports whether two reports are equal. It compares the contents of Members.
 func SameReport(a, b engine.Report) bool {
 	if !slices.Equal(a.Members, b.Members) {
 		return false
@@ -218,7 +218,7 @@
 		a.PrefillPerSecond == b.PrefillPerSecond && a.Concurrency == b.Concurrency && a.Leaving == b.Leaving
 }
 
-func (watcher *Watcher) forget(domain string) {
+func (watcher *Watcher) dropReading(domain string) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	delete(watcher.readings, domain)
@@ -239,7 +239,7 @@
 func (watcher *Watcher) State() WatcherState {
 	state := WatcherState{
 		Reads: watcher.reads.Load(), Misses: watcher.misses.Load(), Probes: watcher.probes.Load(),
-		ProbeSave: watcher.saves.Load(), Fallbacks: watcher.fallbacks.Load(),
+		ProbeSave: watcher.probeSuccesses.Load(), Fallbacks: watcher.fallbacks.Load(),
 	}
 	for _, reading := range watcher.Readings() {
 		state.Domains = append(state.Domains, reading.FabricDomain)
--- a/internal/fleet/replica/former_test.go
+++ b/internal/fleet/replica/controller_test.go
@@ -9,11 +9,10 @@
 	"hazelslip/internal/policy/repair"
 )
 
-// The weight store serves loads in the order in which they come. While it is
-// crowded, a plan that forms several groups put the loads of those that matter
-// less before the next plan's more urgent ones; only the most needed may be
-// formed then, and whatever is retired is retired all the same.
-func TestCrowdedStoreTakesTheMostNeededGroupOnly(t *testing.T) {
+// Guards against urgent loads that queue behind less important ones. The weight store serves loads in order of
+// arrival, so a plan that forms several groups while the store is saturated delays more urgent loads of the next
+// plan. Only the most needed group may be formed then; retirements are not held back.
+func TestSaturatedStoreFormsOnlyMostNeededGroup(t *testing.T) {
 	g := gomega.NewWithT(t)
 	plan := []repair.Action{
 		{Kind: repair.Retire, Number: 1},
@@ -21,10 +20,10 @@
 		{Kind: repair.Form, Model: "later"},
 		{Kind: repair.Retire, Number: 2},
 	}
-	for _, crowded := range []bool{true, false} {
-		former := &Former{StoreCrowded: func(context.Context) bool { return crowded }}
+	for _, saturated := range []bool{true, false} {
+		controller := &Controller{StoreSaturated: func(context.Context) bool { return saturated }}
 		formed, retired := []string{}, 0
-		for _, action := range former.inOrder(context.Background(), plan) {
+		for _, action := range controller.limitForming(context.Background(), plan) {
 			if action.Kind == repair.Form {
 				formed = append(formed, action.Model)
 				continue
@@ -32,7 +31,7 @@
 			retired++
 		}
 		g.Expect(retired).To(gomega.Equal(2))
-		if crowded {
+		if saturated {
 			g.Expect(formed).To(gomega.Equal([]string{"urgent"}))
 			continue
 		}
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -1,15 +1,14 @@
-// Package replica forms replica groups, tells which of them serve, and takes
-// apart those that cannot.
+// Package replica forms groups of backend servers that serve one model replica, determines which groups serve, and
+// retires groups that cannot.
 //
-// A group serves only while the fresh report of each of its members names the
-// group, the same members, and readiness. Nothing else makes a group serve:
-// not a record on the log, not a node that remembers having formed it. A server
-// reports one group at a time, so no server can be in two serving groups, and a
-// stale order costs downtime of one group at most.
+// A group serves only while each member has a fresh report that names the group, the same members and the state
+// ready. Nothing else makes a group serve: neither a record in the log nor a node that remembers having formed the
+// group. A server reports one group at a time, so no server can be in two serving groups, and a stale order causes
+// downtime of at most one group.
 //
 // # Usage
 //
-//	snapshot := replica.Assemble(facts.Snapshot(), now)
+//	snapshot := replica.Assemble(table.Snapshot(), now)
 //	for _, group := range snapshot.Groups {
 //		if group.Serving { ... }
 //	}
@@ -25,11 +24,11 @@
 	"hazelslip/internal/peer/engine"
 )
 
-// StaleAfter is the age at which a member's report no longer counts. It leaves
-// room for one reading, one pull by a peer and one lost try of each.
+// StaleAfter is the age at which a member's report stops counting. It allows for one read by the watcher and one pull
+// by a peer, with one failed attempt of each.
 const StaleAfter = 4 * time.Second
 
-// Group is one replica group as the members' reports show it.
+// Group is a replica group as reported by its members.
 type Group struct {
 	Number       uint64
 	FabricDomain string
@@ -37,14 +36,14 @@
 	Members      []string
 	Leader       string
 	Serving      bool
-	// Draining marks a group with a leaving member: it gets no new work.
+	// Draining is set when a member is leaving; the group then gets no new work.
 	Draining bool
-	// Loading counts the members that load weights.
+	// Loading is the number of members that are loading weights.
 	Loading int
 	// Missing lists the members without a fresh report that names the group.
 	Missing []Missing
-	// Dark marks a group of which no member answers.
-	Dark bool
+	// Unreachable is set when no member that belongs to the group answers.
+	Unreachable bool
 	// Cause says why the group is not serving.
 	Cause            string
 	Running          uint32
@@ -52,44 +51,43 @@
 	TokensPerSecond  uint32
 	PrefillPerSecond uint32
 	Concurrency      uint32
-	// ReadAt is when the leader's report was asked for.
+	// ReadAt is when the leader's report was requested.
 	ReadAt time.Duration
 }
 
-// Missing is one member that a group lacks.
+// Missing is a member of a group that has no fresh report naming the group.
 type Missing struct {
 	Address string
-	// Silent is how long it has not answered; 0 where it answers but is
-	// elsewhere.
-	Silent time.Duration
-	// Elsewhere marks a member that answers and is not in the group.
-	Elsewhere bool
+	// UnresponsiveFor is how long the member has not answered, 0 if it answers but has departed.
+	UnresponsiveFor time.Duration
+	// Departed is set when the member answers but is not in the group as the group's other members report it.
+	Departed bool
 }
 
-// Snapshot is every group and every server outside one. It never changes.
+// Snapshot holds all groups, and the servers that are in none. It is immutable.
 type Snapshot struct {
 	Groups []*Group
-	// Free holds by domain the servers that are idle, fresh and not leaving.
-	Free map[string][]fabric.Fact
-	// Stranded counts by domain the healthy servers outside serving groups.
-	Stranded map[string]int
-	// Violations lists what must never be seen.
+	// Free lists by domain the servers that are idle, have a fresh report and are not leaving.
+	Free map[string][]fabric.ServerStatus
+	// IdleServers is the number of healthy servers outside serving groups, by domain.
+	IdleServers map[string]int
+	// Violations lists broken invariants; it must always be empty.
 	Violations []string
 }
 
-// Open returns the groups that take new work: those that serve, have no leaving
-// member, and are not among the numbers that are about to be retired.
-func (snapshot *Snapshot) Open(retiring []uint64) []*Group {
-	open := []*Group{}
+// AcceptingGroups returns the groups that accept new work: groups that serve, have no leaving member and are not in
+// retiring.
+func (snapshot *Snapshot) AcceptingGroups(retiring []uint64) []*Group {
+	accepting := []*Group{}
 	for _, group := range snapshot.Groups {
 		if group.Serving && !group.Draining && !slices.Contains(retiring, group.Number) {
-			open = append(open, group)
+			accepting = append(accepting, group)
 		}
 	}
-	return open
+	return accepting
 }
 
-// Find returns the group with a number.
+// Find returns the group with the given number.
 func (snapshot *Snapshot) Find(number uint64) (*Group, bool) {
 	for _, group := range snapshot.Groups {
 		if group.Number == number {
@@ -99,38 +97,38 @@
 	return nil, false
 }
 
-// Assemble reads the groups off the members' reports.
-func Assemble(facts *fabric.Snapshot, now time.Duration) *Snapshot {
-	snapshot := &Snapshot{Free: map[string][]fabric.Fact{}, Stranded: map[string]int{}}
-	for _, domain := range facts.DomainNames() {
-		assembleDomain(snapshot, domain, facts.Domains[domain], now)
+// Assemble derives the groups from the reports of their members.
+func Assemble(statuses *fabric.Snapshot, now time.Duration) *Snapshot {
+	snapshot := &Snapshot{Free: map[string][]fabric.ServerStatus{}, IdleServers: map[string]int{}}
+	for _, domain := range statuses.DomainNames() {
+		assembleDomain(snapshot, domain, statuses.Domains[domain], now)
 	}
 	slices.SortFunc(snapshot.Groups, func(a, b *Group) int {
 		return strings.Compare(fmt.Sprintf("%s/%020d", a.FabricDomain, a.Number), fmt.Sprintf("%s/%020d", b.FabricDomain, b.Number))
 	})
-	assertDisjoint(snapshot)
+	checkInvariants(snapshot)
 	return snapshot
 }
 
-func assembleDomain(snapshot *Snapshot, domain string, servers []fabric.Fact, now time.Duration) {
-	byAddress := map[string]*fabric.Fact{}
+func assembleDomain(snapshot *Snapshot, domain string, servers []fabric.ServerStatus, now time.Duration) {
+	byAddress := map[string]*fabric.ServerStatus{}
 	groups := map[uint64]*Group{}
 	for index := range servers {
-		fact := &servers[index]
-		byAddress[fact.Address] = fact
-		if fact.At != 0 && fact.Report.Group != 0 && groups[fact.Report.Group] == nil {
-			groups[fact.Report.Group] = &Group{
-				Number: fact.Report.Group, FabricDomain: domain, Model: fact.Report.Model, Members: fact.Report.Members,
+		server := &servers[index]
+		byAddress[server.Address] = server
+		if server.RequestedAt != 0 && server.Report.Group != 0 && groups[server.Report.Group] == nil {
+			groups[server.Report.Group] = &Group{
+				Number: server.Report.Group, FabricDomain: domain, Model: server.Report.Model, Members: server.Report.Members,
 			}
 		}
-		if healthy(fact, now) && fact.Report.Group == 0 && !fact.Leaving() {
-			snapshot.Free[domain] = append(snapshot.Free[domain], *fact)
+		if healthy(server, now) && server.Report.Group == 0 && !server.Leaving() {
+			snapshot.Free[domain] = append(snapshot.Free[domain], *server)
 		}
 	}
 	serving := 0
 	for _, group := range groups {
-		group.judge(byAddress, now)
-		if group.Dark && group.left() {
+		group.evaluate(byAddress, now)
+		if group.Unreachable && group.superseded() {
 			continue
 		}
 		snapshot.Groups = append(snapshot.Groups, group)
@@ -140,98 +138,101 @@
 	}
 	for index := range servers {
 		if healthy(&servers[index], now) {
-			snapshot.Stranded[domain]++
+			snapshot.IdleServers[domain]++
 		}
 	}
-	snapshot.Stranded[domain] = max(0, snapshot.Stranded[domain]-serving)
+	snapshot.IdleServers[domain] = max(0, snapshot.IdleServers[domain]-serving)
 }
 
-func healthy(fact *fabric.Fact, now time.Duration) bool {
-	return fact.FirstMissed == 0 && fact.Age(now) < StaleAfter
+// healthy reports whether the server answered the last read and has a fresh report.
+func healthy(server *fabric.ServerStatus, now time.Duration) bool {
+	return server.UnresponsiveSince == 0 && server.Age(now) < StaleAfter
 }
 
-// judge decides whether the group serves, and if not, why.
-func (group *Group) judge(servers map[string]*fabric.Fact, now time.Duration) {
+// evaluate determines whether the group serves, and if not, why.
+func (group *Group) evaluate(servers map[string]*fabric.ServerStatus, now time.Duration) {
 	causes := []string{}
-	group.Dark = true
+	group.Unreachable = true
 	for _, address := range group.Members {
-		fact, known := servers[address]
-		missing, cause := group.judgeMember(address, fact, known, now)
+		server, known := servers[address]
+		missing, cause := group.evaluateMember(address, server, known, now)
 		if cause != "" {
 			causes = append(causes, cause)
 		}
 		if missing != nil {
 			group.Missing = append(group.Missing, *missing)
 		}
-		if known && fact.Leaving() {
+		if known && server.Leaving() {
 			group.Draining = true
 		}
-		if known && healthy(fact, now) && fact.Report.Group == group.Number {
-			group.Dark = false
+		if known && healthy(server, now) && server.Report.Group == group.Number {
+			group.Unreachable = false
 		}
 	}
 	if len(group.Members) == 0 {
-		causes = append(causes, "it has no members")
+		causes = append(causes, "the group has no members")
 	} else {
-		group.readLeader(servers[group.Members[0]])
+		group.copyLeaderReport(servers[group.Members[0]])
 	}
 	group.Cause = strings.Join(causes, "; ")
 	group.Serving = len(causes) == 0
 }
 
-// left reports whether a member has moved on. A dark group of which that is
-// true is only the memory of a server that has not answered since.
-func (group *Group) left() bool {
-	return slices.ContainsFunc(group.Missing, func(missing Missing) bool { return missing.Elsewhere })
+// superseded reports whether a member has moved on. An unreachable group with such a member exists only in the last
+// report of a server that has not answered since.
+func (group *Group) superseded() bool {
+	return slices.ContainsFunc(group.Missing, func(missing Missing) bool { return missing.Departed })
 }
 
-func (group *Group) judgeMember(address string, fact *fabric.Fact, known bool, now time.Duration) (*Missing, string) {
+// evaluateMember returns why a member keeps the group from serving, and an entry for Group.Missing if the member has no
+// fresh report naming the group. A member that is loading weights is not missing.
+func (group *Group) evaluateMember(address string, server *fabric.ServerStatus, known bool, now time.Duration) (*Missing, string) {
 	switch {
-	case !known || fact.At == 0:
-		return &Missing{Address: address, Silent: StaleAfter}, fmt.Sprintf("member %s was never read", address)
-	case fact.FirstMissed != 0:
-		silent := now - fact.FirstMissed
-		return &Missing{Address: address, Silent: silent}, fmt.Sprintf("member %s does not answer", address)
-	case fact.Age(now) >= StaleAfter:
-		return &Missing{Address: address, Silent: fact.Age(now)}, fmt.Sprintf("member %s has no fresh report", address)
-	case fact.Report.Group == 0:
-		return &Missing{Address: address, Elsewhere: true}, fmt.Sprintf("member %s is in no group", address)
-	case fact.Report.Group != group.Number:
-		return &Missing{Address: address, Elsewhere: true}, fmt.Sprintf("member %s is in group %d", address, fact.Report.Group)
-	case !slices.Equal(fact.Report.Members, group.Members) || fact.Report.Model != group.Model:
-		return &Missing{Address: address, Elsewhere: true}, fmt.Sprintf("member %s names other members", address)
-	case fact.Report.State != engine.StateReady:
+	case !known || server.RequestedAt == 0:
+		return &Missing{Address: address, UnresponsiveFor: StaleAfter}, fmt.Sprintf("member %s was never read", address)
+	case server.UnresponsiveSince != 0:
+		unresponsive := now - server.UnresponsiveSince
+		return &Missing{Address: address, UnresponsiveFor: unresponsive}, fmt.Sprintf("member %s does not answer", address)
+	case server.Age(now) >= StaleAfter:
+		return &Missing{Address: address, UnresponsiveFor: server.Age(now)}, fmt.Sprintf("member %s has no fresh report", address)
+	case server.Report.Group == 0:
+		return &Missing{Address: address, Departed: true}, fmt.Sprintf("member %s is in no group", address)
+	case server.Report.Group != group.Number:
+		return &Missing{Address: address, Departed: true}, fmt.Sprintf("member %s is in group %d", address, server.Report.Group)
+	case !slices.Equal(server.Report.Members, group.Members) || server.Report.Model != group.Model:
+		return &Missing{Address: address, Departed: true}, fmt.Sprintf("member %s reports other members or another model", address)
+	case server.Report.State != engine.StateReady:
 		group.Loading++
-		return nil, fmt.Sprintf("member %s loads weights", address)
+		return nil, fmt.Sprintf("member %s is loading weights", address)
 	}
 	return nil, ""
 }
 
-func (group *Group) readLeader(fact *fabric.Fact) {
+// copyLeaderReport copies the load of the group from the report of its first member, the leader.
+func (group *Group) copyLeaderReport(server *fabric.ServerStatus) {
 	group.Leader = group.Members[0]
-	if fact == nil {
+	if server == nil {
 		return
 	}
-	group.Running, group.QueuedTokens = fact.Report.Running, fact.Report.QueuedTokens
-	group.TokensPerSecond, group.PrefillPerSecond = fact.Report.TokensPerSecond, fact.Report.PrefillPerSecond
-	group.Concurrency, group.ReadAt = fact.Report.Concurrency, fact.At
+	group.Running, group.QueuedTokens = server.Report.Running, server.Report.QueuedTokens
+	group.TokensPerSecond, group.PrefillPerSecond = server.Report.TokensPerSecond, server.Report.PrefillPerSecond
+	group.Concurrency, group.ReadAt = server.Report.Concurrency, server.RequestedAt
 }
 
-// assertDisjoint checks the promise that no server is in two serving groups
-// and that none serves with a member missing. It holds by construction; the
-// check stands guard over the construction.
-func assertDisjoint(snapshot *Snapshot) {
+// checkInvariants verifies that no server is in two serving groups and that no group serves with a member missing.
+// Assemble guarantees both; the check detects errors in Assemble.
+func checkInvariants(snapshot *Snapshot) {
 	owner := map[string]uint64{}
 	for _, group := range snapshot.Groups {
 		if !group.Serving {
 			continue
 		}
 		if len(group.Missing) > 0 {
-			snapshot.Violations = append(snapshot.Violations, fmt.Sprintf("group %d serves with a member missing", group.Number))
+			snapshot.Violations = append(snapshot.Violations, fmt.Sprintf("group %d serves although it lacks a member", group.Number))
 		}
 		for _, member := range group.Members {
 			if other, taken := owner[member]; taken {
-				snapshot.Violations = append(snapshot.Violations, fmt.Sprintf("server %s is in groups %d and %d", member, other, group.Number))
+				snapshot.Violations = append(snapshot.Violations, fmt.Sprintf("server %s is in two serving groups, %d and %d", member, other, group.Number))
 			}
 			owner[member] = group.Number
 		}
--- a/internal/run/node/answer.go
+++ b/internal/run/node/answer.go
@@ -99,7 +99,7 @@
 func (node *Node) summaries() []*exchange.GroupSummary {
 	now := node.now()
 	summaries := []*exchange.GroupSummary{}
-	for _, group := range node.groups.Load().Open(node.draining(now)) {
+	for _, group := range node.groups.Load().AcceptingGroups(node.draining(now)) {
 		summaries = append(summaries, &exchange.GroupSummary{
 			Number: group.Number, Model: group.Model, Leader: group.Leader, Running: group.Running,
 			QueuedTokens: group.QueuedTokens, TokensPerSecond: group.TokensPerSecond,
--- a/internal/run/node/exchange.go
+++ b/internal/run/node/exchange.go
@@ -164,14 +164,14 @@
 	if !ok {
 		return
 	}
-	facts := make([]fabric.Fact, 0, len(reports))
+	facts := make([]fabric.ServerStatus, 0, len(reports))
 	for index, read := range reports {
 		age := time.Duration(ages[index]) * time.Millisecond
-		facts = append(facts, fabric.Fact{FabricDomain: report.FabricDomain, Address: read.Address, Report: read, At: sent - age})
+		facts = append(facts, fabric.ServerStatus{FabricDomain: report.FabricDomain, Address: read.Address, Report: read, RequestedAt: sent - age})
 	}
-	exchanger.node.facts.Put(report.FabricDomain, facts)
+	exchanger.node.facts.Merge(report.FabricDomain, facts)
 	for _, address := range report.Missed {
-		exchanger.node.facts.Missed(address, sent)
+		exchanger.node.facts.MarkUnresponsive(address, sent)
 	}
 }
 
--- a/internal/run/node/lists.go
+++ b/internal/run/node/lists.go
@@ -143,7 +143,7 @@
 			services[instance.Service] = append(services[instance.Service], instance)
 		}
 	}
-	reader.node.facts.List(engines)
+	reader.node.facts.UpdateListed(engines)
 	reader.services.Store(&services)
 	reader.learn(instances)
 }
--- a/internal/run/node/node.go
+++ b/internal/run/node/node.go
@@ -86,10 +86,10 @@
 	peers     *peer.Client
 	server    *peer.Server
 	members   *member.Table
-	facts     *fabric.Facts
+	facts     *fabric.StatusTable
 	watcher   *fabric.Watcher
-	former    *replica.Former
-	tally     *replica.Tally
+	former    *replica.Controller
+	tally     *replica.AvailabilityMeter
 	groups    atomic.Pointer[replica.Snapshot]
 	router    *route.Router
 	gate      *admission.Gate
@@ -299,16 +299,16 @@
 
 func (node *Node) buildFleet() {
 	node.facts = fabric.New(node.now)
-	node.tally = replica.NewTally(node.now())
+	node.tally = replica.NewAvailabilityMeter(node.now())
 	node.groups.Store(replica.Assemble(node.facts.Snapshot(), node.now()))
 	node.watcher = fabric.NewWatcher(node.facts, node.members.Mine, node.engines.Report, node.probe)
-	node.former = &replica.Former{
-		Incarnation: node.Incarnation, Snapshot: node.groups.Load, Facts: node.facts.Snapshot,
-		Mine: node.mayForm, Models: node.models, Order: node.engines.Order, Right: node.right,
-		StoreCrowded: node.storeCrowded,
-		Record:       node.recordGroup, Now: node.now, Random: node.random.intN, Logger: node.logger,
-		Grace:    time.Duration(node.settings.Engines.GraceSeconds) * time.Second,
-		Stranded: node.settings.Prices.StrandedInstance,
+	node.former = &replica.Controller{
+		Incarnation: node.Incarnation, Snapshot: node.groups.Load, Servers: node.facts.Snapshot,
+		Owns: node.mayForm, Models: node.models, SendOrder: node.engines.Order, AuthorizeOrders: node.right,
+		StoreSaturated: node.storeCrowded,
+		Record:         node.recordGroup, Now: node.now, Random: node.random.intN, Logger: node.logger,
+		Grace:     time.Duration(node.settings.Engines.GraceSeconds) * time.Second,
+		IdlePrice: node.settings.Prices.StrandedInstance,
 	}
 }
 
--- a/internal/run/node/state.go
+++ b/internal/run/node/state.go
@@ -33,8 +33,8 @@
 	Leases      lease.State
 	Bookings    booking.State
 	Watcher     fabric.WatcherState
-	Former      replica.FormerState
-	Tally       replica.TallyState
+	Former      replica.ControllerState
+	Tally       replica.AvailabilityState
 	Groups      []operator.GroupLine
 	Routes      []route.GroupState
 	Admission   []admission.ClassState
@@ -108,7 +108,7 @@
 			Number: group.Number, FabricDomain: group.FabricDomain, Model: group.Model, Members: group.Members,
 			Serving: group.Serving, Draining: group.Draining, Running: group.Running, Cause: group.Cause,
 		}
-		line.WaitsFor = node.former.Waiting(group.FabricDomain, group.Number)
+		line.WaitsFor = node.former.WaitCause(group.FabricDomain, group.Number)
 		lines = append(lines, line)
 	}
 	return lines
@@ -141,7 +141,7 @@
 			now = "not serving: " + group.Cause
 		}
 		explanation.Lines = append(explanation.Lines, now)
-		if waits := node.former.Waiting(group.FabricDomain, number); waits != "" {
+		if waits := node.former.WaitCause(group.FabricDomain, number); waits != "" {
 			explanation.Lines = append(explanation.Lines, "waiting: "+waits)
 		}
 	}
--- a/internal/run/node/view.go
+++ b/internal/run/node/view.go
@@ -55,7 +55,7 @@
 func (node *Node) targets(snapshot *replica.Snapshot, now time.Duration) []route.Target {
 	targets := []route.Target{}
 	sent := node.exchange.sentByPeers(now)
-	for _, group := range snapshot.Open(node.draining(now)) {
+	for _, group := range snapshot.AcceptingGroups(node.draining(now)) {
 		targets = append(targets, route.Target{
 			Number: group.Number, Model: group.Model, Leader: group.Leader, DataCentre: node.settings.DataCentre,
 			Running: group.Running, QueuedTokens: group.QueuedTokens, TokensPerSecond: group.TokensPerSecond,
--- a/internal/run/node/wire.go
+++ b/internal/run/node/wire.go
@@ -34,16 +34,16 @@
 // domainReport is what a peer needs to know of a reading, given what it holds.
 func domainReport(reading *fabric.Reading, held *exchange.DomainVersion, watcher uint64, now time.Duration) *exchange.DomainReport {
 	report := &exchange.DomainReport{
-		FabricDomain: reading.FabricDomain, Watcher: watcher, Sequence: reading.Version, Missed: reading.Missed,
+		FabricDomain: reading.FabricDomain, Watcher: watcher, Sequence: reading.Version, Missed: reading.Unresponsive,
 	}
 	report.Same = held != nil && held.Watcher == watcher && held.Sequence == reading.Version
-	for index := range reading.Facts {
-		fact := &reading.Facts[index]
+	for index := range reading.Servers {
+		fact := &reading.Servers[index]
 		if report.Same {
-			report.Ages = append(report.Ages, milliseconds(now-fact.At))
+			report.Ages = append(report.Ages, milliseconds(now-fact.RequestedAt))
 			continue
 		}
-		report.Reports = append(report.Reports, toWire(fact.Report, now-fact.At))
+		report.Reports = append(report.Reports, toWire(fact.Report, now-fact.RequestedAt))
 	}
 	return report
 }
