--- a/internal/fleet/catalogue/catalogue.go
+++ b/internal/fleet/catalogue/catalogue.go
@@ -1,21 +1,19 @@
-// Package catalogue is what a node needs to know of backend servers in order to
-// send them calls, and no more: the heads of groups that serve, and the plain
-// servers.
+// Package catalogue holds what a node needs to know about backend servers to send calls to them: the heads of serving
+// groups, and the plain servers.
 //
-// A relay works the catalogue out from the registry and the news of groups, and
-// tells its leaves what changes in it. Each row has a number, so that the loads of
-// all rows are two short arrays. A leaf then spends on a fleet what its groups
-// change, some times a second, in place of what every server writes to the registry.
+// A relay derives the catalogue from the registry and the announcements of groups, and sends changes to its leaves.
+// Each row has an index, so the loads of all rows can be encoded as two short arrays. The cost of a leaf then depends
+// on how often groups change, a few times a second, and not on how often every server writes to the registry.
 //
-// Catalogue is the relay's side, Copy the leaf's. Deltas reach a copy in order, or
-// not at all: a copy that missed one is given everything.
+// The relay has a Catalogue, the leaf a Replica. Deltas must reach a replica in order and without gaps; a replica
+// that missed a delta gets a full one.
 //
 // # Usage
 //
 //	catalogue := catalogue.New()
 //	catalogue.Publish(rows)
-//	delta := catalogue.Since(told)
-//	copied.Apply(delta)
+//	delta := catalogue.Since(version)
+//	replica.Apply(delta)
 package catalogue
 
 import (
@@ -23,11 +21,11 @@
 	"sync"
 )
 
-// Row is a server that takes calls.
+// Row is a server that accepts calls: a plain server, or the head of a group.
 type Row struct {
-	// Server is its ID, the head's for a group.
+	// Server is the server's ID; for a group, the ID of its head.
 	Server string
-	// Born tells one run of the server's process from the next.
+	// Born distinguishes runs of the server's process.
 	Born       int64
 	Address    string
 	DataCentre string
@@ -36,91 +34,90 @@
 	Group string
 	Model string
 	Slots int
-	// Cold says that the server bears few requests as yet.
+	// Cold is set while the server can handle only few requests.
 	Cold bool
 }
 
-// key is what makes two rows the same place: what else is said of it may change.
-type key struct {
+// rowKey identifies a row. The other fields of a row may change while it keeps its index.
+type rowKey struct {
 	server, group string
 	born          int64
 }
 
-func (row *Row) key() key {
-	return key{server: row.Server, group: row.Group, born: row.Born}
+func (row *Row) key() rowKey {
+	return rowKey{server: row.Server, group: row.Group, born: row.Born}
 }
 
-// Numbered is a row with its number.
-type Numbered struct {
-	Number int
-	Row    Row
+// IndexedRow is a row with its index.
+type IndexedRow struct {
+	Index int
+	Row   Row
 }
 
-// Delta is what changed in a catalogue.
+// Delta is a change of a catalogue.
 type Delta struct {
-	// Version is the catalogue's after the change.
+	// Version is the version of the catalogue after the change.
 	Version uint64
-	// Whole says that Rows are all that there are.
-	Whole   bool
-	Rows    []Numbered
+	// Full is set when Rows contains all rows of the catalogue.
+	Full    bool
+	Rows    []IndexedRow
 	Removed []int
-	// Lost are groups that lost a member.
+	// Lost lists the groups that lost a member.
 	Lost []string
 }
 
-// Empty says whether nothing changed.
+// Empty reports whether the delta contains no change.
 func (delta *Delta) Empty() bool {
-	return !delta.Whole && len(delta.Rows) == 0 && len(delta.Removed) == 0 && len(delta.Lost) == 0
+	return !delta.Full && len(delta.Rows) == 0 && len(delta.Removed) == 0 && len(delta.Lost) == 0
 }
 
-// lostKept is how many lost groups are remembered for those who are yet to be told:
-// more than a fleet loses between two frames.
-const lostKept = 256
+// maxLostGroups is how many lost groups are kept for leaves that have not received them yet. A fleet loses fewer
+// between two frames.
+const maxLostGroups = 256
 
-// Catalogue is the rows as of now, with the version at which each changed.
+// Catalogue holds the current rows, each with the version at which it last changed.
 type Catalogue struct {
-	mu      sync.Mutex
-	version uint64
-	slots   []slot
-	numbers map[key]int
-	free    []int
-	lost    []loss
+	mu          sync.Mutex
+	version     uint64
+	entries     []entry
+	indexes     map[rowKey]int
+	freeIndexes []int
+	lost        []lostGroup
 }
 
-type slot struct {
-	row     Row
-	used    bool
-	changed uint64
+type entry struct {
+	row       Row
+	used      bool
+	changedIn uint64
 }
 
-type loss struct {
+type lostGroup struct {
 	group   string
 	version uint64
 }
 
 // New returns an empty catalogue.
 func New() *Catalogue {
-	return &Catalogue{numbers: map[key]int{}}
+	return &Catalogue{indexes: map[rowKey]int{}}
 }
 
-// Publish replaces the rows and says whether anything changed. A row keeps its
-// number for as long as it is there.
+// Publish replaces the rows and reports whether anything changed. A row keeps its index for as long as it exists.
 func (catalogue *Catalogue) Publish(rows []Row) bool {
 	catalogue.mu.Lock()
 	defer catalogue.mu.Unlock()
 	next := catalogue.version + 1
 	changed := false
-	kept := make(map[key]bool, len(rows))
-	for number := range rows {
-		row := &rows[number]
-		kept[row.key()] = true
-		changed = catalogue.put(row, next) || changed
+	present := make(map[rowKey]bool, len(rows))
+	for index := range rows {
+		row := &rows[index]
+		present[row.key()] = true
+		changed = catalogue.setRow(row, next) || changed
 	}
-	for key, number := range catalogue.numbers {
-		if !kept[key] {
-			delete(catalogue.numbers, key)
-			catalogue.slots[number] = slot{changed: next}
-			catalogue.free = append(catalogue.free, number)
+	for key, index := range catalogue.indexes {
+		if !present[key] {
+			delete(catalogue.indexes, key)
+			catalogue.entries[index] = entry{changedIn: next}
+			catalogue.freeIndexes = append(catalogue.freeIndexes, index)
 			changed = true
 		}
 	}
@@ -130,149 +127,147 @@
 	return changed
 }
 
-func (catalogue *Catalogue) put(row *Row, version uint64) bool {
-	number, known := catalogue.numbers[row.key()]
-	if known && catalogue.slots[number].row == *row {
+func (catalogue *Catalogue) setRow(row *Row, version uint64) bool {
+	index, known := catalogue.indexes[row.key()]
+	if known && catalogue.entries[index].row == *row {
 		return false
 	}
 	if !known {
-		number = catalogue.number()
-		catalogue.numbers[row.key()] = number
+		index = catalogue.allocateIndex()
+		catalogue.indexes[row.key()] = index
 	}
-	catalogue.slots[number] = slot{row: *row, used: true, changed: version}
+	catalogue.entries[index] = entry{row: *row, used: true, changedIn: version}
 	return true
 }
 
-// number returns the number of a slot that nothing is in.
-func (catalogue *Catalogue) number() int {
-	if count := len(catalogue.free); count > 0 {
-		number := catalogue.free[count-1]
-		catalogue.free = catalogue.free[:count-1]
-		return number
+// allocateIndex returns the index of an unused entry.
+func (catalogue *Catalogue) allocateIndex() int {
+	if count := len(catalogue.freeIndexes); count > 0 {
+		index := catalogue.freeIndexes[count-1]
+		catalogue.freeIndexes = catalogue.freeIndexes[:count-1]
+		return index
 	}
-	catalogue.slots = append(catalogue.slots, slot{})
-	return len(catalogue.slots) - 1
+	catalogue.entries = append(catalogue.entries, entry{})
+	return len(catalogue.entries) - 1
 }
 
-// Lose notes that a group lost a member, whether or not it still has a row: one
-// that finishes its calls has none.
-func (catalogue *Catalogue) Lose(group string) {
+// MarkLost records that a group lost a member. The group need not have a row: a group that is finishing its calls has
+// none.
+func (catalogue *Catalogue) MarkLost(group string) {
 	catalogue.mu.Lock()
 	defer catalogue.mu.Unlock()
 	catalogue.version++
-	catalogue.lost = append(catalogue.lost, loss{group: group, version: catalogue.version})
-	if len(catalogue.lost) > lostKept {
-		catalogue.lost = slices.Delete(catalogue.lost, 0, len(catalogue.lost)-lostKept)
+	catalogue.lost = append(catalogue.lost, lostGroup{group: group, version: catalogue.version})
+	if len(catalogue.lost) > maxLostGroups {
+		catalogue.lost = slices.Delete(catalogue.lost, 0, len(catalogue.lost)-maxLostGroups)
 	}
 }
 
-// Version returns the catalogue's version.
+// Version returns the current version.
 func (catalogue *Catalogue) Version() uint64 {
 	catalogue.mu.Lock()
 	defer catalogue.mu.Unlock()
 	return catalogue.version
 }
 
-// Since returns what changed after a version; version 0 stands for knowing nothing.
+// Since returns the changes after a version. Version 0 returns a full delta.
 func (catalogue *Catalogue) Since(version uint64) Delta {
 	catalogue.mu.Lock()
 	defer catalogue.mu.Unlock()
-	delta := Delta{Version: catalogue.version, Whole: version == 0}
-	for number := range catalogue.slots {
-		slot := &catalogue.slots[number]
+	delta := Delta{Version: catalogue.version, Full: version == 0}
+	for index := range catalogue.entries {
+		entry := &catalogue.entries[index]
 		switch {
-		case slot.used && slot.changed > version:
-			delta.Rows = append(delta.Rows, Numbered{Number: number, Row: slot.row})
-		case !slot.used && slot.changed > version && !delta.Whole:
-			delta.Removed = append(delta.Removed, number)
+		case entry.used && entry.changedIn > version:
+			delta.Rows = append(delta.Rows, IndexedRow{Index: index, Row: entry.row})
+		case !entry.used && entry.changedIn > version && !delta.Full:
+			delta.Removed = append(delta.Removed, index)
 		}
 	}
-	for _, loss := range catalogue.lost {
-		if loss.version > version && !delta.Whole {
-			delta.Lost = append(delta.Lost, loss.group)
+	for _, lost := range catalogue.lost {
+		if lost.version > version && !delta.Full {
+			delta.Lost = append(delta.Lost, lost.group)
 		}
 	}
 	return delta
 }
 
-// Servers returns the server of each number, empty where a slot has no row.
+// Servers returns the server ID at each index, empty for an unused entry.
 func (catalogue *Catalogue) Servers() []string {
 	catalogue.mu.Lock()
 	defer catalogue.mu.Unlock()
-	servers := make([]string, len(catalogue.slots))
-	for number := range catalogue.slots {
-		servers[number] = catalogue.slots[number].row.Server
+	servers := make([]string, len(catalogue.entries))
+	for index := range catalogue.entries {
+		servers[index] = catalogue.entries[index].row.Server
 	}
 	return servers
 }
 
-// Copy is a leaf's side of a catalogue. It isn't safe for use from more than one
-// goroutine at once.
-type Copy struct {
-	slots []slot
-	// servers are those of the slots, nil since a delta came.
+// Replica is a leaf's copy of a catalogue. It is not safe for concurrent use.
+type Replica struct {
+	entries []entry
+	// servers caches the result of Servers; a delta resets it to nil.
 	servers []string
 }
 
-// NewCopy returns a copy that knows nothing.
-func NewCopy() *Copy {
-	return &Copy{}
+// NewReplica returns an empty replica.
+func NewReplica() *Replica {
+	return &Replica{}
 }
 
-// Apply takes a delta.
-func (copied *Copy) Apply(delta Delta) {
-	copied.servers = nil
-	if delta.Whole {
-		copied.slots = nil
+// Apply applies a delta.
+func (replica *Replica) Apply(delta Delta) {
+	replica.servers = nil
+	if delta.Full {
+		replica.entries = nil
 	}
-	for _, number := range delta.Removed {
-		if number < len(copied.slots) {
-			copied.slots[number] = slot{}
+	for _, index := range delta.Removed {
+		if index < len(replica.entries) {
+			replica.entries[index] = entry{}
 		}
 	}
-	for _, numbered := range delta.Rows {
-		if numbered.Number > slotsMost {
+	for _, indexed := range delta.Rows {
+		if indexed.Index > maxIndex {
 			continue
 		}
-		for len(copied.slots) <= numbered.Number {
-			copied.slots = append(copied.slots, slot{})
+		for len(replica.entries) <= indexed.Index {
+			replica.entries = append(replica.entries, entry{})
 		}
-		copied.slots[numbered.Number] = slot{row: numbered.Row, used: true}
+		replica.entries[indexed.Index] = entry{row: indexed.Row, used: true}
 	}
 }
 
-// slotsMost bounds the numbers that are taken: a frame that isn't a catalogue's must
-// not make a node take memory without limit.
-const slotsMost = 1 << 20
+// maxIndex bounds accepted indexes, so that a malformed frame cannot make a node allocate unlimited memory.
+const maxIndex = 1 << 20
 
-// Rows returns the rows in the order of their numbers.
-func (copied *Copy) Rows() []Numbered {
-	rows := make([]Numbered, 0, len(copied.slots))
-	for number := range copied.slots {
-		if slot := &copied.slots[number]; slot.used {
-			rows = append(rows, Numbered{Number: number, Row: slot.row})
+// Rows returns the rows in order of their indexes.
+func (replica *Replica) Rows() []IndexedRow {
+	rows := make([]IndexedRow, 0, len(replica.entries))
+	for index := range replica.entries {
+		if entry := &replica.entries[index]; entry.used {
+			rows = append(rows, IndexedRow{Index: index, Row: entry.row})
 		}
 	}
 	return rows
 }
 
-// Servers returns the server of each number, empty where a slot has no row.
-func (copied *Copy) Servers() []string {
-	if copied.servers != nil {
-		return copied.servers
+// Servers returns the server ID at each index, empty for an unused entry.
+func (replica *Replica) Servers() []string {
+	if replica.servers != nil {
+		return replica.servers
 	}
-	servers := make([]string, len(copied.slots))
-	for number := range copied.slots {
-		servers[number] = copied.slots[number].row.Server
+	servers := make([]string, len(replica.entries))
+	for index := range replica.entries {
+		servers[index] = replica.entries[index].row.Server
 	}
-	copied.servers = servers
+	replica.servers = servers
 	return servers
 }
 
-// Server returns the server of a number, empty where there is no such row.
-func (copied *Copy) Server(number int) string {
-	if number < 0 || number >= len(copied.slots) {
+// Server returns the server ID at an index, empty if there is no such row.
+func (replica *Replica) Server(index int) string {
+	if index < 0 || index >= len(replica.entries) {
 		return ""
 	}
-	return copied.slots[number].row.Server
+	return replica.entries[index].row.Server
 }
--- a/internal/fleet/catalogue/catalogue_test.go
+++ b/internal/fleet/catalogue/catalogue_test.go
@@ -15,12 +15,12 @@
 	return catalogue.Row{Server: server, Group: group, Address: server + ":1", Slots: 8}
 }
 
-// A leaf that is told deltas, from whatever version it has, must come to the rows
-// that its relay has: else it sends calls to groups that are gone.
-func TestCopiesFollowTheCatalogue(t *testing.T) {
+// Guards against a leaf that sends calls to groups that no longer exist. Whatever version a leaf has, the deltas must
+// bring it to the rows of its relay.
+func TestReplicasFollowCatalogue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		published, copied := catalogue.New(), catalogue.NewCopy()
-		told := uint64(0)
+		published, replica := catalogue.New(), catalogue.NewReplica()
+		version := uint64(0)
 		rows := []catalogue.Row{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
@@ -31,37 +31,37 @@
 				}
 				published.Publish(rows)
 			case 2:
-				delta := published.Since(told)
-				copied.Apply(delta)
-				told = delta.Version
+				delta := published.Since(version)
+				replica.Apply(delta)
+				version = delta.Version
 			case 3:
 				// The leaf attaches to another relay.
-				told, copied = 0, catalogue.NewCopy()
+				version, replica = 0, catalogue.NewReplica()
 			}
 		}
-		copied.Apply(published.Since(told))
+		replica.Apply(published.Since(version))
 		servers := published.Servers()
-		held := []catalogue.Row{}
-		for _, numbered := range copied.Rows() {
-			held = append(held, numbered.Row)
+		copied := []catalogue.Row{}
+		for _, indexed := range replica.Rows() {
+			copied = append(copied, indexed.Row)
 		}
-		if len(held) != len(rows) {
-			t.Fatalf("%d rows in place of %d", len(held), len(rows))
+		if len(copied) != len(rows) {
+			t.Fatalf("replica has %d rows, want %d", len(copied), len(rows))
 		}
 		for _, want := range rows {
-			if !slices.Contains(held, want) {
-				t.Fatalf("%v is missing", want)
+			if !slices.Contains(copied, want) {
+				t.Fatalf("replica lacks row %v", want)
 			}
 		}
-		for number, server := range servers {
-			if copied.Server(number) != server {
-				t.Fatalf("row %d is %s, not %s", number, copied.Server(number), server)
+		for index, server := range servers {
+			if replica.Server(index) != server {
+				t.Fatalf("row %d is server %s, want %s", index, replica.Server(index), server)
 			}
 		}
 	})
 }
 
-func TestUnchangedRowsAreNotToldAgain(t *testing.T) {
+func TestUnchangedRowsAreNotSentAgain(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	published := catalogue.New()
 	expect.Expect(published.Publish([]catalogue.Row{row("a", "g1"), row("b", "g2")})).To(gomega.BeTrue())
@@ -75,15 +75,15 @@
 	expect.Expect(delta.Removed).To(gomega.HaveLen(1))
 }
 
-// A group first finishes what it has, so that it has no row, and then loses a
-// member: the leaves must still be told, or their streams wait there in vain.
-func TestLossOfAGroupWithoutARowIsTold(t *testing.T) {
+// Guards against streams that wait forever for a lost group. A group that finishes its calls has no row; when it then
+// loses a member, the leaves must still learn of the loss.
+func TestLossOfGroupWithoutRowIsSent(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	published := catalogue.New()
 	published.Publish([]catalogue.Row{row("a", "g1")})
 	published.Publish(nil)
 	version := published.Since(0).Version
-	published.Lose("g1")
+	published.MarkLost("g1")
 	expect.Expect(published.Since(version).Lost).To(gomega.Equal([]string{"g1"}))
 	expect.Expect(published.Since(published.Since(version).Version).Lost).To(gomega.BeEmpty())
 }
--- a/internal/fleet/drain/drain.go
+++ b/internal/fleet/drain/drain.go
@@ -1,22 +1,22 @@
-// Package drain keeps which data centres the operator has drained: no new call is sent to
-// the backend servers there until the drain is taken back.
+// Package drain tracks which data centres the operator has drained. No new call is sent to the backend servers of a
+// drained data centre until the operator ends the drain.
 //
-// A drain is a record in the operator's log, and so is its end; of two records for a data
-// centre the later one holds. One node reads the log, the others are told, and any node may
-// hear of the same record by several ways.
+// The start and the end of a drain are records in the operator's log; the later record of a data centre applies. One
+// node reads the log and the others receive the records from their peers, so a node may receive the same record
+// several times.
 //
-// The store may come back from an older copy, which begins an era. A drain that the copy
-// doesn't show is kept until the operator has had the time to write it again. A drain that
-// the copy shows and that had been taken back holds until its end is written again.
+// The store may be restored from an older backup, which begins a new era (restore generation). A drain that the
+// backup lacks is kept until the operator has had time to write it again. A drain that the backup contains, although
+// it had ended, applies until its end is written again.
 //
-// Servers of a data centre may come out of a drain cold, so each Mark tells when it ended.
+// The servers of a data centre may be cold after a drain, so each Status records when the drain ended.
 //
 // # Usage
 //
 //	table := drain.New(drain.Clock(clock.Boot))
-//	changes := table.Read(drain.Reading{Records: records, End: end, Whole: true, At: at})
-//	mark := table.Mark("centre-1")
-//	if mark.Drained() { ... }
+//	changes := table.ApplyLog(drain.Update{Records: records, End: end, Complete: true, ReadAt: readAt})
+//	status := table.Status("centre-1")
+//	if status.Drained() { ... }
 package drain
 
 import (
@@ -32,56 +32,56 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// Record says that a data centre was drained, or that this was taken back.
+// Record is the start or the end of the drain of a data centre.
 type Record struct {
 	DataCentre string
-	// Position is the record's place in the operator's log.
+	// Position is the record's position in the operator's log.
 	Position storelog.Position
 	Drained  bool
 }
 
-// Reading is what was read of the operator's log at one time.
-type Reading struct {
+// Update is the result of one read of the operator's log.
+type Update struct {
 	Records []Record
-	// End is the position up to which they are all that changed.
+	// End is the position up to which Records contains all changes.
 	End storelog.Position
-	// Whole says that the records are all drains in force.
-	Whole bool
-	// At is when the store answered.
-	At time.Duration
+	// Complete is set when Records contains all active drains.
+	Complete bool
+	// ReadAt is when the store responded.
+	ReadAt time.Duration
 }
 
-// Mark is the drain of one data centre. The zero value is a data centre that was never drained.
-type Mark struct {
+// Status is the drain status of one data centre. The zero value means that the data centre was never drained.
+type Status struct {
 	drained atomic.Bool
-	// endedAt is when the end of the last drain was heard of, 0 for none.
+	// endedAt is when this node learned of the end of the last drain, 0 for none.
 	endedAt atomic.Int64
 }
 
-// Drained says whether the data centre takes no new calls.
-func (mark *Mark) Drained() bool {
-	return mark.drained.Load()
+// Drained reports whether the data centre gets no new calls.
+func (status *Status) Drained() bool {
+	return status.drained.Load()
 }
 
-// EndedWithin says whether the end of a drain was heard of within a span before now.
-func (mark *Mark) EndedWithin(span, now time.Duration) bool {
-	ended := time.Duration(mark.endedAt.Load())
+// EndedWithin reports whether this node learned of the end of a drain less than span before now.
+func (status *Status) EndedWithin(span, now time.Duration) bool {
+	ended := time.Duration(status.endedAt.Load())
 	return ended > 0 && now-ended < span
 }
 
-// Table is what is known of all data centres.
+// Table holds the drain status of all data centres.
 type Table struct {
 	now clock.Now
 
-	mu      sync.Mutex
-	records map[string]Record
-	marks   map[string]*Mark
-	// era is the latest in which the log was read, beganAt when it was first read in that.
-	era     int64
-	beganAt time.Duration
+	mu       sync.Mutex
+	records  map[string]Record
+	statuses map[string]*Status
+	// era is the latest era in which the log was read, eraStartedAt the time of the first read in that era.
+	era          int64
+	eraStartedAt time.Duration
 }
 
-// Option changes how a Table is built.
+// Option configures a Table.
 type Option func(*Table)
 
 // Clock sets the clock.
@@ -89,92 +89,92 @@
 	return func(table *Table) { table.now = now }
 }
 
-// New returns a table of no drains.
+// New returns a table without drains.
 func New(options ...Option) *Table {
-	table := &Table{now: clock.Boot, records: map[string]Record{}, marks: map[string]*Mark{}, era: -1}
+	table := &Table{now: clock.Boot, records: map[string]Record{}, statuses: map[string]*Status{}, era: -1}
 	for _, option := range options {
 		option(table)
 	}
 	return table
 }
 
-// Mark returns the mark of a data centre, the same one each time.
-func (table *Table) Mark(dataCentre string) *Mark {
+// Status returns the status of a data centre. It returns the same pointer on each call.
+func (table *Table) Status(dataCentre string) *Status {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	return table.markLocked(dataCentre)
+	return table.statusLocked(dataCentre)
 }
 
-func (table *Table) markLocked(dataCentre string) *Mark {
-	held, known := table.marks[dataCentre]
+func (table *Table) statusLocked(dataCentre string) *Status {
+	status, known := table.statuses[dataCentre]
 	if !known {
-		held = &Mark{}
-		table.marks[dataCentre] = held
+		status = &Status{}
+		table.statuses[dataCentre] = status
 	}
-	return held
+	return status
 }
 
-// Read takes what this node read of the log, and returns the data centres whose drain began
-// or ended by it.
-func (table *Table) Read(reading Reading) []Record {
+// ApplyLog applies a read of the log by this node, and returns the records that started or ended a drain.
+func (table *Table) ApplyLog(update Update) []Record {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	if reading.End.Era > table.era {
-		table.era, table.beganAt = reading.End.Era, reading.At
+	if update.End.Era > table.era {
+		table.era, table.eraStartedAt = update.End.Era, update.ReadAt
 	}
-	changes := table.takeLocked(reading.Records)
-	return append(changes, table.takeLocked(table.goneLocked(&reading))...)
-}
-
-// goneLocked returns the ends of drains that a reading shows to be over by not naming them.
-func (table *Table) goneLocked(reading *Reading) []Record {
-	settled := reading.At-table.beganAt >= roster.ReappearWithin
-	gone := []Record{}
-	for _, held := range table.records {
-		named := slices.ContainsFunc(reading.Records, func(record Record) bool { return record.DataCentre == held.DataCentre })
-		older := storelog.Compare(held.Position, reading.End) < 0
-		if !held.Drained || named || !older {
+	changes := table.mergeLocked(update.Records)
+	return append(changes, table.mergeLocked(table.absentLocked(&update))...)
+}
+
+// absentLocked returns records that end the drains which are missing from the update and are over. In the update's
+// own era a drain is over when a complete update lacks it; a drain from an earlier era is over when it was not
+// written again within roster.ReregistrationTime.
+func (table *Table) absentLocked(update *Update) []Record {
+	rewriteTimeOver := update.ReadAt-table.eraStartedAt >= roster.ReregistrationTime
+	ended := []Record{}
+	for _, existing := range table.records {
+		listed := slices.ContainsFunc(update.Records, func(record Record) bool { return record.DataCentre == existing.DataCentre })
+		older := storelog.Compare(existing.Position, update.End) < 0
+		if !existing.Drained || listed || !older {
 			continue
 		}
-		former := held.Position.Era < reading.End.Era
-		if (former && settled) || (!former && reading.Whole) {
-			end := storelog.Position{Era: reading.End.Era, Offset: reading.End.Offset - 1}
-			gone = append(gone, Record{DataCentre: held.DataCentre, Position: end})
+		earlierEra := existing.Position.Era < update.End.Era
+		if (earlierEra && rewriteTimeOver) || (!earlierEra && update.Complete) {
+			end := storelog.Position{Era: update.End.Era, Offset: update.End.Offset - 1}
+			ended = append(ended, Record{DataCentre: existing.DataCentre, Position: end})
 		}
 	}
-	return gone
+	return ended
 }
 
-// Told takes records that another node knows, and returns the data centres whose drain began
-// or ended by them.
-func (table *Table) Told(records []Record) []Record {
+// Merge applies records from another node, and returns the records that started or ended a drain.
+func (table *Table) Merge(records []Record) []Record {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	return table.takeLocked(records)
+	return table.mergeLocked(records)
 }
 
-func (table *Table) takeLocked(records []Record) []Record {
+func (table *Table) mergeLocked(records []Record) []Record {
 	changes := []Record{}
 	for _, record := range records {
-		held, known := table.records[record.DataCentre]
-		if known && storelog.Compare(record.Position, held.Position) <= 0 {
+		existing, known := table.records[record.DataCentre]
+		if known && storelog.Compare(record.Position, existing.Position) <= 0 {
 			continue
 		}
 		table.records[record.DataCentre] = record
-		if known && held.Drained == record.Drained {
+		if known && existing.Drained == record.Drained {
 			continue
 		}
-		mark := table.markLocked(record.DataCentre)
-		mark.drained.Store(record.Drained)
+		status := table.statusLocked(record.DataCentre)
+		status.drained.Store(record.Drained)
 		if !record.Drained {
-			mark.endedAt.Store(int64(table.now()))
+			status.endedAt.Store(int64(table.now()))
 		}
 		changes = append(changes, record)
 	}
 	return changes
 }
 
-// Records returns what others are to be told, by data centre: of each the last record.
+// Records returns the last record of each data centre, ordered by data centre, for other nodes.
 func (table *Table) Records() []Record {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -183,7 +183,7 @@
 	})
 }
 
-// Drained returns the data centres that are drained, by name.
+// Drained returns the names of the drained data centres, sorted.
 func (table *Table) Drained() []string {
 	drained := []string{}
 	for _, record := range table.Records() {
--- a/internal/fleet/follower/era.go
+++ b/internal/fleet/follower/era.go
@@ -78,12 +78,12 @@
 // settles says whether all entries are to be read once more, since servers that the
 // store's copy didn't show must have written theirs again by now.
 func (follower *Follower) settles(now time.Duration) bool {
-	return follower.settled.Load() < follower.era.Load() && follower.Servers.Settles(now)
+	return follower.settled.Load() < follower.era.Load() && follower.Servers.FullReadDue(now)
 }
 
 // noteSettled notes that the servers of the era before were looked for once more.
 func (follower *Follower) noteSettled(era int64) {
 	follower.settled.Store(era)
 	follower.Logger.Info("gateway: the list of servers is that of the store again.", "Era", era,
-		"Servers", len(follower.Servers.Load().Servers), "WaitedMilliseconds", roster.ReappearWithin.Milliseconds())
+		"Servers", len(follower.Servers.Load().Servers), "WaitedMilliseconds", roster.ReregistrationTime.Milliseconds())
 }
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -290,8 +290,8 @@
 	if err != nil {
 		return position, err
 	}
-	reading := drain.Reading{Records: version.Drains, End: version.Next, Whole: version.Whole, At: version.At}
-	if changes := follower.Drains.Read(reading); len(changes) > 0 {
+	reading := drain.Update{Records: version.Drains, End: version.Next, Complete: version.Whole, ReadAt: version.At}
+	if changes := follower.Drains.ApplyLog(reading); len(changes) > 0 {
 		follower.DrainsChanged(changes)
 	}
 	if len(version.Body) > 0 {
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -116,8 +116,8 @@
 			follower.HeardServer(record.Server)
 		}
 	}
-	reading := roster.Reading{Records: listing.Records, End: listing.Next, ReadAt: listing.At, Whole: listing.Whole, Told: listing.Told}
-	if follower.Servers.Take(reading) || listing.Whole {
+	reading := roster.Update{Records: listing.Records, End: listing.Next, ReadAt: listing.At, Complete: listing.Whole, FromPeer: listing.Told}
+	if follower.Servers.Merge(reading) || listing.Whole {
 		follower.ListChanged()
 	}
 }
@@ -128,7 +128,7 @@
 	record.Hash = xxhash.Sum64(record.Body)
 	body := record.Body
 	record.Body = nil
-	if held, same := follower.Servers.Held(record.ID, record.Hash); same {
+	if held, same := follower.Servers.CachedServer(record.ID, record.Hash); same {
 		record.Server = held
 		return true
 	}
--- a/internal/fleet/formation/born_test.go
+++ b/internal/fleet/formation/born_test.go
@@ -65,12 +65,12 @@
 	list := roster.New()
 	put := func(position, born int64) {
 		server := &roster.Server{ID: "b", Service: service, Born: born}
-		list.Take(roster.Reading{
+		list.Merge(roster.Update{
 			Records: []roster.Record{{ID: "b", Position: storelog.Position{Offset: position}, Server: server}},
 			End:     storelog.Position{Offset: position + 1}, ReadAt: time.Second,
 		})
 	}
-	list.Take(roster.Reading{
+	list.Merge(roster.Update{
 		Records: []roster.Record{{ID: "a", Position: storelog.Position{Offset: 1}, Server: &roster.Server{ID: "a", Service: service, Born: 5}}},
 		End:     storelog.Position{Offset: 2}, ReadAt: time.Second,
 	})
--- a/internal/fleet/formation/formation_test.go
+++ b/internal/fleet/formation/formation_test.go
@@ -151,7 +151,7 @@
 		for _, server := range previous {
 			records = append(records, roster.Record{ID: server.ID, Position: storelog.Position{Offset: position}, Server: server})
 		}
-		node.list.Take(roster.Reading{Records: records, End: storelog.Position{Offset: position}, ReadAt: now(), Whole: true})
+		node.list.Merge(roster.Update{Records: records, End: storelog.Position{Offset: position}, ReadAt: now(), Complete: true})
 		previous = node.world.Servers(service)
 	}
 }
--- a/internal/fleet/formation/schedules_test.go
+++ b/internal/fleet/formation/schedules_test.go
@@ -77,7 +77,7 @@
 type play struct {
 	fleet   *fleet
 	store   *claims
-	keepers []*tenure.Keeper
+	keepers []*tenure.Elector
 	stop    chan struct{}
 	done    sync.WaitGroup
 
@@ -95,12 +95,12 @@
 		play.fleet.world.Put(serverID(server), "small")
 	}
 	for number, one := range play.fleet.nodes {
-		var keeper *tenure.Keeper
+		var keeper *tenure.Elector
 		keeper = tenure.New(uint64(number)+1, func() (storelog.Position, error) { return play.store.claim(one.name) }, clock.Virtual(),
 			// Two nodes that hear neither each other nor the store don't make up the same
 			// term: one's are even, the other's odd.
-			tenure.Draw(func(int64) int64 { return (keeper.Highest() + 1 + int64(number)) % 2 }))
-		one.refused = keeper.Outdated
+			tenure.Random(func(int64) int64 { return (keeper.Highest() + 1 + int64(number)) % 2 }))
+		one.refused = keeper.HandleRefusal
 		play.keepers = append(play.keepers, keeper)
 	}
 	for number := range play.keepers {
@@ -118,10 +118,10 @@
 	own, other := play.keepers[number], play.keepers[1-number]
 	for play.goesOn(20 * time.Millisecond) {
 		if !play.fleet.nodes[0].apart.Load() {
-			own.Heard(other.Highest())
+			own.Observe(other.Highest())
 		}
 		for _, server := range play.fleet.nodes[number].list.Load().Servers {
-			own.Heard(formation.TermOf(server.Group.Epoch))
+			own.Observe(formation.TermOf(server.Group.Epoch))
 		}
 	}
 }
@@ -142,9 +142,9 @@
 	for play.goesOn(100 * time.Millisecond) {
 		peers := []tenure.Peer{}
 		if !play.fleet.nodes[0].apart.Load() {
-			peers = append(peers, tenure.Peer{Incarnation: uint64(2 - number), Term: other.Term(), Fit: true})
+			peers = append(peers, tenure.Peer{Incarnation: uint64(2 - number), Term: other.Term(), Eligible: true})
 		}
-		if own.Look(peers, true) {
+		if own.TryTakeOver(peers, true) {
 			play.took(number, own.Term())
 		}
 		play.fleet.nodes[number].setTerm(own.Term())
--- a/internal/fleet/overlay/directory.go
+++ b/internal/fleet/overlay/directory.go
@@ -170,8 +170,8 @@
 
 // place is where this node stands, and which nodes above it there are to be tried;
 // with suspects, also those that failed lately.
-func (overlay *Overlay) place(suspects bool) tree.Place {
-	place := tree.PlaceOf(overlay.Self, overlay.members(true), overlay.Relays)
+func (overlay *Overlay) place(suspects bool) tree.Position {
+	place := tree.PositionOf(overlay.Self, overlay.members(true), overlay.Relays)
 	if suspects {
 		return place
 	}
@@ -179,7 +179,7 @@
 	for _, member := range overlay.members(false) {
 		tried[member.Address] = true
 	}
-	place.Above = slices.DeleteFunc(place.Above, func(address string) bool { return !tried[address] })
+	place.Upstreams = slices.DeleteFunc(place.Upstreams, func(address string) bool { return !tried[address] })
 	return place
 }
 
--- a/internal/fleet/overlay/overlay.go
+++ b/internal/fleet/overlay/overlay.go
@@ -261,7 +261,7 @@
 
 // alone waits where there is nobody to attach to.
 func (overlay *Overlay) alone() {
-	if place := overlay.place(true); len(place.Above) > 0 && overlay.Now()-overlay.started < overlay.patience(place) {
+	if place := overlay.place(true); len(place.Upstreams) > 0 && overlay.Now()-overlay.started < overlay.patience(place) {
 		overlay.Sleep(bootAgain)
 		return
 	}
@@ -282,7 +282,7 @@
 // patience is for how long after its start a node waits for those above it. A relay
 // that starts again among others that do goes on by itself soon: all leaves of its
 // data centre wait for the first relay.
-func (overlay *Overlay) patience(place tree.Place) time.Duration {
+func (overlay *Overlay) patience(place tree.Position) time.Duration {
 	if place.Relay && !overlay.FirstStart {
 		return relayPatience
 	}
@@ -308,7 +308,7 @@
 	if place.Relay {
 		purpose = frame.Purpose_Relay
 	}
-	above := place.Above
+	above := place.Upstreams
 	if last != "" {
 		above = append([]string{last}, above...)
 	}
@@ -363,7 +363,7 @@
 	if place.Relay != (link.Purpose == frame.Purpose_Relay) {
 		return overlay.attachAny("")
 	}
-	for _, address := range place.Above {
+	for _, address := range place.Upstreams {
 		if address == link.Remote.Address {
 			return nil
 		}
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -1,22 +1,19 @@
-// Package roster keeps the newest known list of backend servers, with the
-// group that each says it is in.
+// Package roster keeps the newest known list of backend servers, each with the group that it reports to be in.
 //
-// The list comes from the platform's registry as records with positions, read by
-// this node or passed on by a peer. A record only replaces what an older record of
-// the same server said, so late and repeated records do no harm. A server whose
-// entry was removed is gone; what it last said is forgotten.
+// The list comes from the platform's registry as records with positions, read by this node or passed on by a peer. A
+// record only replaces an older record of the same server, so late and repeated records do no harm. A server whose
+// entry was removed is no longer listed, and its last record is discarded.
 //
-// The registry may come back from an older copy, which begins an era. Entries that it
-// has from before may be older than those that were known: a server that has said
-// since that it leaves seems to take calls again. So a record that the copy may hold
-// doesn't replace one that was known of a later place; what the server writes next
-// does. A server that the copy doesn't show is kept for as long as servers need to
-// write their entries again.
+// The registry may be restored from an older backup, which begins a new era (restore generation). Entries that come
+// from the backup may be older than entries known before the restore: a server that has announced since that it is
+// leaving would appear to accept calls again. So a record that may come from the backup does not replace a record
+// with a higher offset from an earlier era, but the next record that the server writes does. A server that is absent
+// from the backup is kept until servers have had time to write their entries again.
 //
 // # Usage
 //
 //	list := roster.New()
-//	list.Take(roster.Reading{Records: records, End: end, ReadAt: readAt})
+//	list.Merge(roster.Update{Records: records, End: end, ReadAt: readAt})
 //	for _, server := range list.Load().Servers { ... }
 package roster
 
@@ -31,8 +28,7 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// The states of a member of a group. A head goes from ready through open and
-// closing; other members stay ready.
+// States of a group member. The head goes from Ready through Open to Closing; other members stay Ready.
 const (
 	Joining = "Joining"
 	Ready   = "Ready"
@@ -41,133 +37,130 @@
 	Broken  = "Broken"
 )
 
-// Membership is the group that a server is in. Name is empty for none.
+// Membership is a server's membership in a group. Name is empty if the server is in no group.
 type Membership struct {
 	Name  string
 	Epoch int64
-	// Rank is the server's place in the list of members; 0 is the head.
+	// Rank is the server's index in the list of members; the head has rank 0.
 	Rank  int
 	State string
 }
 
-// Server is one backend server in one run of its process.
+// Server is one run of a backend server's process.
 type Server struct {
 	ID string
-	// Born is when the process started, in Unix milliseconds by the server's own
-	// clock, 0 where that isn't told. A server that starts again under its ID
-	// knows nothing of before.
+	// Born is when the process started, in Unix milliseconds by the server's own clock, 0 if unknown. A server that
+	// restarts under the same ID has lost all state of its previous run.
 	Born       int64
 	Service    string
 	Address    string
 	DataCentre string
 	Slots      int
 	Draining   bool
-	// Cold is for how much longer the server was to bear few requests only when it wrote
-	// its entry.
+	// Cold is for how much longer, counted from the writing of the entry, the server can handle only few requests.
 	Cold time.Duration
-	// FabricDomain is the part of the network within which members of a group
-	// reach each other fast.
+	// FabricDomain is the part of the network within which members of a group have fast connections to each other.
 	FabricDomain string
-	// Staged are the models whose weights lie on the server's host.
+	// Staged lists the models whose weights are present on the server's host.
 	Staged []string
-	// Model is what the server runs, with Size its group's size; both are empty
-	// outside a group.
+	// Model is the model that the server runs, Size the size of its group. Model is empty and Size is 0 outside a
+	// group.
 	Model string
 	Group Membership
 }
 
-// HasStaged says whether the model's weights lie on the server's host.
+// HasStaged reports whether the model's weights are present on the server's host.
 func (server *Server) HasStaged(model string) bool {
 	return slices.Contains(server.Staged, model)
 }
 
-// Record is one change of the list. Server is nil when the entry was removed.
-// Body is the entry as the registry holds it, until it is read; Hash is that of the
-// body, 0 where the record came from another node.
+// Record is one change of the list. Server is nil if the entry was removed. Body is the undecoded entry from the
+// registry, present until it is decoded. Hash is the hash of Body, 0 if the record came from another node.
 type Record struct {
 	ID       string
 	Position storelog.Position
-	// Copied says that the record may be of the copy that its era began with, and
-	// older than what was known in the era before.
-	Copied bool
-	Server *Server
-	Body   []byte
-	Hash   uint64
-
-	// version is the list's when the entry last said something new; servers write
-	// their entries again and again as heartbeats.
+	// FromBackup is set when the record may be part of the backup that its era began with, and so may be older than a
+	// record of an earlier era.
+	FromBackup bool
+	Server     *Server
+	Body       []byte
+	Hash       uint64
+
+	// version is the list's version when the entry last changed. Servers rewrite unchanged entries as heartbeats,
+	// which does not raise it.
 	version uint64
-	// changed is the record's position then.
-	changed storelog.Position
+	// changedAt is the record's position at that change.
+	changedAt storelog.Position
 }
 
-// same says whether two records say the same of the server.
-func (record *Record) same(other *Record) bool {
+// sameServer reports whether two records describe the server identically.
+func (record *Record) sameServer(other *Record) bool {
 	if record.Server == nil || other.Server == nil {
 		return record.Server == other.Server
 	}
 	return reflect.DeepEqual(record.Server, other.Server)
 }
 
-// supersedes says whether a record is newer than what is held of the server. Of two
-// eras, the later one's is, unless the copy may hold it from before the held one was
-// written: a server that is leaving would be sent calls again.
-func (record *Record) supersedes(held *Record) bool {
+// supersedes reports whether a record is newer than the held record of the same server. Of records from two eras, the
+// one of the later era is newer, unless it may come from the backup and have been written before the record of the
+// earlier era. Otherwise a restore would make a leaving server receive calls again.
+func (record *Record) supersedes(existing *Record) bool {
 	switch {
-	case record.Position.Era == held.Position.Era:
-		return record.Position.Offset > held.Position.Offset
-	case record.Position.Era > held.Position.Era:
-		return !record.Copied || record.Position.Offset >= held.Position.Offset
+	case record.Position.Era == existing.Position.Era:
+		return record.Position.Offset > existing.Position.Offset
+	case record.Position.Era > existing.Position.Era:
+		return !record.FromBackup || record.Position.Offset >= existing.Position.Offset
 	}
-	return held.Copied && held.Position.Offset < record.Position.Offset
+	return existing.FromBackup && existing.Position.Offset < record.Position.Offset
 }
 
-// Held returns what is held of a server, if its entry had the same bytes.
-func (list *List) Held(id string, hash uint64) (*Server, bool) {
+// CachedServer returns the decoded server of an ID if its entry had the same hash, so the entry need not be decoded
+// again.
+func (list *List) CachedServer(id string, hash uint64) (*Server, bool) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	held, ok := list.records[id]
-	return held.Server, ok && held.Hash == hash && hash != 0 && held.Server != nil
+	cached, ok := list.records[id]
+	return cached.Server, ok && cached.Hash == hash && hash != 0 && cached.Server != nil
 }
 
-// Snapshot is the list as of one moment. It is never changed.
+// Snapshot is the list at one moment. It is immutable.
 type Snapshot struct {
-	// End is the position up to which records were taken.
+	// End is the position up to which records were merged.
 	End storelog.Position
-	// ReadAt is when the registry was last read, by this node or by the peer
-	// that passed the records on, on this node's clock.
+	// ReadAt is when the registry was last read, by this node or by the peer that passed the records on, on this
+	// node's clock.
 	ReadAt time.Duration
 
 	Servers   map[string]*Server
 	ByService map[string][]*Server
 }
 
-// Load returns the current list.
+// Load returns the current snapshot.
 func (list *List) Load() *Snapshot {
 	return list.snapshot.Load()
 }
 
-// List is the newest known list.
+// List is the newest known list of backend servers.
 type List struct {
 	snapshot atomic.Pointer[Snapshot]
 
 	mu      sync.Mutex
 	records map[string]Record
-	// version rises with each entry that says something new.
+	// version increases with each entry that changes.
 	version uint64
-	// began is the first position that was known in the era of the snapshot's end:
-	// what is written from there on is not of the copy. beganAt is when.
-	began   storelog.Position
-	beganAt time.Duration
+	// eraStart is the first position known in the era of the snapshot's end: records from there on do not come from
+	// the backup. eraStartedAt is when the node learned of that era.
+	eraStart     storelog.Position
+	eraStartedAt time.Duration
 
 	draining func(id string, born int64) bool
 }
 
-// Option changes how a List is built.
+// Option configures a List.
 type Option func(*List)
 
-// Draining sets who knows of runs that are draining whatever their entries say. The marks are
-// this node's: records are passed on as the registry has them.
+// Draining sets a function that reports whether a run of a server is draining regardless of its entry. The result
+// affects only this node's snapshots; records are passed on as the registry holds them.
 func Draining(draining func(id string, born int64) bool) Option {
 	return func(list *List) { list.draining = draining }
 }
@@ -182,48 +175,46 @@
 	return list
 }
 
-// Known says whether the registry was ever read.
+// Known reports whether the registry was ever read.
 func (snapshot *Snapshot) Known() bool {
 	return snapshot.ReadAt >= 0
 }
 
-// Reading is what was learnt of the registry at one time.
-type Reading struct {
+// Update is the result of one read of the registry, or what a peer passed on.
+type Update struct {
 	Records []Record
-	// End is the position up to which they are all that changed.
+	// End is the position up to which Records contains all changes.
 	End storelog.Position
-	// ReadAt is when the registry answered.
+	// ReadAt is when the registry responded.
 	ReadAt time.Duration
-	// Whole says that the records are all entries that there are.
-	Whole bool
-	// Told says that another node passed the records on, and has judged which of
-	// them are copied.
-	Told bool
+	// Complete is set when Records contains all existing entries.
+	Complete bool
+	// FromPeer is set when another node passed the records on and has already set their FromBackup.
+	FromPeer bool
 }
 
-// ReappearWithin is how long after the registry came back a server that lives has
-// written its entry again.
-const ReappearWithin = 2500 * time.Millisecond
+// ReregistrationTime is how long after a restore of the registry every live server has written its entry again.
+const ReregistrationTime = 2500 * time.Millisecond
 
-// Take takes what was read and says whether any of it was news.
-func (list *List) Take(reading Reading) bool {
+// Merge applies an update and reports whether it changed the list.
+func (list *List) Merge(update Update) bool {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	list.noteEra(reading)
+	list.recordEra(update)
 	changed := false
-	for _, record := range reading.Records {
-		if !reading.Told {
-			record.Copied = record.Position.Era > 0 && storelog.Compare(record.Position, list.began) < 0
+	for _, record := range update.Records {
+		if !update.FromPeer {
+			record.FromBackup = record.Position.Era > 0 && storelog.Compare(record.Position, list.eraStart) < 0
 		}
-		changed = list.take(record) || changed
+		changed = list.mergeRecord(record) || changed
 	}
-	if reading.Whole {
-		changed = list.forget(reading) || changed
+	if update.Complete {
+		changed = list.removeAbsent(update) || changed
 	}
-	held := list.snapshot.Load()
+	current := list.snapshot.Load()
 	next := &Snapshot{
-		End: storelog.Furthest(held.End, reading.End), ReadAt: max(reading.ReadAt, held.ReadAt),
-		Servers: held.Servers, ByService: held.ByService,
+		End: storelog.Furthest(current.End, update.End), ReadAt: max(update.ReadAt, current.ReadAt),
+		Servers: current.Servers, ByService: current.ByService,
 	}
 	if changed {
 		next.Servers, next.ByService = list.index()
@@ -232,62 +223,62 @@
 	return changed
 }
 
-// noteEra notes where an era began, as far as is known.
-func (list *List) noteEra(reading Reading) {
-	if known := list.snapshot.Load().End; !reading.End.Known() || (known.Known() && reading.End.Era <= known.Era) {
+// recordEra records where and when a new era began, as far as this node knows.
+func (list *List) recordEra(update Update) {
+	if known := list.snapshot.Load().End; !update.End.Known() || (known.Known() && update.End.Era <= known.Era) {
 		return
 	}
-	list.began, list.beganAt = reading.End, reading.ReadAt
+	list.eraStart, list.eraStartedAt = update.End, update.ReadAt
 }
 
-// take takes one record and says whether it was news.
-func (list *List) take(record Record) bool {
-	held, known := list.records[record.ID]
-	if known && !record.supersedes(&held) {
+// mergeRecord applies one record and reports whether it changed what is known of the server.
+func (list *List) mergeRecord(record Record) bool {
+	existing, known := list.records[record.ID]
+	if known && !record.supersedes(&existing) {
 		return false
 	}
-	record.changed = record.Position
-	news := !known || !held.same(&record)
-	if news {
+	record.changedAt = record.Position
+	changed := !known || !existing.sameServer(&record)
+	if changed {
 		list.version++
 		record.version = list.version
 	} else {
-		record.changed, record.version, record.Server = held.changed, held.version, held.Server
+		record.changedAt, record.version, record.Server = existing.changedAt, existing.version, existing.Server
 	}
 	list.records[record.ID] = record
-	return news
+	return changed
 }
 
-// forget forgets every server that a full reading doesn't show and whose record is
-// older than it, and says whether there was one. A record of an era before may just be
-// missing in the copy; it is kept until the server must have written it again.
-func (list *List) forget(reading Reading) bool {
-	named := make(map[string]bool, len(reading.Records))
-	for _, record := range reading.Records {
-		named[record.ID] = true
+// removeAbsent removes the servers that a complete update does not contain, if their records are older than the
+// update, and reports whether there was one. A record of an earlier era may be missing only because the backup lacks
+// it, so it is kept until ReregistrationTime has passed.
+func (list *List) removeAbsent(update Update) bool {
+	listed := make(map[string]bool, len(update.Records))
+	for _, record := range update.Records {
+		listed[record.ID] = true
 	}
-	settled := reading.ReadAt-list.beganAt >= ReappearWithin
-	absent := storelog.Position{Era: reading.End.Era, Offset: reading.End.Offset - 1}
+	reregistrationOver := update.ReadAt-list.eraStartedAt >= ReregistrationTime
+	absent := storelog.Position{Era: update.End.Era, Offset: update.End.Offset - 1}
 	changed := false
 	for id, record := range list.records {
-		older := storelog.Compare(record.Position, reading.End) < 0
-		if named[id] || !older || record.Server == nil || (record.Position.Era < reading.End.Era && !settled) {
+		older := storelog.Compare(record.Position, update.End) < 0
+		if listed[id] || !older || record.Server == nil || (record.Position.Era < update.End.Era && !reregistrationOver) {
 			continue
 		}
 		list.version++
-		list.records[id] = Record{ID: id, Position: absent, version: list.version, changed: absent}
+		list.records[id] = Record{ID: id, Position: absent, version: list.version, changedAt: absent}
 		changed = true
 	}
 	return changed
 }
 
-// Settles says whether a full reading would tell which servers of an era before are
-// still there: they have had the time to write their entries again.
-func (list *List) Settles(now time.Duration) bool {
+// FullReadDue reports whether a full read of the registry would now show which servers last recorded in an earlier
+// era still exist. This requires that there are such servers, and that they have had time to write their entries again.
+func (list *List) FullReadDue(now time.Duration) bool {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	era := list.snapshot.Load().End.Era
-	if era == 0 || now-list.beganAt < ReappearWithin {
+	if era == 0 || now-list.eraStartedAt < ReregistrationTime {
 		return false
 	}
 	for _, record := range list.records {
@@ -298,8 +289,8 @@
 	return false
 }
 
-// Refresh looks anew which servers are draining.
-func (list *List) Refresh() {
+// RefreshDraining re-evaluates which servers are draining.
+func (list *List) RefreshDraining() {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	next := *list.snapshot.Load()
@@ -307,8 +298,8 @@
 	list.snapshot.Store(&next)
 }
 
-// marked returns the server, as draining if it said so.
-func (list *List) marked(server *Server) *Server {
+// withDraining returns the server, marked as draining if its run is known to be draining.
+func (list *List) withDraining(server *Server) *Server {
 	if server.Draining || !list.draining(server.ID, server.Born) {
 		return server
 	}
@@ -322,7 +313,7 @@
 	byService := map[string][]*Server{}
 	for id, record := range list.records {
 		if record.Server != nil {
-			server := list.marked(record.Server)
+			server := list.withDraining(record.Server)
 			servers[id] = server
 			byService[server.Service] = append(byService[server.Service], server)
 		}
@@ -333,22 +324,21 @@
 	return servers, byService
 }
 
-// Since returns what changed after a version of the list, and the version now.
-func (list *List) Since(version uint64) ([]Record, uint64) {
-	return list.pick(func(record *Record) bool { return record.version > version })
+// ChangedSince returns the records that changed after a version of the list, and the current version.
+func (list *List) ChangedSince(version uint64) ([]Record, uint64) {
+	return list.selectRecords(func(record *Record) bool { return record.version > version })
 }
 
-// After returns what a peer lacks that knows the list up to a position, and the
-// version of the list now. Records of an era before its own are among it: the peer may
-// have read the copy alone.
-func (list *List) After(position storelog.Position) ([]Record, uint64) {
+// MissingAfter returns the records that a peer lacks which knows the list up to a position, and the current version
+// of the list. Records of earlier eras are included, because the peer may have read only the backup.
+func (list *List) MissingAfter(position storelog.Position) ([]Record, uint64) {
 	era := list.Load().End.Era
-	return list.pick(func(record *Record) bool {
-		return position.Era != era || record.Position.Era < era || storelog.Compare(record.changed, position) >= 0
+	return list.selectRecords(func(record *Record) bool {
+		return position.Era != era || record.Position.Era < era || storelog.Compare(record.changedAt, position) >= 0
 	})
 }
 
-func (list *List) pick(wanted func(record *Record) bool) ([]Record, uint64) {
+func (list *List) selectRecords(wanted func(record *Record) bool) ([]Record, uint64) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	found := []Record{}
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -18,162 +18,161 @@
 	return roster.Record{ID: id, Position: position, Server: &roster.Server{ID: id, Service: "drafts", Draining: draining}}
 }
 
-func gone(id string, position storelog.Position) roster.Record {
+func removed(id string, position storelog.Position) roster.Record {
 	return roster.Record{ID: id, Position: position}
 }
 
-// drained returns what is known of a server: whether it is listed, and drains.
-func drained(list *roster.List, id string) (listed, draining bool) {
+// lookUp returns whether a server is listed and whether it is draining.
+func lookUp(list *roster.List, id string) (listed, draining bool) {
 	server, listed := list.Load().Servers[id]
 	return listed, listed && server.Draining
 }
 
-// A server says that it leaves. The registry comes back from a copy in which it takes
-// calls; the server writes its entry again some hundred milliseconds later. In between
-// it was sent calls again.
-func TestCopyDoesNotUndoWhatWasKnown(t *testing.T) {
+// Guards against calls to a server that is leaving. The server announces that it is leaving, then the registry is
+// restored from a backup in which the server accepts calls. The server writes its entry again some hundred
+// milliseconds later; in between it used to receive calls.
+func TestBackupDoesNotOverrideNewerRecords(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	list := roster.New()
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(0, 105), true)}, End: at(0, 106)})
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(1, 80), false)}, End: at(1, 100), Whole: true, ReadAt: time.Second})
-	_, draining := drained(list, "a")
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(0, 105), true)}, End: at(0, 106)})
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(1, 80), false)}, End: at(1, 100), Complete: true, ReadAt: time.Second})
+	_, draining := lookUp(list, "a")
 	expect.Expect(draining).To(gomega.BeTrue())
 
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(1, 101), false)}, End: at(1, 102), ReadAt: 2 * time.Second})
-	_, draining = drained(list, "a")
-	expect.Expect(draining).To(gomega.BeFalse(), "what the server wrote since counts, though its offset is lower")
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(1, 101), false)}, End: at(1, 102), ReadAt: 2 * time.Second})
+	_, draining = lookUp(list, "a")
+	expect.Expect(draining).To(gomega.BeFalse(), "an entry written after the restore applies, although its offset is lower")
 }
 
-// The same, but the reader's peers have read the copy alone, or hear of both the other
-// way round: whatever comes first, all end with the same.
+// The same restore, when peers have read only the backup, or learn of the records in another order. The result must
+// not depend on the order.
 func TestOrderOfRecordsDoesNotMatter(t *testing.T) {
-	before, copied, since := entry("a", at(0, 105), true), entry("a", at(1, 80), false), entry("a", at(1, 101), false)
-	copied.Copied = true
+	before, backup, after := entry("a", at(0, 105), true), entry("a", at(1, 80), false), entry("a", at(1, 101), false)
+	backup.FromBackup = true
 	cases := map[string]struct {
 		records  []roster.Record
 		draining bool
 	}{
-		"before, copied":        {[]roster.Record{before, copied}, true},
-		"copied, before":        {[]roster.Record{copied, before}, true},
-		"copied, since, before": {[]roster.Record{copied, since, before}, false},
-		"since, before, copied": {[]roster.Record{since, before, copied}, false},
-		"before, since, copied": {[]roster.Record{before, since, copied}, false},
+		"before, backup":        {[]roster.Record{before, backup}, true},
+		"backup, before":        {[]roster.Record{backup, before}, true},
+		"backup, after, before": {[]roster.Record{backup, after, before}, false},
+		"after, before, backup": {[]roster.Record{after, before, backup}, false},
+		"before, after, backup": {[]roster.Record{before, after, backup}, false},
 	}
-	for name, tried := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			list := roster.New()
-			for _, record := range tried.records {
-				list.Take(roster.Reading{Records: []roster.Record{record}, End: at(record.Position.Era, 102), Told: true})
+			for _, record := range testCase.records {
+				list.Merge(roster.Update{Records: []roster.Record{record}, End: at(record.Position.Era, 102), FromPeer: true})
 			}
-			_, draining := drained(list, "a")
-			gomega.NewWithT(t).Expect(draining).To(gomega.Equal(tried.draining))
+			_, draining := lookUp(list, "a")
+			gomega.NewWithT(t).Expect(draining).To(gomega.Equal(testCase.draining))
 		})
 	}
 }
 
-// A server came shortly before the registry went back, and isn't in the copy. It serves
-// on, and writes its entry again. One that has ended meanwhile doesn't, and must go once
-// servers have had the time.
-func TestServerThatTheCopyLacksIsKeptForAWhile(t *testing.T) {
+// A server registered shortly before the restore is absent from the backup. If it is alive, it writes its entry again
+// and must stay listed meanwhile. If it has ended, it must be removed once servers have had time to write their
+// entries again.
+func TestServerAbsentFromBackupIsKeptUntilReregistration(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	list := roster.New()
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(0, 5), false), entry("b", at(0, 105), false)}, End: at(0, 106)})
-	whole := func(readAt time.Duration) {
-		list.Take(roster.Reading{Records: []roster.Record{entry("a", at(1, 5), false)}, End: at(1, 100), Whole: true, ReadAt: readAt})
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(0, 5), false), entry("b", at(0, 105), false)}, End: at(0, 106)})
+	fullRead := func(readAt time.Duration) {
+		list.Merge(roster.Update{Records: []roster.Record{entry("a", at(1, 5), false)}, End: at(1, 100), Complete: true, ReadAt: readAt})
 	}
-	whole(time.Second)
-	listed, _ := drained(list, "b")
+	fullRead(time.Second)
+	listed, _ := lookUp(list, "b")
 	expect.Expect(listed).To(gomega.BeTrue())
-	expect.Expect(list.Settles(2 * time.Second)).To(gomega.BeFalse())
+	expect.Expect(list.FullReadDue(2 * time.Second)).To(gomega.BeFalse())
 
-	settled := time.Second + roster.ReappearWithin
-	expect.Expect(list.Settles(settled)).To(gomega.BeTrue())
-	whole(settled)
-	listed, _ = drained(list, "b")
+	settled := time.Second + roster.ReregistrationTime
+	expect.Expect(list.FullReadDue(settled)).To(gomega.BeTrue())
+	fullRead(settled)
+	listed, _ = lookUp(list, "b")
 	expect.Expect(listed).To(gomega.BeFalse())
-	listed, _ = drained(list, "a")
+	listed, _ = lookUp(list, "a")
 	expect.Expect(listed).To(gomega.BeTrue())
-	expect.Expect(list.Settles(settled)).To(gomega.BeFalse())
+	expect.Expect(list.FullReadDue(settled)).To(gomega.BeFalse())
 }
 
-// A server leaves after the registry went back: its entry is removed at an offset that is
-// lower than that of the one that was known. The removal was ignored.
-func TestRemovalAtALowerOffsetCounts(t *testing.T) {
+// Guards against an ignored removal. A server leaves after a restore, so its entry is removed at a lower offset than
+// that of the entry known before the restore.
+func TestRemovalAtLowerOffsetAfterRestoreApplies(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	list := roster.New()
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(0, 105), false)}, End: at(0, 106)})
-	list.Take(roster.Reading{Records: nil, End: at(1, 60), Whole: true})
-	list.Take(roster.Reading{Records: []roster.Record{gone("a", at(1, 61))}, End: at(1, 62)})
-	listed, _ := drained(list, "a")
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(0, 105), false)}, End: at(0, 106)})
+	list.Merge(roster.Update{Records: nil, End: at(1, 60), Complete: true})
+	list.Merge(roster.Update{Records: []roster.Record{removed("a", at(1, 61))}, End: at(1, 62)})
+	listed, _ := lookUp(list, "a")
 	expect.Expect(listed).To(gomega.BeFalse())
 }
 
-// A full reading no longer shows a server. Peers were passed a removal at the position of
-// the entry that they held, ignored it, and went on sending calls.
-func TestPeersHearOfAServerThatAFullReadingLacks(t *testing.T) {
+// Guards against calls to a server that a full read no longer shows. Peers used to ignore the removal, because it had
+// the position of the entry that they held.
+func TestPeersLearnOfServerAbsentFromFullRead(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	reader, peer := roster.New(), roster.New()
-	known := roster.Reading{Records: []roster.Record{entry("a", at(0, 5), false)}, End: at(0, 6)}
-	reader.Take(known)
-	peer.Take(known)
-	_, version := reader.Since(0)
-	reader.Take(roster.Reading{End: at(0, 20), Whole: true})
-	records, _ := reader.Since(version)
-	peer.Take(roster.Reading{Records: records, End: at(0, 20), Told: true})
-	listed, _ := drained(peer, "a")
+	known := roster.Update{Records: []roster.Record{entry("a", at(0, 5), false)}, End: at(0, 6)}
+	reader.Merge(known)
+	peer.Merge(known)
+	_, version := reader.ChangedSince(0)
+	reader.Merge(roster.Update{End: at(0, 20), Complete: true})
+	records, _ := reader.ChangedSince(version)
+	peer.Merge(roster.Update{Records: records, End: at(0, 20), FromPeer: true})
+	listed, _ := lookUp(peer, "a")
 	expect.Expect(listed).To(gomega.BeFalse())
 }
 
-// Two drills in a row: what was written between them is of neither copy.
-func TestTwoReturnsInARow(t *testing.T) {
+// Two restores in a row: a record written between them comes from neither backup.
+func TestTwoRestoresInARow(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	list := roster.New()
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(0, 105), false)}, End: at(0, 106)})
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(1, 80), false)}, End: at(1, 95), Whole: true})
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(1, 97), true)}, End: at(1, 98)})
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(2, 80), false)}, End: at(2, 90), Whole: true})
-	_, draining := drained(list, "a")
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(0, 105), false)}, End: at(0, 106)})
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(1, 80), false)}, End: at(1, 95), Complete: true})
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(1, 97), true)}, End: at(1, 98)})
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(2, 80), false)}, End: at(2, 90), Complete: true})
+	_, draining := lookUp(list, "a")
 	expect.Expect(draining).To(gomega.BeTrue())
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(2, 91), false)}, End: at(2, 92)})
-	_, draining = drained(list, "a")
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(2, 91), false)}, End: at(2, 92)})
+	_, draining = lookUp(list, "a")
 	expect.Expect(draining).To(gomega.BeFalse())
 }
 
-// A peer that reconnects is told what it lacks: by its position in the same era, and all
-// of it where it is of another.
-func TestPeerOfAnotherEraIsToldAll(t *testing.T) {
+// A peer that reconnects in the same era gets the records after its position; a peer of another era gets all records.
+func TestPeerOfAnotherEraGetsAllRecords(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	list := roster.New()
-	list.Take(roster.Reading{Records: []roster.Record{entry("a", at(1, 5), false), entry("b", at(1, 9), false)}, End: at(1, 10)})
-	lacked, _ := list.After(at(1, 8))
+	list.Merge(roster.Update{Records: []roster.Record{entry("a", at(1, 5), false), entry("b", at(1, 9), false)}, End: at(1, 10)})
+	lacked, _ := list.MissingAfter(at(1, 8))
 	expect.Expect(lacked).To(gomega.HaveLen(1))
-	lacked, _ = list.After(at(0, 8))
+	lacked, _ = list.MissingAfter(at(0, 8))
 	expect.Expect(lacked).To(gomega.HaveLen(2))
 }
 
-// Guards against an entry that still calls a server ready, and undoes what the server itself has
-// said; and against another run of it that is taken for draining.
-func TestEntryDoesNotUndoADrain(t *testing.T) {
+// Guards against an entry that still lists a server as ready after the server itself said that it is draining, and
+// against a later run of the server that is taken to be draining.
+func TestEntryDoesNotOverrideDrain(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	drains := map[int64]bool{}
 	list := roster.New(roster.Draining(func(_ string, born int64) bool { return drains[born] }))
 	write := func(offset, born int64) {
 		record := entry("a", at(0, offset), false)
 		record.Server.Born = born
-		list.Take(roster.Reading{Records: []roster.Record{record}, End: at(0, offset+1)})
+		list.Merge(roster.Update{Records: []roster.Record{record}, End: at(0, offset+1)})
 	}
 	write(1, 7)
 	drains[7] = true
-	list.Refresh()
-	_, draining := drained(list, "a")
+	list.RefreshDraining()
+	_, draining := lookUp(list, "a")
 	expect.Expect(draining).To(gomega.BeTrue())
-	list.Take(roster.Reading{Records: []roster.Record{gone("a", at(0, 2))}, End: at(0, 3)})
+	list.Merge(roster.Update{Records: []roster.Record{removed("a", at(0, 2))}, End: at(0, 3)})
 	write(4, 7)
-	_, draining = drained(list, "a")
+	_, draining = lookUp(list, "a")
 	expect.Expect(draining).To(gomega.BeTrue())
-	records, _ := list.Since(0)
-	expect.Expect(records[0].Server.Draining).To(gomega.BeFalse(), "passed on as the registry has it")
+	records, _ := list.ChangedSince(0)
+	expect.Expect(records[0].Server.Draining).To(gomega.BeFalse(), "records are passed on as the registry holds them")
 	write(5, 8)
-	_, draining = drained(list, "a")
+	_, draining = lookUp(list, "a")
 	expect.Expect(draining).To(gomega.BeFalse())
 }
--- a/internal/fleet/tally/tally.go
+++ b/internal/fleet/tally/tally.go
@@ -1,17 +1,16 @@
-// Package tally adds up what nodes have under way at servers, and takes a node's
-// own part off a sum that includes it.
+// Package tally totals the loads of nodes at servers, and subtracts a node's own load from a total that includes it.
 //
-// A relay tells all its leaves one sum, made and encoded once. Each leaf takes off
-// what it had itself reported into it: the sum names the last report of the leaf
-// that it includes, and Reports remembers the last few.
+// A relay sends the same total, computed and encoded once, to all its leaves. Each leaf subtracts the load that it
+// had itself reported: the total carries the sequence number of the leaf's last included report, and Reports keeps
+// the most recent reports.
 //
-// Between relays, of which each has its own sum, only what changed since the last
-// time is told: Changes is the teller's side, Copy the listener's.
+// Relays have different totals from each other. Between relays, only changes since the last frame are sent, from a
+// DeltaSender to a DeltaReceiver.
 //
 // # Usage
 //
-//	sequence := reports.Add(board.Shares())
-//	others := tally.Less(told, reports.At(included))
+//	sequence := reports.Add(loads)
+//	others := tally.Subtract(total, reports.Find(included))
 package tally
 
 import (
@@ -20,119 +19,116 @@
 	"hazelslip/internal/policy/dispatch"
 )
 
-// Shares is what some nodes have together at each server, by its ID.
-type Shares = map[string]dispatch.Share
+// ServerLoads is the load of one or more nodes at each server, by server ID.
+type ServerLoads = map[string]dispatch.Share
 
-// Add adds to a sum.
-func Add(sum, shares Shares) {
-	for server, share := range shares {
-		sum[server] = sum[server].Plus(share)
+// Add adds loads to a total.
+func Add(total, loads ServerLoads) {
+	for server, load := range loads {
+		total[server] = total[server].Plus(load)
 	}
 }
 
-// Less returns a sum without a part of it. Counts don't go below zero: how calls
-// ended fades with time, so that a part may have faded less than the sum.
-func Less(sum, part Shares) Shares {
-	rest := make(Shares, len(sum))
-	for server, share := range sum {
-		if left := share.Minus(part[server]); left != (dispatch.Share{}) {
-			rest[server] = left
+// Subtract returns a total without a part of it. Counts do not go below zero: counts of ended calls decay over time,
+// so the part may have decayed less than the total.
+func Subtract(total, part ServerLoads) ServerLoads {
+	rest := make(ServerLoads, len(total))
+	for server, load := range total {
+		if remaining := load.Minus(part[server]); remaining != (dispatch.Share{}) {
+			rest[server] = remaining
 		}
 	}
 	return rest
 }
 
-// reportsKept is how many reports are remembered: a sum that includes one is back
-// within a few exchanges.
-const reportsKept = 16
+// reportHistory is how many reports are kept. A total that includes a report arrives within a few exchanges.
+const reportHistory = 16
 
-// Reports are the last reports of a node to one other.
+// Reports holds a node's most recent reports to one other node.
 type Reports struct {
-	mu   sync.Mutex
-	last uint64
-	kept [reportsKept]Shares
+	mu     sync.Mutex
+	last   uint64
+	recent [reportHistory]ServerLoads
 }
 
-// Add remembers a report and returns its number, from 1 on.
-func (reports *Reports) Add(shares Shares) uint64 {
+// Add stores a report and returns its sequence number, starting at 1.
+func (reports *Reports) Add(loads ServerLoads) uint64 {
 	reports.mu.Lock()
 	defer reports.mu.Unlock()
 	reports.last++
-	reports.kept[reports.last%reportsKept] = shares
+	reports.recent[reports.last%reportHistory] = loads
 	return reports.last
 }
 
-// At returns the report of a number, nil for one that is not remembered; 0 stands
-// for none.
-func (reports *Reports) At(sequence uint64) Shares {
+// Find returns the report with a sequence number, or nil if it is no longer kept. Sequence 0 stands for no report.
+func (reports *Reports) Find(sequence uint64) ServerLoads {
 	reports.mu.Lock()
 	defer reports.mu.Unlock()
-	if sequence == 0 || sequence > reports.last || reports.last-sequence >= reportsKept {
+	if sequence == 0 || sequence > reports.last || reports.last-sequence >= reportHistory {
 		return nil
 	}
-	return reports.kept[sequence%reportsKept]
+	return reports.recent[sequence%reportHistory]
 }
 
-// fadesUnsaid is by how much a count of ended calls, in hundredths of a call, may
-// have faded before it is told again: counts fade all the time, and would all be told
-// each time.
-const fadesUnsaid = 25
+// decayThreshold is the minimum change of a count of ended calls, in hundredths of a call, that is sent. The counts
+// decay continuously, and without a threshold all of them would be sent every time.
+const decayThreshold = 25
 
-// Changes tells a sum over an ordered stream.
-type Changes struct {
-	said Shares
+// DeltaSender computes the changes of a total to send over an ordered stream.
+type DeltaSender struct {
+	sent ServerLoads
 }
 
-// Next returns what changed in a sum since the last time, or all of it the first
-// time. A server at which nothing is left is told once more, with nothing.
-func (changes *Changes) Next(sum Shares) (changed Shares, whole bool) {
-	if changes.said == nil {
-		changes.said = make(Shares, len(sum))
-		Add(changes.said, sum)
-		return sum, true
+// Next returns the changes of a total since the last call, or the full total on the first call. A server without load
+// any more is sent once with an empty load.
+func (sender *DeltaSender) Next(total ServerLoads) (changed ServerLoads, full bool) {
+	if sender.sent == nil {
+		sender.sent = make(ServerLoads, len(total))
+		Add(sender.sent, total)
+		return total, true
 	}
-	changed = Shares{}
-	for server, share := range sum {
-		if !saidAlready(changes.said[server], share) {
-			changed[server], changes.said[server] = share, share
+	changed = ServerLoads{}
+	for server, load := range total {
+		if !alreadySent(sender.sent[server], load) {
+			changed[server], sender.sent[server] = load, load
 		}
 	}
-	for server := range changes.said {
-		if _, there := sum[server]; !there {
+	for server := range sender.sent {
+		if _, present := total[server]; !present {
 			changed[server] = dispatch.Share{}
-			delete(changes.said, server)
+			delete(sender.sent, server)
 		}
 	}
 	return changed, false
 }
 
-func saidAlready(said, share dispatch.Share) bool {
-	near := func(a, b int) bool { return a-b < fadesUnsaid && b-a < fadesUnsaid }
-	return said.Calls == share.Calls && said.Unread == share.Unread && near(said.Failed, share.Failed) && near(said.Answered, share.Answered)
+func alreadySent(sent, load dispatch.Share) bool {
+	near := func(a, b int) bool { return a-b < decayThreshold && b-a < decayThreshold }
+	return sent.Calls == load.Calls && sent.Unread == load.Unread && near(sent.Failed, load.Failed) && near(sent.Answered, load.Answered)
 }
 
-// Copy is a sum as it was told.
-type Copy struct {
-	shares Shares
+// DeltaReceiver holds a received total.
+type DeltaReceiver struct {
+	loads ServerLoads
 }
 
-// Apply takes what was told.
-func (copied *Copy) Apply(whole bool, told Shares) {
-	if whole || copied.shares == nil {
-		copied.shares = Shares{}
+// Apply applies received changes, or replaces the total if full is set.
+func (receiver *DeltaReceiver) Apply(full bool, changed ServerLoads) {
+	if full || receiver.loads == nil {
+		receiver.loads = ServerLoads{}
 	}
-	for server, share := range told {
-		if share == (dispatch.Share{}) {
-			delete(copied.shares, server)
+	for server, load := range changed {
+		if load == (dispatch.Share{}) {
+			delete(receiver.loads, server)
 			continue
 		}
-		copied.shares[server] = share
+		receiver.loads[server] = load
 	}
 }
 
-// Shares returns a copy of the sum.
-func (copied *Copy) Shares() Shares {
-	shares := make(Shares, len(copied.shares))
-	Add(shares, copied.shares)
-	return shares
+// Loads returns a copy of the total.
+func (receiver *DeltaReceiver) Loads() ServerLoads {
+	loads := make(ServerLoads, len(receiver.loads))
+	Add(loads, receiver.loads)
+	return loads
 }
--- a/internal/fleet/tally/tally_test.go
+++ b/internal/fleet/tally/tally_test.go
@@ -11,61 +11,60 @@
 	"hazelslip/internal/policy/dispatch"
 )
 
-func TestOwnPartIsTakenOff(t *testing.T) {
+func TestSubtractRemovesOwnLoad(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	sum := tally.Shares{}
-	tally.Add(sum, tally.Shares{"a": {Calls: 3, Unread: 700}, "b": {Calls: 1}})
-	tally.Add(sum, tally.Shares{"a": {Calls: 2, Unread: 300}})
-	rest := tally.Less(sum, tally.Shares{"a": {Calls: 2, Unread: 900}, "b": {Calls: 1}})
-	expect.Expect(rest).To(gomega.Equal(tally.Shares{"a": dispatch.Share{Calls: 3, Unread: 100}}))
+	total := tally.ServerLoads{}
+	tally.Add(total, tally.ServerLoads{"a": {Calls: 3, Unread: 700}, "b": {Calls: 1}})
+	tally.Add(total, tally.ServerLoads{"a": {Calls: 2, Unread: 300}})
+	rest := tally.Subtract(total, tally.ServerLoads{"a": {Calls: 2, Unread: 900}, "b": {Calls: 1}})
+	expect.Expect(rest).To(gomega.Equal(tally.ServerLoads{"a": dispatch.Share{Calls: 3, Unread: 100}}))
 }
 
-// Three reports are on the way when a sum comes back that includes the first one
-// only. With the newest report taken off, calls that ended meanwhile would count as
-// others', and new ones would be taken off twice.
-func TestTheReportThatIsIncludedIsTakenOff(t *testing.T) {
+// Guards against subtracting the wrong report. A total arrives that includes only the first of three reports. If the
+// newest report were subtracted, calls that ended meanwhile would count as other nodes' calls, and new calls would be
+// subtracted although the total lacks them.
+func TestIncludedReportIsSubtracted(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	reports := &tally.Reports{}
-	first := reports.Add(tally.Shares{"a": {Calls: 5}})
-	reports.Add(tally.Shares{"a": {Calls: 1}})
-	reports.Add(tally.Shares{})
-	expect.Expect(tally.Less(tally.Shares{"a": {Calls: 9}}, reports.At(first))).To(gomega.Equal(tally.Shares{"a": {Calls: 4}}))
-	expect.Expect(reports.At(0)).To(gomega.BeNil())
+	first := reports.Add(tally.ServerLoads{"a": {Calls: 5}})
+	reports.Add(tally.ServerLoads{"a": {Calls: 1}})
+	reports.Add(tally.ServerLoads{})
+	expect.Expect(tally.Subtract(tally.ServerLoads{"a": {Calls: 9}}, reports.Find(first))).To(gomega.Equal(tally.ServerLoads{"a": {Calls: 4}}))
+	expect.Expect(reports.Find(0)).To(gomega.BeNil())
 	for range 20 {
-		reports.Add(tally.Shares{})
+		reports.Add(tally.ServerLoads{})
 	}
-	expect.Expect(reports.At(first)).To(gomega.BeNil())
+	expect.Expect(reports.Find(first)).To(gomega.BeNil())
 }
 
-// Two relays tell each other their sums twenty times a second. Whatever calls begin
-// and end, the listener must come to the teller's sum, and a frame holds only what
-// changed.
-func TestChangesBringTheListenerToTheTellersSum(t *testing.T) {
+// Two relays exchange totals twenty times a second. Whatever calls begin and end, the receiver's total must equal the
+// sender's, and a frame must contain only changes.
+func TestDeltasReproduceTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		changes, copied := &tally.Changes{}, &tally.Copy{}
+		sender, receiver := &tally.DeltaSender{}, &tally.DeltaReceiver{}
 		for range rapid.IntRange(1, 20).Draw(t, "frames") {
-			sum := tally.Shares{}
+			total := tally.ServerLoads{}
 			for _, server := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.ID).Draw(t, "servers") {
-				sum[server] = dispatch.Share{Calls: rapid.IntRange(1, 3).Draw(t, "calls"), Unread: rapid.IntRange(0, 2).Draw(t, "unread")}
+				total[server] = dispatch.Share{Calls: rapid.IntRange(1, 3).Draw(t, "calls"), Unread: rapid.IntRange(0, 2).Draw(t, "unread")}
 			}
-			told, whole := changes.Next(sum)
-			copied.Apply(whole, told)
-			if !reflect.DeepEqual(copied.Shares(), sum) {
-				t.Fatalf("%v in place of %v", copied.Shares(), sum)
+			changed, full := sender.Next(total)
+			receiver.Apply(full, changed)
+			if !reflect.DeepEqual(receiver.Loads(), total) {
+				t.Fatalf("received total is %v, want %v", receiver.Loads(), total)
 			}
-			if again, _ := changes.Next(sum); len(again) != 0 {
-				t.Fatalf("%v was told again", again)
+			if again, _ := sender.Next(total); len(again) != 0 {
+				t.Fatalf("%v was sent again without a change", again)
 			}
 		}
 	})
 }
 
-func TestCountsThatOnlyFadeAreNotToldAgain(t *testing.T) {
+func TestDecayBelowThresholdIsNotSent(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	changes := &tally.Changes{}
-	changes.Next(tally.Shares{"a": {Failed: 200, Answered: 400}})
-	told, _ := changes.Next(tally.Shares{"a": {Failed: 190, Answered: 380}})
-	expect.Expect(told).To(gomega.BeEmpty())
-	told, _ = changes.Next(tally.Shares{"a": {Failed: 170, Answered: 340}})
-	expect.Expect(told).To(gomega.HaveLen(1))
+	sender := &tally.DeltaSender{}
+	sender.Next(tally.ServerLoads{"a": {Failed: 200, Answered: 400}})
+	changed, _ := sender.Next(tally.ServerLoads{"a": {Failed: 190, Answered: 380}})
+	expect.Expect(changed).To(gomega.BeEmpty())
+	changed, _ = sender.Next(tally.ServerLoads{"a": {Failed: 170, Answered: 340}})
+	expect.Expect(changed).To(gomega.HaveLen(1))
 }
--- a/internal/fleet/tenure/tenure.go
+++ b/internal/fleet/tenure/tenure.go
@@ -1,24 +1,24 @@
-// Package tenure decides which node gives orders to backend servers.
+// Package tenure elects the node that sends orders to backend servers, the leader.
 //
-// A node orders under a number, its term, that it gets from the platform's
-// store: the place of a record that it appends, so no two nodes get the same
-// and each is higher than all before. The store may come back from an older copy
-// and give places out again, so the era that the store was in is the term's highest
-// part: a node that claims after that outranks all that claimed before, whether or
-// not it has heard of them. The node that holds the highest term keeps it for as long as its peers hear it; nothing is renewed. When it falls
-// silent, the peer that comes first by rendezvous hashing takes the next term,
-// and the others after it one by one if it doesn't.
+// Each leader has a term: a number that fences its orders. Normally a node gets a term from the platform's store, by
+// appending a record: the term derives from the record's position, so no two nodes get the same term and each term is
+// higher than all earlier ones. When the store is restored from an older backup, it can assign the same positions
+// again. The term's highest part is therefore the store's era (its restore generation), so a node that claims a term
+// after a restore outranks all earlier leaders, whether or not it has heard of them.
 //
-// Two holders are possible, when nodes are cut off from each other. The servers
-// themselves then decide, since they refuse the lower number; see package
-// formation. So a node that can't reach the store may also make up a term,
-// between the highest that it knows and the next that the store would give.
+// The node with the highest term remains leader for as long as its peers hear from it; there is no renewal. When it
+// becomes unreachable, the peer that ranks first by rendezvous hashing takes the next term, and the other peers
+// follow one by one if that peer does not.
+//
+// A network partition can produce two leaders. The servers then decide, because they refuse orders under the lower
+// term; see package formation. So a node that cannot reach the store may also choose a term itself, between the
+// highest that it knows and the next one that the store would assign.
 //
 // # Usage
 //
-//	keeper := tenure.New(incarnation, claim, clock.Boot)
-//	keeper.Look(peers)
-//	if term := keeper.Term(); term != 0 { ... }
+//	elector := tenure.New(incarnation, claim, clock.Boot)
+//	elector.TryTakeOver(peers, eligible)
+//	if term := elector.Term(); term != 0 { ... }
 package tenure
 
 import (
@@ -32,186 +32,184 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// Peer is what a node last said.
+// Peer is the last announced state of another node.
 type Peer struct {
 	Incarnation uint64
-	// Term is what it holds, 0 for none.
+	// Term is the term that the peer holds, 0 for none.
 	Term int64
-	// Fit says that it knows enough to give orders.
-	Fit bool
+	// Eligible is set when the peer knows enough to send orders.
+	Eligible bool
 }
 
 const (
-	// Block is how many terms there are between two that the store gives. Those
-	// between are made up while the store is away.
-	Block = 1 << 18
-	// placesMost is how many terms the store gives in one of its eras. With the epochs
-	// of a term, those of 32 eras are whole numbers that any reader of JSON keeps.
-	placesMost = 1 << 14
-	// vacantFor is how long there must be no holder before the first candidate
-	// takes over: longer than one lost exchange, since a second holder costs
-	// orders that are refused.
-	vacantFor = 300 * time.Millisecond
-	// rankStep is how much longer each next candidate waits.
-	rankStep = 400 * time.Millisecond
-	// outdatedRest is how long a node whose term was refused waits before it
-	// may take another.
-	outdatedRest = 2 * time.Second
+	// TermSpacing is the distance between two consecutive terms that the store assigns. Nodes choose terms in between
+	// while the store is unavailable.
+	TermSpacing = 1 << 18
+	// maxPositionsPerEra is how many terms the store can assign per era. Together with the epochs derived from a
+	// term, the terms of 32 eras are integers that every JSON reader represents exactly.
+	maxPositionsPerEra = 1 << 14
+	// takeoverDelay is how long there must be no leader before the first candidate takes over. It is longer than one
+	// lost exchange with a peer, because a second leader causes refused orders.
+	takeoverDelay = 300 * time.Millisecond
+	// rankDelay is the additional wait of each further candidate.
+	rankDelay = 400 * time.Millisecond
+	// refusalCooldown is how long a node waits for a new term after a server refused its term.
+	refusalCooldown = 2 * time.Second
 )
 
-// Keeper holds this node's term.
-type Keeper struct {
+// Elector decides when this node becomes the leader, and holds its term.
+type Elector struct {
 	incarnation uint64
-	// claim gets a place in the store's order; it fails while that is away.
+	// claim appends a record to the store's log and returns the record's position. It fails while the store is
+	// unavailable.
 	claim func() (storelog.Position, error)
 	now   clock.Now
-	// draw returns a number from 0 to below the one given.
-	draw func(below int64) int64
+	// random returns a random number in [0, below).
+	random func(below int64) int64
 
 	term    atomic.Int64
 	highest atomic.Int64
 
-	mu          sync.Mutex
-	vacantSince time.Duration
-	vacant      bool
-	restUntil   time.Duration
+	mu              sync.Mutex
+	leaderlessSince time.Duration
+	leaderless      bool
+	cooldownUntil   time.Duration
 }
 
-// Option changes how a Keeper is built.
-type Option func(*Keeper)
+// Option configures an Elector.
+type Option func(*Elector)
 
-// Draw sets what terms are made up from.
-func Draw(draw func(below int64) int64) Option {
-	return func(keeper *Keeper) { keeper.draw = draw }
+// Random sets the source of randomness for terms that the node chooses itself.
+func Random(random func(below int64) int64) Option {
+	return func(elector *Elector) { elector.random = random }
 }
 
-// New returns a keeper without a term.
-func New(incarnation uint64, claim func() (storelog.Position, error), now clock.Now, options ...Option) *Keeper {
-	keeper := &Keeper{incarnation: incarnation, claim: claim, now: now, draw: rand.Int64N}
+// New returns an elector without a term.
+func New(incarnation uint64, claim func() (storelog.Position, error), now clock.Now, options ...Option) *Elector {
+	elector := &Elector{incarnation: incarnation, claim: claim, now: now, random: rand.Int64N}
 	for _, option := range options {
-		option(keeper)
+		option(elector)
 	}
-	return keeper
+	return elector
 }
 
 // Term returns the term that this node holds, 0 for none.
-func (keeper *Keeper) Term() int64 {
-	return keeper.term.Load()
+func (elector *Elector) Term() int64 {
+	return elector.term.Load()
 }
 
 // Highest returns the highest term that this node has heard of.
-func (keeper *Keeper) Highest() int64 {
-	return keeper.highest.Load()
+func (elector *Elector) Highest() int64 {
+	return elector.highest.Load()
 }
 
-// Heard takes a term that was seen anywhere. A holder that hears of a higher
-// one stands down.
-func (keeper *Keeper) Heard(term int64) {
+// Observe records a term of any node. A leader gives up its own term when it observes a higher one.
+func (elector *Elector) Observe(term int64) {
 	for {
-		held := keeper.highest.Load()
-		if term <= held || keeper.highest.CompareAndSwap(held, term) {
+		highest := elector.highest.Load()
+		if term <= highest || elector.highest.CompareAndSwap(highest, term) {
 			break
 		}
 	}
-	if held := keeper.term.Load(); held != 0 && held < term {
-		keeper.term.CompareAndSwap(held, 0)
+	if own := elector.term.Load(); own != 0 && own < term {
+		elector.term.CompareAndSwap(own, 0)
 	}
 }
 
-// Outdated is told that a server refused a term. The node gives no more orders
-// under it, and takes a new one only after a rest: another node orders.
-func (keeper *Keeper) Outdated(term int64) {
-	if !keeper.term.CompareAndSwap(term, 0) {
+// HandleRefusal is called when a server refused a term, which means that another node is the leader. The node sends
+// no more orders under that term, and takes a new term only after refusalCooldown.
+func (elector *Elector) HandleRefusal(term int64) {
+	if !elector.term.CompareAndSwap(term, 0) {
 		return
 	}
-	keeper.mu.Lock()
-	defer keeper.mu.Unlock()
-	keeper.restUntil = keeper.now() + outdatedRest
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
+	elector.cooldownUntil = elector.now() + refusalCooldown
 }
 
-// Look decides whether this node should take a term, and takes it. Peers are
-// those that were heard lately; fit says whether this node could give orders.
-// It returns true when it took one.
-func (keeper *Keeper) Look(peers []Peer, fit bool) bool {
-	held := keeper.Term() != 0
+// TryTakeOver takes a new term if it is this node's turn, and returns true if it took one. Peers are the nodes heard
+// from recently; eligible says whether this node is able to send orders.
+func (elector *Elector) TryTakeOver(peers []Peer, eligible bool) bool {
+	hasLeader := elector.Term() != 0
 	for _, peer := range peers {
-		keeper.Heard(peer.Term)
-		held = held || peer.Term != 0
+		elector.Observe(peer.Term)
+		hasLeader = hasLeader || peer.Term != 0
 	}
-	if !keeper.due(held, peers, fit) {
+	if !elector.takeoverDue(hasLeader, peers, eligible) {
 		return false
 	}
-	return keeper.take(keeper.next())
+	return elector.adopt(elector.nextTerm())
 }
 
-// take makes a term this node's own, unless a higher one was heard of in the
-// meantime: asking the store may take a while, and another node may have taken
-// over. Two holders of one term could not be told apart by the servers.
-func (keeper *Keeper) take(term int64) bool {
+// adopt makes a term this node's own, unless the node has meanwhile heard of that term or a higher one. Claiming a
+// position in the store may take a while, and another node may have become the leader. The servers could not tell
+// apart two leaders with the same term.
+func (elector *Elector) adopt(term int64) bool {
 	for {
-		highest := keeper.highest.Load()
+		highest := elector.highest.Load()
 		if term <= highest {
 			return false
 		}
-		if keeper.highest.CompareAndSwap(highest, term) {
+		if elector.highest.CompareAndSwap(highest, term) {
 			break
 		}
 	}
-	keeper.term.Store(term)
+	elector.term.Store(term)
 	return true
 }
 
-// due says whether this node's time to take over has come.
-func (keeper *Keeper) due(held bool, peers []Peer, fit bool) bool {
-	keeper.mu.Lock()
-	defer keeper.mu.Unlock()
-	now := keeper.now()
-	if held || !fit {
-		keeper.vacant = false
+// takeoverDue reports whether this node should take over now.
+func (elector *Elector) takeoverDue(hasLeader bool, peers []Peer, eligible bool) bool {
+	elector.mu.Lock()
+	defer elector.mu.Unlock()
+	now := elector.now()
+	if hasLeader || !eligible {
+		elector.leaderless = false
 		return false
 	}
-	if !keeper.vacant {
-		keeper.vacant, keeper.vacantSince = true, now
+	if !elector.leaderless {
+		elector.leaderless, elector.leaderlessSince = true, now
 	}
-	if now < keeper.restUntil {
+	if now < elector.cooldownUntil {
 		return false
 	}
-	return now-keeper.vacantSince >= vacantFor+time.Duration(keeper.rank(peers))*rankStep
+	return now-elector.leaderlessSince >= takeoverDelay+time.Duration(elector.rank(peers))*rankDelay
 }
 
-// rank returns how many candidates come before this node.
-func (keeper *Keeper) rank(peers []Peer) int {
-	candidates := []uint64{keeper.incarnation}
+// rank returns the number of candidates ahead of this node.
+func (elector *Elector) rank(peers []Peer) int {
+	candidates := []uint64{elector.incarnation}
 	for _, peer := range peers {
-		if peer.Fit {
+		if peer.Eligible {
 			candidates = append(candidates, peer.Incarnation)
 		}
 	}
-	return rendezvous.Rank(duty, keeper.incarnation, candidates)
+	return rendezvous.Rank(rendezvousKey, elector.incarnation, candidates)
 }
 
-const duty = "orders"
+const rendezvousKey = "orders"
 
-// next returns a term above all that were known when it was called.
-func (keeper *Keeper) next() int64 {
-	highest := keeper.highest.Load()
-	place, err := keeper.claim()
-	if term := termAt(place); err == nil && term > highest {
+// nextTerm returns a term above all that were known at the time of the call: the one that the store assigns, or a
+// locally chosen one if the store is unavailable or its term is not higher.
+func (elector *Elector) nextTerm() int64 {
+	highest := elector.highest.Load()
+	position, err := elector.claim()
+	if term := termFor(position); err == nil && term > highest {
 		return term
 	}
-	return highest + 1 + keeper.draw(madeUp)
+	return highest + 1 + elector.random(localTermRange)
 }
 
-// termAt returns the term of a place in the store's order, 0 for one that lies beyond
-// those that an era has: it would be one of the next era's.
-func termAt(place storelog.Position) int64 {
-	if !place.Known() || place.Offset+1 >= placesMost {
+// termFor returns the term that corresponds to a position in the store's log. It returns 0 for a position beyond
+// maxPositionsPerEra, whose term would fall into the next era.
+func termFor(position storelog.Position) int64 {
+	if !position.Known() || position.Offset+1 >= maxPositionsPerEra {
 		return 0
 	}
-	return (place.Era*placesMost + place.Offset + 1) * Block
+	return (position.Era*maxPositionsPerEra + position.Offset + 1) * TermSpacing
 }
 
-// madeUp is how far above the highest known a made-up term may lie. Two nodes
-// that can reach neither the store nor each other should not draw the same,
-// and a few changes of hands should fit below the store's next.
-const madeUp = Block / 4
+// localTermRange is how far above the highest known term a locally chosen term may lie. It is wide, so that two nodes
+// that can reach neither the store nor each other are unlikely to choose the same term, and narrow enough that
+// several such terms fit below the next one that the store assigns.
+const localTermRange = TermSpacing / 4
--- a/internal/fleet/tenure/tenure_test.go
+++ b/internal/fleet/tenure/tenure_test.go
@@ -13,93 +13,92 @@
 	"hazelslip/internal/state/storelog"
 )
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("store unavailable")
 
-// look lets some time pass, looking as often as a node does.
-func look(keeper *tenure.Keeper, peers []tenure.Peer, span time.Duration) bool {
-	for began := time.Now(); time.Since(began) < span; time.Sleep(100 * time.Millisecond) {
-		if keeper.Look(peers, true) {
+// tryFor calls TryTakeOver as often as a node does, until it succeeds or the span has passed.
+func tryFor(elector *tenure.Elector, peers []tenure.Peer, span time.Duration) bool {
+	for start := time.Now(); time.Since(start) < span; time.Sleep(100 * time.Millisecond) {
+		if elector.TryTakeOver(peers, true) {
 			return true
 		}
 	}
 	return false
 }
 
-func TestFirstCandidateTakesTheStoresNext(t *testing.T) {
+func TestFirstCandidateTakesNextTermOfStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		keeper := tenure.New(7, func() (storelog.Position, error) { return storelog.Position{Offset: 3}, nil }, clock.Virtual())
-		expect.Expect(look(keeper, nil, time.Second)).To(gomega.BeTrue())
-		expect.Expect(keeper.Term()).To(gomega.Equal(int64(4 * tenure.Block)))
+		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Position{Offset: 3}, nil }, clock.Virtual())
+		expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
+		expect.Expect(elector.Term()).To(gomega.Equal(int64(4 * tenure.TermSpacing)))
 	})
 }
 
-// The store is silent. While this node waits for its answer, a peer takes over
-// under a made-up term, and this node hears of it. It then took the highest term
-// that it knew for its own, two nodes ordered under one number, and a server was
-// joined to a group while its own served.
-func TestTermHeardWhileAskingTheStoreIsNotTaken(t *testing.T) {
+// Guards against two leaders with the same term. The store does not respond. While this node waits for the store, a
+// peer takes over under a locally chosen term, and this node hears of it. The node used to adopt the highest term
+// that it knew, so both nodes sent orders under one term, and a server was joined to a group while its own group
+// served.
+func TestTermObservedDuringClaimIsNotAdopted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		var keeper *tenure.Keeper
-		keeper = tenure.New(7, func() (storelog.Position, error) {
-			keeper.Heard(9000)
-			return storelog.Nowhere, errAway
+		var elector *tenure.Elector
+		elector = tenure.New(7, func() (storelog.Position, error) {
+			elector.Observe(9000)
+			return storelog.Nowhere, errUnavailable
 		}, clock.Virtual())
-		keeper.Heard(100)
-		look(keeper, nil, 500*time.Millisecond)
-		expect.Expect(keeper.Term()).NotTo(gomega.Equal(int64(9000)))
+		elector.Observe(100)
+		tryFor(elector, nil, 500*time.Millisecond)
+		expect.Expect(elector.Term()).NotTo(gomega.Equal(int64(9000)))
 	})
 }
 
-func TestNobodyTakesOverWhileAHolderIsHeard(t *testing.T) {
+func TestNoTakeoverWhileLeaderIsHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		keeper := tenure.New(7, func() (storelog.Position, error) { return storelog.Position{Offset: 3}, nil }, clock.Virtual())
-		holder := []tenure.Peer{{Incarnation: 9, Term: 4096, Fit: true}}
-		expect.Expect(look(keeper, holder, 5*time.Second)).To(gomega.BeFalse())
-		expect.Expect(look(keeper, []tenure.Peer{{Incarnation: 9, Fit: false}}, 2*time.Second)).To(gomega.BeTrue())
+		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Position{Offset: 3}, nil }, clock.Virtual())
+		leaders := []tenure.Peer{{Incarnation: 9, Term: 4096, Eligible: true}}
+		expect.Expect(tryFor(elector, leaders, 5*time.Second)).To(gomega.BeFalse())
+		expect.Expect(tryFor(elector, []tenure.Peer{{Incarnation: 9, Eligible: false}}, 2*time.Second)).To(gomega.BeTrue())
 	})
 }
 
-func TestHolderStandsDownForAHigherTerm(t *testing.T) {
+func TestLeaderStepsDownForHigherTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		keeper := tenure.New(7, func() (storelog.Position, error) { return storelog.Nowhere, errAway }, clock.Virtual())
-		expect.Expect(look(keeper, nil, time.Second)).To(gomega.BeTrue())
-		keeper.Heard(keeper.Term() + 1)
-		expect.Expect(keeper.Term()).To(gomega.BeZero())
+		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Nowhere, errUnavailable }, clock.Virtual())
+		expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
+		elector.Observe(elector.Term() + 1)
+		expect.Expect(elector.Term()).To(gomega.BeZero())
 	})
 }
 
-// A server refuses the term: another node orders. The node rests before it may
-// take another, and then takes a higher one.
-func TestRefusedTermIsGivenUpForAWhile(t *testing.T) {
+// When a server refuses the term, another node is the leader. The node waits before it takes another term, which is
+// then higher.
+func TestRefusedTermStartsCooldown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		keeper := tenure.New(7, func() (storelog.Position, error) { return storelog.Nowhere, errAway }, clock.Virtual())
-		expect.Expect(look(keeper, nil, time.Second)).To(gomega.BeTrue())
-		first := keeper.Term()
-		keeper.Outdated(first)
-		expect.Expect(look(keeper, nil, 1500*time.Millisecond)).To(gomega.BeFalse())
-		expect.Expect(look(keeper, nil, 2*time.Second)).To(gomega.BeTrue())
-		expect.Expect(keeper.Term()).To(gomega.BeNumerically(">", first))
+		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Nowhere, errUnavailable }, clock.Virtual())
+		expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
+		first := elector.Term()
+		elector.HandleRefusal(first)
+		expect.Expect(tryFor(elector, nil, 1500*time.Millisecond)).To(gomega.BeFalse())
+		expect.Expect(tryFor(elector, nil, 2*time.Second)).To(gomega.BeTrue())
+		expect.Expect(elector.Term()).To(gomega.BeNumerically(">", first))
 	})
 }
 
-// The store comes back from an older copy and gives places out again. A node that has
-// not heard of the node that held one of them gets the same place, and the servers
-// couldn't tell their orders apart.
-func TestPlaceGivenOutAgainIsAnotherTerm(t *testing.T) {
+// Guards against two leaders that servers cannot tell apart. The store is restored from an older backup and assigns
+// positions again. A node that has not heard of the earlier leader gets the same position.
+func TestReassignedPositionYieldsNewTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		terms := []int64{}
 		for era := range int64(3) {
-			keeper := tenure.New(uint64(era), func() (storelog.Position, error) { return storelog.Position{Era: era, Offset: 2 - era}, nil }, clock.Virtual())
-			expect.Expect(look(keeper, nil, time.Second)).To(gomega.BeTrue())
-			terms = append(terms, keeper.Term())
+			elector := tenure.New(uint64(era), func() (storelog.Position, error) { return storelog.Position{Era: era, Offset: 2 - era}, nil }, clock.Virtual())
+			expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
+			terms = append(terms, elector.Term())
 		}
-		expect.Expect(terms[1]).To(gomega.BeNumerically(">", terms[0]+tenure.Block))
-		expect.Expect(terms[2]).To(gomega.BeNumerically(">", terms[1]+tenure.Block))
+		expect.Expect(terms[1]).To(gomega.BeNumerically(">", terms[0]+tenure.TermSpacing))
+		expect.Expect(terms[2]).To(gomega.BeNumerically(">", terms[1]+tenure.TermSpacing))
 	})
 }
--- a/internal/fleet/tree/tree_test.go
+++ b/internal/fleet/tree/tree_test.go
@@ -23,44 +23,44 @@
 	return members
 }
 
-// All nodes must come to the same order whatever order they heard of each other
-// in: else two of them attach to each other, and nobody tells either.
-func TestAllNodesOrderAlike(t *testing.T) {
+// All nodes must compute the same order, whatever order they learned of each other in. Otherwise two nodes could
+// attach to each other, and neither would receive updates.
+func TestOrderIsIndependentOfInputOrder(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	members := fleet(60)
 	sorted := tree.Order(members)
 	for seed := range uint64(50) {
-		mixed := slices.Clone(members)
-		rand.New(rand.NewPCG(seed, 1)).Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-		expect.Expect(tree.Order(mixed)).To(gomega.Equal(sorted))
+		shuffled := slices.Clone(members)
+		rand.New(rand.NewPCG(seed, 1)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+		expect.Expect(tree.Order(shuffled)).To(gomega.Equal(sorted))
 	}
 }
 
-func TestNobodyAttachesToANodeBehindIt(t *testing.T) {
+func TestNodesAttachOnlyToEarlierNodes(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	members := fleet(40)
 	sorted := tree.Order(members)
 	for number, member := range sorted {
-		place := tree.PlaceOf(member, members, tree.Relays)
-		expect.Expect(place.Relay).To(gomega.Equal(number < tree.Relays))
-		for _, above := range place.Above {
-			at := slices.IndexFunc(sorted, func(other tree.Member) bool { return other.Address == above })
-			expect.Expect(at).To(gomega.BeNumerically("<", number))
+		position := tree.PositionOf(member, members, tree.Relays)
+		expect.Expect(position.Relay).To(gomega.Equal(number < tree.Relays))
+		for _, upstream := range position.Upstreams {
+			index := slices.IndexFunc(sorted, func(other tree.Member) bool { return other.Address == upstream })
+			expect.Expect(index).To(gomega.BeNumerically("<", number))
 		}
 	}
-	expect.Expect(tree.PlaceOf(sorted[0], members, tree.Relays).Above).To(gomega.BeEmpty())
+	expect.Expect(tree.PositionOf(sorted[0], members, tree.Relays).Upstreams).To(gomega.BeEmpty())
 }
 
-// A relay answers each of its leaves several times a second; one that had them
-// all would answer for the others while these are idle.
+// A relay serves each of its leaves several times a second. Guards against one relay that serves all leaves while the
+// other relays are idle.
 func TestLeavesSpreadOverTheRelays(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	members := fleet(60)
 	counts := map[string]int{}
 	for _, member := range members {
-		if place := tree.PlaceOf(member, members, tree.Relays); !place.Relay {
-			expect.Expect(place.Above).To(gomega.HaveLen(min(6, slices.Index(addresses(tree.Order(members)), member.Address))))
-			counts[place.Above[0]]++
+		if position := tree.PositionOf(member, members, tree.Relays); !position.Relay {
+			expect.Expect(position.Upstreams).To(gomega.HaveLen(min(6, slices.Index(addresses(tree.Order(members)), member.Address))))
+			counts[position.Upstreams[0]]++
 		}
 	}
 	expect.Expect(counts).To(gomega.HaveLen(3))
@@ -69,13 +69,13 @@
 	}
 }
 
-// The three strong nodes of a data centre are gone for good. The next ones take
-// their place by everybody's sight, once nobody counts those that are gone.
-func TestNextNodesAreRelaysWhereTheFirstAreGone(t *testing.T) {
+// Guards against a data centre without relays. When its three strongest nodes are gone for good and no node counts
+// them any more, all nodes must take the next three as relays.
+func TestNextNodesBecomeRelays(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	left := tree.Order(fleet(20))[3:]
-	expect.Expect(tree.PlaceOf(left[0], left, tree.Relays)).To(gomega.Equal(tree.Place{Relay: true}))
-	expect.Expect(tree.PlaceOf(left[7], left, tree.Relays).Above).To(gomega.ContainElements(left[0].Address, left[1].Address, left[2].Address))
+	remaining := tree.Order(fleet(20))[3:]
+	expect.Expect(tree.PositionOf(remaining[0], remaining, tree.Relays)).To(gomega.Equal(tree.Position{Relay: true}))
+	expect.Expect(tree.PositionOf(remaining[7], remaining, tree.Relays).Upstreams).To(gomega.ContainElements(remaining[0].Address, remaining[1].Address, remaining[2].Address))
 }
 
 func addresses(members []tree.Member) []string {
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -89,7 +89,7 @@
 	// holding is what was seen of the calls of the target's pool, nil for a plain server.
 	holding *holding
 	// drain is the mark of the target's data centre.
-	drain *drain.Mark
+	drain *drain.Status
 	// goneAt is when the target was first in no pool, 0 while it is in one; the
 	// board's lock guards it.
 	goneAt time.Duration
@@ -166,7 +166,7 @@
 	ways       *reach.Ways
 	// idle says whether there is an open connection to an address that carries no call.
 	idle  func(address string) bool
-	drain func(dataCentre string) *drain.Mark
+	drain func(dataCentre string) *drain.Status
 	// incarnation and nodes decide this node's part of what a cold server bears.
 	incarnation uint64
 	nodes       func() int
@@ -210,7 +210,7 @@
 }
 
 // Drains sets the marks of data centres.
-func Drains(mark func(dataCentre string) *drain.Mark) Option {
+func Drains(mark func(dataCentre string) *drain.Status) Option {
 	return func(board *Board) { board.drain = mark }
 }
 
@@ -245,7 +245,7 @@
 func New(options ...Option) *Board {
 	board := &Board{
 		random: rand.IntN, now: clock.Boot, record: notice.New(ratelimit.New()).Record, known: map[string]*Target{}, holdings: map[string]*holding{},
-		idle: func(string) bool { return false }, drain: drain.New().Mark, nodes: func() int { return 1 }, counted: func() int { return 1 },
+		idle: func(string) bool { return false }, drain: drain.New().Status, nodes: func() int { return 1 }, counted: func() int { return 1 },
 	}
 	board.layout.Store(&layout{})
 	for _, option := range options {
@@ -415,7 +415,7 @@
 func Apart(spec Spec, now clock.Now) *Target {
 	notices := notice.New(ratelimit.New(ratelimit.Clock(now)), notice.Clock(now))
 	return &Target{
-		Spec: spec, drain: drain.New().Mark(spec.DataCentre),
+		Spec: spec, drain: drain.New().Status(spec.DataCentre),
 		load: &load{now: now, record: notices.Record(spec.serverRun()), uses: map[*Use]struct{}{}},
 	}
 }
--- a/internal/policy/dispatch/drain_test.go
+++ b/internal/policy/dispatch/drain_test.go
@@ -19,7 +19,7 @@
 	at := time.Minute
 	now := func() time.Duration { return at }
 	table := drain.New(drain.Clock(now))
-	board := dispatch.New(dispatch.Clock(now), dispatch.Drains(table.Mark))
+	board := dispatch.New(dispatch.Clock(now), dispatch.Drains(table.Status))
 	one, other := head("a"), head("b")
 	one.DataCentre, other.DataCentre = "north", "south"
 	for _, spec := range []*dispatch.Spec{&one, &other} {
@@ -30,7 +30,7 @@
 }
 
 func drainNorth(table *drain.Table, offset int64, drained bool) {
-	table.Told([]drain.Record{{DataCentre: "north", Position: storelog.Position{Offset: offset}, Drained: drained}})
+	table.Merge([]drain.Record{{DataCentre: "north", Position: storelog.Position{Offset: offset}, Drained: drained}})
 }
 
 // Guards against calls to a drained data centre that is near, and against waiting for it.
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -52,7 +52,7 @@
 		return peers.sums
 	}
 	own := peers.node.board.Shares()
-	inside, others := tally.Shares{}, tally.Shares{}
+	inside, others := tally.ServerLoads{}, tally.ServerLoads{}
 	insideNodes, outsideNodes := 1, 0
 	for link, channel := range peers.channels {
 		tally.Add(others, channel.shares)
@@ -95,7 +95,7 @@
 		peers.addDemands(told, channel, &added.demands)
 		return told
 	}
-	everywhere := tally.Shares{}
+	everywhere := tally.ServerLoads{}
 	tally.Add(everywhere, added.others)
 	tally.Add(everywhere, added.own)
 	told.Included = channel.sequence
@@ -106,7 +106,7 @@
 }
 
 // addLoads tells what changed in a sum since the last frame over the link.
-func (peers *peers) addLoads(told *frame.Frame, channel *channel, sum tally.Shares) {
+func (peers *peers) addLoads(told *frame.Frame, channel *channel, sum tally.ServerLoads) {
 	changes, whole := channel.telling.Next(sum)
 	told.Loads, told.LoadsWhole = loadsOf(changes), whole
 }
@@ -192,14 +192,14 @@
 }
 
 func catalogueToWire(delta catalogue.Delta) *frame.Catalogue {
-	told := &frame.Catalogue{Whole: delta.Whole, Lost: delta.Lost}
+	told := &frame.Catalogue{Whole: delta.Full, Lost: delta.Lost}
 	for _, number := range delta.Removed {
 		told.Removed = append(told.Removed, uint32(number))
 	}
 	for _, numbered := range delta.Rows {
 		row := &numbered.Row
 		told.Rows = append(told.Rows, &frame.Row{
-			Number: uint32(numbered.Number), Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
+			Number: uint32(numbered.Index), Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
 			Group: row.Group, Service: row.Service, Model: row.Model, Slots: uint32(row.Slots), Cold: row.Cold,
 		})
 	}
@@ -207,12 +207,12 @@
 }
 
 func catalogueFromWire(told *frame.Catalogue) catalogue.Delta {
-	delta := catalogue.Delta{Whole: told.Whole, Lost: told.Lost}
+	delta := catalogue.Delta{Full: told.Whole, Lost: told.Lost}
 	for _, number := range told.Removed {
 		delta.Removed = append(delta.Removed, int(number))
 	}
 	for _, row := range told.Rows {
-		delta.Rows = append(delta.Rows, catalogue.Numbered{Number: int(row.Number), Row: catalogue.Row{
+		delta.Rows = append(delta.Rows, catalogue.IndexedRow{Index: int(row.Number), Row: catalogue.Row{
 			Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
 			Group: row.Group, Service: row.Service, Model: row.Model, Slots: int(row.Slots), Cold: row.Cold,
 		}})
@@ -249,9 +249,9 @@
 func (peers *peers) lackedRecords(channel *channel) []roster.Record {
 	var records []roster.Record
 	if channel.listSent == 0 {
-		records, channel.listSent = peers.node.servers.After(channel.listFrom)
+		records, channel.listSent = peers.node.servers.MissingAfter(channel.listFrom)
 	} else {
-		records, channel.listSent = peers.node.servers.Since(channel.listSent)
+		records, channel.listSent = peers.node.servers.ChangedSince(channel.listSent)
 	}
 	return records
 }
@@ -266,7 +266,7 @@
 }
 
 // loadsOf encodes what nodes have at servers.
-func loadsOf(shares tally.Shares) []*frame.Load {
+func loadsOf(shares tally.ServerLoads) []*frame.Load {
 	loads := make([]*frame.Load, 0, len(shares))
 	for server, share := range shares {
 		loads = append(loads, &frame.Load{
@@ -277,8 +277,8 @@
 	return loads
 }
 
-func sharesOf(loads []*frame.Load) tally.Shares {
-	shares := make(tally.Shares, len(loads))
+func sharesOf(loads []*frame.Load) tally.ServerLoads {
+	shares := make(tally.ServerLoads, len(loads))
 	for _, load := range loads {
 		shares[load.Server] = dispatch.Share{Calls: int(load.Calls), Unread: int(load.Unread), Failed: int(load.Failed), Answered: int(load.Answered)}
 	}
--- a/internal/run/gateway/drains.go
+++ b/internal/run/gateway/drains.go
@@ -26,7 +26,7 @@
 	if len(told) == 0 {
 		return
 	}
-	if changes := peers.node.drained.Told(drainsFromWire(told)); len(changes) > 0 {
+	if changes := peers.node.drained.Merge(drainsFromWire(told)); len(changes) > 0 {
 		peers.node.drainsChanged(changes, link.Remote.Address)
 	}
 }
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -89,7 +89,7 @@
 	cold          *warmup.Table
 	view          *formation.View
 	former        *formation.Former
-	keeper        *tenure.Keeper
+	keeper        *tenure.Elector
 	board         *dispatch.Board
 	demand        *demand.Demand
 	pool          *backendserver.Pool
@@ -194,7 +194,7 @@
 	node.detours = newDetours(node)
 	node.board = dispatch.New(dispatch.Clock(node.now), dispatch.DataCentre(settings.DataCentre), dispatch.Notices(node.notices), dispatch.Demands(node.demand), dispatch.Ways(node.detours.ways),
 		dispatch.Idle(func(address string) bool { return node.pool.Idle(address) }),
-		dispatch.Drains(node.drained.Mark), dispatch.Lots(node.Incarnation, func() int { return node.peers.nodes() }),
+		dispatch.Drains(node.drained.Status), dispatch.Lots(node.Incarnation, func() int { return node.peers.nodes() }),
 		dispatch.Counted(func() int { return int(node.peers.counted.Load()) }))
 	node.pool = backendserver.New(platform.Codec, node.poolOptions()...)
 	node.keeper = tenure.New(node.Incarnation, node.claim, node.now)
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -52,7 +52,7 @@
 
 // drains takes the servers that are draining out of the lists.
 func (node *Node) drains() {
-	node.servers.Refresh()
+	node.servers.RefreshDraining()
 	node.changed()
 }
 
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -44,7 +44,7 @@
 	// shares and nodes are what the other side told last, sequence the number of
 	// it. From the node above they are those of the whole fleet but for what this
 	// node reported.
-	shares tally.Shares
+	shares tally.ServerLoads
 	nodes  int
 	// calls counts those of other nodes, as a leaf is told.
 	calls     int
@@ -56,8 +56,8 @@
 	lost   []reach.Place
 	detour string
 	// telling and told are the two sides of a sum of which only the changes are sent.
-	telling tally.Changes
-	told    tally.Copy
+	telling tally.DeltaSender
+	told    tally.DeltaReceiver
 	// heardList says that the other side told how far it knows the list of servers,
 	// at first up to listFrom. listSent is the version of this node's list up to which
 	// it has been sent what it lacked, 0 for nothing yet. listAge is how old its list
@@ -70,12 +70,12 @@
 	// catalogueSent is the version of the catalogue that a leaf was told, copied
 	// what this node was told as a leaf.
 	catalogueSent uint64
-	copied        *catalogue.Copy
+	copied        *catalogue.Replica
 	// reported and reportedVersion are what this node reported last as a leaf, leafNews
 	// is a hash of what a leaf was told last.
 	toldLost        []reach.Place
 	toldDetour      bool
-	reported        tally.Shares
+	reported        tally.ServerLoads
 	reportedVersion int64
 	leafNews        uint64
 	// news and silences are to be told with the next frame, and what is known of
@@ -106,7 +106,7 @@
 	at time.Duration
 	// own is what this node has, inside what the nodes have that it speaks for,
 	// itself among them, and others what all other nodes of the fleet have.
-	own, inside, others tally.Shares
+	own, inside, others tally.ServerLoads
 	insideNodes         int
 	demands             demandSums
 	// nodes counts all of the fleet.
@@ -136,7 +136,7 @@
 	overlay   *overlay.Overlay
 	catalogue *catalogue.Catalogue
 	// rows is the catalogue that the node above tells, nil while none does.
-	rows atomic.Pointer[[]catalogue.Numbered]
+	rows atomic.Pointer[[]catalogue.IndexedRow]
 	// census counts the nodes that share budgets.
 	census census
 	// counted is how many nodes' calls are in the counts that this node has.
@@ -236,7 +236,7 @@
 // give no orders.
 func (peers *peers) changed(role overlay.Role) {
 	if term := peers.node.keeper.Term(); role == overlay.Leaf && term != 0 {
-		peers.node.keeper.Outdated(term)
+		peers.node.keeper.HandleRefusal(term)
 	}
 	peers.node.changed()
 	peers.node.follower.NewRole()
@@ -267,7 +267,7 @@
 	}
 	peers.lastNeighbour++
 	held = &channel{
-		link: link, shares: tally.Shares{}, copied: catalogue.NewCopy(), suspects: map[quarantine.Fingerprint]struct{}{},
+		link: link, shares: tally.ServerLoads{}, copied: catalogue.NewReplica(), suspects: map[quarantine.Fingerprint]struct{}{},
 		permits: newPermits(peers.lastNeighbour, peers.node.limits.All()), notices: map[ratelimit.Run]struct{}{},
 		paces: peers.node.board.SlowRuns(),
 	}
@@ -357,7 +357,7 @@
 	}
 	for link, channel := range peers.channels {
 		if link.Purpose == frame.Purpose_Root {
-			found = append(found, tenure.Peer{Incarnation: link.Incarnation, Fit: channel.fit && !peers.node.detours.lacksEngines(channel.lost)})
+			found = append(found, tenure.Peer{Incarnation: link.Incarnation, Eligible: channel.fit && !peers.node.detours.lacksEngines(channel.lost)})
 		}
 	}
 	return found
@@ -381,7 +381,7 @@
 	if told == nil {
 		return
 	}
-	peers.node.keeper.Heard(told.Term)
+	peers.node.keeper.Observe(told.Term)
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	held := &peers.holder
--- a/internal/run/gateway/start_test.go
+++ b/internal/run/gateway/start_test.go
@@ -15,7 +15,7 @@
 func TestNodeKnowsEnoughOnlyWithBoth(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	node := idleNode(t)
-	rows := []catalogue.Numbered{{Row: catalogue.Row{Server: "l-1", Address: "l-1:1", Service: "ledger", Slots: 6}}}
+	rows := []catalogue.IndexedRow{{Row: catalogue.Row{Server: "l-1", Address: "l-1:1", Service: "ledger", Slots: 6}}}
 	node.peers.rows.Store(&rows)
 	node.updateTargets()
 	expect.Expect(node.known).NotTo(gomega.BeClosed())
--- a/internal/run/gateway/stop.go
+++ b/internal/run/gateway/stop.go
@@ -25,7 +25,7 @@
 	began := node.now()
 	node.stopping.Store(true)
 	node.logger.Info("gateway: stopping.", "Name", node.settings.Name)
-	node.keeper.Outdated(node.keeper.Term())
+	node.keeper.HandleRefusal(node.keeper.Term())
 	node.peers.beat(0)
 	node.peers.overlay.Leave()
 	limit := node.settings.Bounds.Grace - endMargin
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -30,7 +30,7 @@
 
 // heardServer takes what an entry of the registry says.
 func (node *Node) heardServer(server *roster.Server) {
-	node.keeper.Heard(formation.TermOf(server.Group.Epoch))
+	node.keeper.Observe(formation.TermOf(server.Group.Epoch))
 	node.cold.Heard(ratelimit.Run{Server: server.ID, Born: server.Born}, server.Cold)
 }
 
--- a/internal/run/gateway/take.go
+++ b/internal/run/gateway/take.go
@@ -17,7 +17,7 @@
 // take takes a frame that came over a link.
 func (peers *peers) take(link *overlay.Link, received *frame.Frame) {
 	peers.takeDrains(link, received.Drains)
-	peers.node.keeper.Heard(received.HighestTerm)
+	peers.node.keeper.Observe(received.HighestTerm)
 	peers.heardHolder(received.Holder)
 	peers.heardVersion(link, received.ConfigurationVersion)
 	if received.ConfigurationAgeMs != nil {
@@ -70,9 +70,9 @@
 	channel.fit, channel.storeAway = received.Fit, received.StoreAway
 	channel.sequence = received.Sequence
 	channel.told.Apply(received.LoadsWhole, sharesOf(received.Loads))
-	shares, nodes := channel.told.Shares(), int(received.Nodes)
+	shares, nodes := channel.told.Loads(), int(received.Nodes)
 	if link.Upstream() {
-		shares = tally.Less(shares, channel.reports.At(received.Included))
+		shares = tally.Subtract(shares, channel.reports.Find(received.Included))
 		nodes = max(0, nodes-peers.sumsLocked().insideNodes)
 	}
 	channel.shares, channel.nodes = shares, nodes
@@ -153,12 +153,12 @@
 	calls, unread []uint32
 	failures      map[int]*frame.Failure
 	// own is what of it this node reported.
-	own tally.Shares
+	own tally.ServerLoads
 }
 
 func newCounts(channel *channel, received *frame.Frame) *counts {
 	found := &counts{
-		servers: channel.copied.Servers(), calls: received.Calls, unread: received.Unread, own: channel.reports.At(received.Included),
+		servers: channel.copied.Servers(), calls: received.Calls, unread: received.Unread, own: channel.reports.Find(received.Included),
 	}
 	if len(received.Failures) > 0 {
 		found.failures = make(map[int]*frame.Failure, len(received.Failures))
@@ -311,7 +311,7 @@
 }
 
 func recordToWire(record *roster.Record) *frame.ServerRecord {
-	told := &frame.ServerRecord{ID: record.ID, Position: record.Position.Offset, Era: record.Position.Era, Copied: record.Copied}
+	told := &frame.ServerRecord{ID: record.ID, Position: record.Position.Offset, Era: record.Position.Era, Copied: record.FromBackup}
 	if server := record.Server; server != nil {
 		told.Server = serverToWire(server)
 	}
@@ -319,7 +319,7 @@
 }
 
 func recordFromWire(told *frame.ServerRecord) roster.Record {
-	record := roster.Record{ID: told.ID, Position: storelog.Position{Era: told.Era, Offset: told.Position}, Copied: told.Copied}
+	record := roster.Record{ID: told.ID, Position: storelog.Position{Era: told.Era, Offset: told.Position}, FromBackup: told.Copied}
 	if told.Server != nil {
 		record.Server = serverFromWire(told.ID, told.Server)
 	}
--- a/internal/run/gateway/ways.go
+++ b/internal/run/gateway/ways.go
@@ -109,11 +109,11 @@
 // term would pass from one to the next.
 func (node *Node) yieldTerm(tenants []tenure.Peer) {
 	term := node.keeper.Term()
-	if term == 0 || !node.withoutEngines() || !slices.ContainsFunc(tenants, func(peer tenure.Peer) bool { return peer.Fit }) {
+	if term == 0 || !node.withoutEngines() || !slices.ContainsFunc(tenants, func(peer tenure.Peer) bool { return peer.Eligible }) {
 		return
 	}
 	node.logger.Warn("gateway: this node reaches no server and gives up giving orders.", "Term", term)
-	node.keeper.Outdated(term)
+	node.keeper.HandleRefusal(term)
 }
 
 // lostFor returns the ways that the other side of a link is told that this node has lost.
--- a/internal/run/gateway/work.go
+++ b/internal/run/gateway/work.go
@@ -75,7 +75,7 @@
 	for number := range rows {
 		row := &rows[number].Row
 		if spec, ok := node.spec(row); ok {
-			spec.Number = rows[number].Number
+			spec.Number = rows[number].Index
 			name := forward.PoolName(row.Service, row.Model)
 			pools[name] = append(pools[name], spec)
 		}
@@ -89,7 +89,7 @@
 
 // rows returns the servers that take calls: as the node above tells, or by the list
 // and the news of groups, which the leaves are then told of.
-func (node *Node) rows() []catalogue.Numbered {
+func (node *Node) rows() []catalogue.IndexedRow {
 	if told := node.peers.rows.Load(); told != nil && (node.peers.fed() || !node.servers.Load().Known()) {
 		return *told
 	}
@@ -326,7 +326,7 @@
 	node.newsLearnt.Add(1)
 	node.peers.tellNews(news, from)
 	if news.Change == formation.Lost {
-		node.peers.catalogue.Lose(news.Group.Name)
+		node.peers.catalogue.MarkLost(news.Group.Name)
 		node.peers.tellLeaves()
 		node.loseGroup(news.Group.Name)
 	}
@@ -346,7 +346,7 @@
 
 func (node *Node) outdated(term int64) {
 	node.logger.Warn("gateway: a server has seen a higher term; no more orders are given.", "Term", term)
-	node.keeper.Outdated(term)
+	node.keeper.HandleRefusal(term)
 }
 
 // lookTenure takes the right to give orders when it is this node's turn, and shows
@@ -356,7 +356,7 @@
 		node.now()-node.startedAt > bootWait && !node.withoutEngines()
 	tenants := node.peers.tenants()
 	node.yieldTerm(tenants)
-	if node.keeper.Look(tenants, fit) {
+	if node.keeper.TryTakeOver(tenants, fit) {
 		node.logger.Info("gateway: this node gives orders now.", "Term", node.keeper.Term())
 	}
 	node.peers.beat(node.keeper.Term())
