--- a/internal/fleet/drain/drain.go
+++ b/internal/fleet/drain/drain.go
@@ -125,9 +125,9 @@
 	return append(changes, table.mergeLocked(table.absentLocked(&update))...)
 }
 
-// absentLocked returns records that end the drains which are missing from the update and are over. In the update's
-// own era a drain is over when a complete update lacks it; a drain from an earlier era is over when it was not
-// written again within roster.ReregistrationTime.
+// absentLocked returns end records for the drains that are over because the update lacks them. A drain from the era of
+// the update is over when a complete update lacks it. A drain from an earlier era is over when it was not written again
+// within roster.ReregistrationTime.
 func (table *Table) absentLocked(update *Update) []Record {
 	rewriteTimeOver := update.ReadAt-table.eraStartedAt >= roster.ReregistrationTime
 	ended := []Record{}
--- a/internal/fleet/fabric/fabric.go
+++ b/internal/fleet/fabric/fabric.go
@@ -42,16 +42,16 @@
 }
 
 // Leaving reports whether the server should get no new work.
-func (server *ServerStatus) Leaving() bool {
-	return server.ListedLeaving || server.Report.Leaving
+func (status *ServerStatus) Leaving() bool {
+	return status.ListedLeaving || status.Report.Leaving
 }
 
 // Age returns the maximum age of the report.
-func (server *ServerStatus) Age(now time.Duration) time.Duration {
-	if server.RequestedAt == 0 {
+func (status *ServerStatus) Age(now time.Duration) time.Duration {
+	if status.RequestedAt == 0 {
 		return 1 << 62
 	}
-	return now - server.RequestedAt
+	return now - status.RequestedAt
 }
 
 // Snapshot holds the server statuses by domain, ordered by address. It is immutable.
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -63,8 +63,7 @@
 	FabricDomain string
 	// Staged lists the models whose weights are present on the server's host.
 	Staged []string
-	// Model is the model that the server runs, Size the size of its group. Model is empty and Size is 0 outside a
-	// group.
+	// Model is the model that the server runs, empty outside a group.
 	Model string
 	Group Membership
 }
@@ -149,7 +148,7 @@
 	// version increases with each entry that changes.
 	version uint64
 	// eraStart is the first position known in the era of the snapshot's end: records from there on do not come from
-	// the backup. eraStartedAt is when the node learned of that era.
+	// the backup. eraStartedAt is when the registry was first read in that era.
 	eraStart     storelog.Position
 	eraStartedAt time.Duration
 
@@ -329,8 +328,8 @@
 	return list.selectRecords(func(record *Record) bool { return record.version > version })
 }
 
-// MissingAfter returns the records that a peer lacks which knows the list up to a position, and the current version
-// of the list. Records of earlier eras are included, because the peer may have read only the backup.
+// MissingAfter returns the records missing on a peer that knows the list up to a position, and the current version of
+// the list. Records of earlier eras are included, because the peer may have read only the backup.
 func (list *List) MissingAfter(position storelog.Position) ([]Record, uint64) {
 	era := list.Load().End.Era
 	return list.selectRecords(func(record *Record) bool {
