--- a/internal/fleet/formation/fault_schedules_test.go
+++ b/internal/fleet/formation/fault_schedules_test.go
@@ -76,7 +76,7 @@
 type simulation struct {
 	fleet   *fleet
 	termLog *termLog
-	keepers []*tenure.Keeper
+	keepers []*tenure.Elector
 	stop    chan struct{}
 	done    sync.WaitGroup
 
@@ -94,12 +94,12 @@
 		simulation.fleet.world.Put(serverID(server), "small")
 	}
 	for index, node := range simulation.fleet.nodes {
-		var keeper *tenure.Keeper
+		var keeper *tenure.Elector
 		keeper = tenure.New(uint64(index)+1, func() (storelog.Position, error) { return simulation.termLog.claim(node.name) }, clock.Virtual(),
 			// One node's own terms are even and the other's odd. Two nodes that reach neither
 			// each other nor the store thus never choose the same term.
-			tenure.Draw(func(int64) int64 { return (keeper.Highest() + 1 + int64(index)) % 2 }))
-		node.onOutdated = keeper.Outdated
+			tenure.Random(func(int64) int64 { return (keeper.Highest() + 1 + int64(index)) % 2 }))
+		node.onOutdated = keeper.HandleRefusal
 		simulation.keepers = append(simulation.keepers, keeper)
 	}
 	for index := range simulation.keepers {
@@ -117,10 +117,10 @@
 	own, other := simulation.keepers[index], simulation.keepers[1-index]
 	for simulation.wait(20 * time.Millisecond) {
 		if !simulation.fleet.nodes[0].isolated.Load() {
-			own.Heard(other.Highest())
+			own.Observe(other.Highest())
 		}
 		for _, server := range simulation.fleet.nodes[index].list.Load().Servers {
-			own.Heard(formation.TermOf(server.Group.Epoch))
+			own.Observe(formation.TermOf(server.Group.Epoch))
 		}
 	}
 }
@@ -141,9 +141,9 @@
 	for simulation.wait(100 * time.Millisecond) {
 		peers := []tenure.Peer{}
 		if !simulation.fleet.nodes[0].isolated.Load() {
-			peers = append(peers, tenure.Peer{Incarnation: uint64(2 - index), Term: other.Term(), Fit: true})
+			peers = append(peers, tenure.Peer{Incarnation: uint64(2 - index), Term: other.Term(), Eligible: true})
 		}
-		if own.Look(peers, true) {
+		if own.TryTakeOver(peers, true) {
 			simulation.recordLeader(index, own.Term())
 		}
 		simulation.fleet.nodes[index].setTerm(own.Term())
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -86,7 +86,7 @@
 	// slotTime holds the measured slot times of the target's pool, nil for a plain server.
 	slotTime *slotTime
 	// drainMark tells whether the target's data centre is drained.
-	drainMark *drain.Mark
+	drainMark *drain.Status
 	// delistedAt is when the target was first found to be in no pool, 0 while it is in one. The board's lock guards
 	// it.
 	delistedAt time.Duration
@@ -162,7 +162,7 @@
 	paths        *reach.Paths
 	// hasIdleConnection reports whether there is an open connection to an address that carries no call.
 	hasIdleConnection func(address string) bool
-	drainMark         func(dataCentre string) *drain.Mark
+	drainMark         func(dataCentre string) *drain.Status
 	// incarnation and nodeCount determine this node's share of the calls that a cold server may get.
 	incarnation uint64
 	nodeCount   func() int
@@ -206,7 +206,7 @@
 }
 
 // Drains sets the source of the drain state of data centres.
-func Drains(mark func(dataCentre string) *drain.Mark) Option {
+func Drains(mark func(dataCentre string) *drain.Status) Option {
 	return func(board *Board) { board.drainMark = mark }
 }
 
@@ -241,7 +241,7 @@
 func New(options ...Option) *Board {
 	board := &Board{
 		random: rand.IntN, now: clock.Boot, serverRecord: notice.New(ratelimit.New()).Record, targets: map[string]*Target{}, slotTimes: map[string]*slotTime{},
-		hasIdleConnection: func(string) bool { return false }, drainMark: drain.New().Mark, nodeCount: func() int { return 1 }, countedNodes: func() int { return 1 },
+		hasIdleConnection: func(string) bool { return false }, drainMark: drain.New().Status, nodeCount: func() int { return 1 }, countedNodes: func() int { return 1 },
 	}
 	board.snapshot.Store(&snapshot{})
 	for _, option := range options {
@@ -409,7 +409,7 @@
 func NewStandaloneTarget(spec Spec, now clock.Now) *Target {
 	notices := notice.New(ratelimit.New(ratelimit.Clock(now)), notice.Clock(now))
 	return &Target{
-		Spec: spec, drainMark: drain.New().Mark(spec.DataCentre),
+		Spec: spec, drainMark: drain.New().Status(spec.DataCentre),
 		localState: &localState{now: now, record: notices.Record(spec.serverRun()), calls: map[*Call]struct{}{}},
 	}
 }
--- a/internal/run/gateway/background.go
+++ b/internal/run/gateway/background.go
@@ -77,7 +77,7 @@
 	for number := range rows {
 		row := &rows[number].Row
 		if spec, ok := node.targetSpec(row); ok {
-			spec.CatalogueIndex = rows[number].Number
+			spec.CatalogueIndex = rows[number].Index
 			name := forward.PoolName(row.Service, row.Model)
 			pools[name] = append(pools[name], spec)
 		}
@@ -91,7 +91,7 @@
 
 // servingRows returns the servers that accept calls: as received from the upstream node, or derived from the
 // server list and the group announcements and then sent to the leaves.
-func (node *Node) servingRows() []catalogue.Numbered {
+func (node *Node) servingRows() []catalogue.IndexedRow {
 	if received := node.peers.rows.Load(); received != nil && (node.peers.fedByUpstream() || !node.servers.Load().Known()) {
 		return *received
 	}
@@ -327,7 +327,7 @@
 	node.announcementsApplied.Add(1)
 	node.peers.broadcastAnnouncement(announcement, from)
 	if announcement.Change == formation.Lost {
-		node.peers.catalogue.Lose(announcement.Group.Name)
+		node.peers.catalogue.MarkLost(announcement.Group.Name)
 		node.peers.sendCatalogue()
 		node.handleLostGroup(announcement.Group.Name)
 	}
@@ -347,7 +347,7 @@
 
 func (node *Node) handleOutdatedTerm(term int64) {
 	node.logger.Warn("gateway: a server has seen a higher term; this node stops leading.", "Term", term)
-	node.termKeeper.Outdated(term)
+	node.termKeeper.HandleRefusal(term)
 }
 
 // updateLeadership makes this node leader when it is its turn, yields the leadership when this node can't
@@ -357,7 +357,7 @@
 		node.now()-node.startedAt > leadershipStartDelay && !node.cannotReachEngines()
 	candidates := node.peers.leaderCandidates()
 	node.yieldLeadership(candidates)
-	if node.termKeeper.Look(candidates, eligible) {
+	if node.termKeeper.TryTakeOver(candidates, eligible) {
 		node.logger.Info("gateway: this node is now the leader.", "Term", node.termKeeper.Term())
 	}
 	node.peers.advanceHeartbeat(node.termKeeper.Term())
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -52,7 +52,7 @@
 		return peers.totals
 	}
 	own := peers.node.board.OwnLoads()
-	subtree, others := tally.Shares{}, tally.Shares{}
+	subtree, others := tally.ServerLoads{}, tally.ServerLoads{}
 	subtreeNodes, otherNodes := 1, 0
 	for link, state := range peers.linkStates {
 		tally.Add(others, state.loads)
@@ -95,7 +95,7 @@
 		peers.addDemands(message, state, &totals.demands)
 		return message
 	}
-	fleet := tally.Shares{}
+	fleet := tally.ServerLoads{}
 	tally.Add(fleet, totals.others)
 	tally.Add(fleet, totals.own)
 	message.Included = state.sequence
@@ -106,7 +106,7 @@
 }
 
 // addLoads adds the changes of a load sum since the last frame on the link.
-func (peers *peers) addLoads(message *frame.Frame, state *linkState, sum tally.Shares) {
+func (peers *peers) addLoads(message *frame.Frame, state *linkState, sum tally.ServerLoads) {
 	changes, whole := state.sentLoads.Next(sum)
 	message.Loads, message.LoadsWhole = loadsToWire(changes), whole
 }
@@ -195,14 +195,14 @@
 }
 
 func catalogueToWire(delta catalogue.Delta) *frame.Catalogue {
-	encoded := &frame.Catalogue{Whole: delta.Whole, Lost: delta.Lost}
+	encoded := &frame.Catalogue{Whole: delta.Full, Lost: delta.Lost}
 	for _, number := range delta.Removed {
 		encoded.Removed = append(encoded.Removed, uint32(number))
 	}
 	for _, numbered := range delta.Rows {
 		row := &numbered.Row
 		encoded.Rows = append(encoded.Rows, &frame.Row{
-			Number: uint32(numbered.Number), Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
+			Number: uint32(numbered.Index), Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
 			Group: row.Group, Service: row.Service, Model: row.Model, Slots: uint32(row.Slots), Cold: row.Cold,
 		})
 	}
@@ -210,12 +210,12 @@
 }
 
 func catalogueFromWire(encoded *frame.Catalogue) catalogue.Delta {
-	delta := catalogue.Delta{Whole: encoded.Whole, Lost: encoded.Lost}
+	delta := catalogue.Delta{Full: encoded.Whole, Lost: encoded.Lost}
 	for _, number := range encoded.Removed {
 		delta.Removed = append(delta.Removed, int(number))
 	}
 	for _, row := range encoded.Rows {
-		delta.Rows = append(delta.Rows, catalogue.Numbered{Number: int(row.Number), Row: catalogue.Row{
+		delta.Rows = append(delta.Rows, catalogue.IndexedRow{Index: int(row.Number), Row: catalogue.Row{
 			Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
 			Group: row.Group, Service: row.Service, Model: row.Model, Slots: int(row.Slots), Cold: row.Cold,
 		}})
@@ -252,9 +252,9 @@
 func (peers *peers) missingRecords(state *linkState) []roster.Record {
 	var records []roster.Record
 	if state.listSentVersion == 0 {
-		records, state.listSentVersion = peers.node.servers.After(state.listStart)
+		records, state.listSentVersion = peers.node.servers.MissingAfter(state.listStart)
 	} else {
-		records, state.listSentVersion = peers.node.servers.Since(state.listSentVersion)
+		records, state.listSentVersion = peers.node.servers.ChangedSince(state.listSentVersion)
 	}
 	return records
 }
@@ -270,7 +270,7 @@
 }
 
 // loadsToWire encodes the load per server.
-func loadsToWire(loads tally.Shares) []*frame.Load {
+func loadsToWire(loads tally.ServerLoads) []*frame.Load {
 	encoded := make([]*frame.Load, 0, len(loads))
 	for server, load := range loads {
 		encoded = append(encoded, &frame.Load{
@@ -281,8 +281,8 @@
 	return encoded
 }
 
-func loadsFromWire(encoded []*frame.Load) tally.Shares {
-	loads := make(tally.Shares, len(encoded))
+func loadsFromWire(encoded []*frame.Load) tally.ServerLoads {
+	loads := make(tally.ServerLoads, len(encoded))
 	for _, server := range encoded {
 		loads[server.Server] = dispatch.ServerLoad{Calls: int(server.Calls), PendingPromptTokens: int(server.Unread), Failed: int(server.Failed), Answered: int(server.Answered)}
 	}
--- a/internal/run/gateway/drains.go
+++ b/internal/run/gateway/drains.go
@@ -26,7 +26,7 @@
 	if len(received) == 0 {
 		return
 	}
-	if changes := peers.node.drains.Told(drainsFromWire(received)); len(changes) > 0 {
+	if changes := peers.node.drains.Merge(drainsFromWire(received)); len(changes) > 0 {
 		peers.node.drainsChanged(changes, link.Remote.Address)
 	}
 }
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -98,7 +98,7 @@
 	warmups          *warmup.ColdTable
 	groupView        *formation.View
 	groupController  *formation.Controller
-	termKeeper       *tenure.Keeper
+	termKeeper       *tenure.Elector
 	board            *dispatch.Board
 	demand           *demand.Demand
 	pool             *backendserver.Pool
@@ -203,7 +203,7 @@
 	node.detours = newDetours(node)
 	node.board = dispatch.New(dispatch.Clock(node.now), dispatch.DataCentre(settings.DataCentre), dispatch.Notices(node.notices), dispatch.Demand(node.demand), dispatch.Paths(node.detours.paths),
 		dispatch.IdleConnections(func(address string) bool { return node.pool.Idle(address) }),
-		dispatch.Drains(node.drains.Mark), dispatch.ColdShare(node.Incarnation, func() int { return node.peers.budgetNodes() }),
+		dispatch.Drains(node.drains.Status), dispatch.ColdShare(node.Incarnation, func() int { return node.peers.budgetNodes() }),
 		dispatch.CountedNodes(func() int { return int(node.peers.reportingNodes.Load()) }))
 	node.pool = backendserver.New(platform.Codec, node.poolOptions()...)
 	node.termKeeper = tenure.New(node.Incarnation, node.claimTerm, node.now)
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -52,7 +52,7 @@
 
 // applyDraining refreshes the server list and the call targets, so that draining servers get no new calls.
 func (node *Node) applyDraining() {
-	node.servers.Refresh()
+	node.servers.RefreshDraining()
 	node.requestTargetUpdate()
 }
 
--- a/internal/run/gateway/paths.go
+++ b/internal/run/gateway/paths.go
@@ -113,11 +113,11 @@
 // to the next.
 func (node *Node) yieldLeadership(candidates []tenure.Peer) {
 	term := node.termKeeper.Term()
-	if term == 0 || !node.cannotReachEngines() || !slices.ContainsFunc(candidates, func(peer tenure.Peer) bool { return peer.Fit }) {
+	if term == 0 || !node.cannotReachEngines() || !slices.ContainsFunc(candidates, func(peer tenure.Peer) bool { return peer.Eligible }) {
 		return
 	}
 	node.logger.Warn("gateway: this node reaches no engine server and gives up leadership.", "Term", term)
-	node.termKeeper.Outdated(term)
+	node.termKeeper.HandleRefusal(term)
 }
 
 // lostPathsFor returns the lost paths of this node to report over a link. Nothing is reported to downstream
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -43,7 +43,7 @@
 	// loads and nodes are the load and the node count that the other side sent last, and sequence is the
 	// number of that frame. From the upstream node, loads and nodes cover the whole fleet except for what
 	// this node reported.
-	loads tally.Shares
+	loads tally.ServerLoads
 	nodes int
 	// otherCalls is the number of calls of all other nodes, as sent to a leaf. synced and storeUnavailable
 	// are what the other side reports about itself: whether it has the state that leaves need, and whether
@@ -57,8 +57,8 @@
 	lostPaths     []reach.Destination
 	detourAddress string
 	// sentLoads and receivedLoads track a load sum of which only changes are sent.
-	sentLoads     tally.Changes
-	receivedLoads tally.Copy
+	sentLoads     tally.DeltaSender
+	receivedLoads tally.DeltaReceiver
 	// listReceived is set once the other side has sent the position of its server list, which was listStart
 	// at first. listSentVersion is the version of this node's list up to which missing records were sent, 0
 	// for none. listAge is the age of the other side's list at the time listAgeAt.
@@ -70,12 +70,12 @@
 	// catalogueSentVersion is the catalogue version that was sent to a leaf. catalogueCopy is the catalogue
 	// that this node received as a leaf.
 	catalogueSentVersion uint64
-	catalogueCopy        *catalogue.Copy
+	catalogueCopy        *catalogue.Replica
 	// sentLostPaths, detourAddressSent, reportedLoads and sentConfigurationVersion are what this node last
 	// reported as a leaf. sentLeafHash is the content hash of the last frame sent to a leaf.
 	sentLostPaths            []reach.Destination
 	detourAddressSent        bool
-	reportedLoads            tally.Shares
+	reportedLoads            tally.ServerLoads
 	sentConfigurationVersion int64
 	sentLeafHash             uint64
 	// pendingAnnouncements, pendingStalls and pendingSuspects are to be sent with the next frame.
@@ -106,7 +106,7 @@
 	computedAt time.Duration
 	// own is the load of this node, subtree that of this node and all nodes attached below it, and others
 	// that of all other nodes of the fleet.
-	own, subtree, others tally.Shares
+	own, subtree, others tally.ServerLoads
 	subtreeNodes         int
 	demands              demandTotals
 	// fleetNodes is the number of nodes in the whole fleet.
@@ -138,7 +138,7 @@
 	overlay   *overlay.Overlay
 	catalogue *catalogue.Catalogue
 	// rows is the catalogue received from the upstream node, nil before it sent one.
-	rows atomic.Pointer[[]catalogue.Numbered]
+	rows atomic.Pointer[[]catalogue.IndexedRow]
 	// nodeCounter counts the nodes that share the budgets.
 	nodeCounter nodeCounter
 	// reportingNodes is the number of nodes whose calls are included in this node's load totals.
@@ -239,7 +239,7 @@
 // and gives up its term.
 func (peers *peers) roleChanged(role overlay.Role) {
 	if term := peers.node.termKeeper.Term(); role == overlay.Leaf && term != 0 {
-		peers.node.termKeeper.Outdated(term)
+		peers.node.termKeeper.HandleRefusal(term)
 	}
 	peers.node.requestTargetUpdate()
 	peers.node.follower.NewRole()
@@ -270,7 +270,7 @@
 	}
 	peers.lastNeighbour++
 	state = &linkState{
-		link: link, loads: tally.Shares{}, catalogueCopy: catalogue.NewCopy(), pendingSuspects: map[quarantine.Fingerprint]struct{}{},
+		link: link, loads: tally.ServerLoads{}, catalogueCopy: catalogue.NewReplica(), pendingSuspects: map[quarantine.Fingerprint]struct{}{},
 		permits: newPermitState(peers.lastNeighbour, peers.node.limits.All()), pendingNotices: map[ratelimit.Run]struct{}{},
 		pendingPaces: peers.node.board.SlowTargets(),
 	}
@@ -361,7 +361,7 @@
 	}
 	for link, state := range peers.linkStates {
 		if link.Purpose == frame.Purpose_Root {
-			candidates = append(candidates, tenure.Peer{Incarnation: link.Incarnation, Fit: state.synced && !peers.node.detours.lacksEngineServers(state.lostPaths)})
+			candidates = append(candidates, tenure.Peer{Incarnation: link.Incarnation, Eligible: state.synced && !peers.node.detours.lacksEngineServers(state.lostPaths)})
 		}
 	}
 	return candidates
@@ -386,7 +386,7 @@
 	if received == nil {
 		return
 	}
-	peers.node.termKeeper.Heard(received.Term)
+	peers.node.termKeeper.Observe(received.Term)
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	leader := &peers.leader
--- a/internal/run/gateway/receive.go
+++ b/internal/run/gateway/receive.go
@@ -17,7 +17,7 @@
 // handleFrame applies a frame received over a link.
 func (peers *peers) handleFrame(link *overlay.Link, received *frame.Frame) {
 	peers.handleDrains(link, received.Drains)
-	peers.node.termKeeper.Heard(received.HighestTerm)
+	peers.node.termKeeper.Observe(received.HighestTerm)
 	peers.handleLeader(received.Holder)
 	peers.fetchIfNewer(link, received.ConfigurationVersion)
 	if received.ConfigurationAgeMs != nil {
@@ -70,9 +70,9 @@
 	state.synced, state.storeUnavailable = received.Fit, received.StoreAway
 	state.sequence = received.Sequence
 	state.receivedLoads.Apply(received.LoadsWhole, loadsFromWire(received.Loads))
-	loads, nodes := state.receivedLoads.Shares(), int(received.Nodes)
+	loads, nodes := state.receivedLoads.Loads(), int(received.Nodes)
 	if link.Upstream() {
-		loads = tally.Less(loads, state.reports.At(received.Included))
+		loads = tally.Subtract(loads, state.reports.Find(received.Included))
 		nodes = max(0, nodes-peers.totalsLocked().subtreeNodes)
 	}
 	state.loads, state.nodes = loads, nodes
@@ -153,12 +153,12 @@
 	calls, unread []uint32
 	failures      map[int]*frame.Failure
 	// own is the part of the load that this node reported.
-	own tally.Shares
+	own tally.ServerLoads
 }
 
 func newRowLoads(state *linkState, received *frame.Frame) *rowLoads {
 	loads := &rowLoads{
-		servers: state.catalogueCopy.Servers(), calls: received.Calls, unread: received.Unread, own: state.reports.At(received.Included),
+		servers: state.catalogueCopy.Servers(), calls: received.Calls, unread: received.Unread, own: state.reports.Find(received.Included),
 	}
 	if len(received.Failures) > 0 {
 		loads.failures = make(map[int]*frame.Failure, len(received.Failures))
@@ -311,7 +311,7 @@
 }
 
 func recordToWire(record *roster.Record) *frame.ServerRecord {
-	encoded := &frame.ServerRecord{ID: record.ID, Position: record.Position.Offset, Era: record.Position.Era, Copied: record.Copied}
+	encoded := &frame.ServerRecord{ID: record.ID, Position: record.Position.Offset, Era: record.Position.Era, Copied: record.FromBackup}
 	if server := record.Server; server != nil {
 		encoded.Server = serverToWire(server)
 	}
@@ -319,7 +319,7 @@
 }
 
 func recordFromWire(encoded *frame.ServerRecord) roster.Record {
-	record := roster.Record{ID: encoded.ID, Position: storelog.Position{Era: encoded.Era, Offset: encoded.Position}, Copied: encoded.Copied}
+	record := roster.Record{ID: encoded.ID, Position: storelog.Position{Era: encoded.Era, Offset: encoded.Position}, FromBackup: encoded.Copied}
 	if encoded.Server != nil {
 		record.Server = serverFromWire(encoded.ID, encoded.Server)
 	}
--- a/internal/run/gateway/stop.go
+++ b/internal/run/gateway/stop.go
@@ -24,7 +24,7 @@
 	began := node.now()
 	node.stopping.Store(true)
 	node.logger.Info("gateway: the node is stopping.", "Name", node.settings.Name)
-	node.termKeeper.Outdated(node.termKeeper.Term())
+	node.termKeeper.HandleRefusal(node.termKeeper.Term())
 	node.peers.advanceHeartbeat(0)
 	node.peers.overlay.Leave()
 	grace := node.settings.Bounds.Grace - shutdownMargin
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -31,7 +31,7 @@
 // handleServerEntry applies what a server's registry entry states: the term of its group, and how long the
 // server stays cold.
 func (node *Node) handleServerEntry(server *roster.Server) {
-	node.termKeeper.Heard(formation.TermOf(server.Group.Epoch))
+	node.termKeeper.Observe(formation.TermOf(server.Group.Epoch))
 	node.warmups.Update(ratelimit.Run{Server: server.ID, Born: server.Born}, server.Cold)
 }
 
