--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,18 +1,17 @@
-// Package member knows the other nodes: their addresses from the settings and
-// the instance list, and which of them answered lately.
+// Package member tracks the other nodes: their addresses from the settings and the instance list, and which of them
+// answered lately.
 //
-// A peer of the same data centre is asked every second and is live while its
-// last answer is fresh. Duties are spread over the live peers; two nodes that
-// see different peers may both take a duty, which wastes work and breaks
-// nothing. Of other data centres one peer each is asked in turn, so the cost of
-// a node grows with its own data centre and not with the fleet.
+// A peer of the same data centre is queried every second, and is live while its last answer is fresh. Duties are
+// distributed over the live peers. Two nodes that see different peers may both take a duty, which wastes work but is
+// harmless. Of the other data centres, one peer each is queried in rotation, so that the cost of a node grows with
+// its own data centre and not with the fleet.
 //
 // # Usage
 //
 //	table := member.New(member.Self{...}, clock.Boot)
-//	table.Learn(addresses)
-//	table.Heard(address, hello)
-//	if table.Mine("watch/domain-1") { ... }
+//	table.AddAddresses(peers)
+//	table.RecordAnswer(peer)
+//	if table.OwnsDuty("watch/domain-1") { ... }
 package member
 
 import (
@@ -26,13 +25,13 @@
 	"hazelslip/internal/common/rendezvous"
 )
 
-// LiveFor is how long a peer counts as live after its last answer.
-const LiveFor = 3 * time.Second
+// LiveTTL is how long a peer counts as live after its last answer.
+const LiveTTL = 3 * time.Second
 
-// forgetAfter is how long an address that no longer stands anywhere is kept.
-const forgetAfter = 2 * time.Minute
+// addressTTL is how long an address that neither the settings nor the instance list name any more is kept.
+const addressTTL = 2 * time.Minute
 
-// Self is this node.
+// Self describes this node.
 type Self struct {
 	Incarnation uint64
 	Name        string
@@ -41,7 +40,7 @@
 	Address     string
 }
 
-// Peer is another node. Incarnation is 0 until it has answered.
+// Peer describes another node. Incarnation is 0 until the node has answered.
 type Peer struct {
 	Address     string
 	Incarnation uint64
@@ -53,33 +52,33 @@
 	Stopping    bool
 }
 
-// State is what a Table shows in the state dump.
+// State is the table's part of the state dump.
 type State struct {
 	Incarnation uint64
 	Live        []uint64
 	Peers       []Peer
 }
 
-// Table holds the peers.
+// Table holds the known peers.
 type Table struct {
 	self Self
 	now  clock.Now
 	live atomic.Pointer[[]uint64]
 
-	mu    sync.Mutex
-	peers map[string]*Peer
-	turn  int
+	mu       sync.Mutex
+	peers    map[string]*Peer
+	rotation int
 }
 
-// New returns a table that knows only this node.
+// New returns a table that contains only this node.
 func New(self Self, now clock.Now) *Table {
 	table := &Table{self: self, now: now, peers: map[string]*Peer{}}
 	table.Refresh()
 	return table
 }
 
-// Learn adds addresses that the settings or the instance list name.
-func (table *Table) Learn(peers []Peer) {
+// AddAddresses adds the peers that the settings or the instance list name.
+func (table *Table) AddAddresses(peers []Peer) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for _, peer := range peers {
@@ -95,9 +94,9 @@
 	}
 }
 
-// Heard notes an answer of a peer. The moment is when the question was sent,
-// so a late answer does not make a peer look fresh.
-func (table *Table) Heard(peer Peer) {
+// RecordAnswer records an answer from a peer. Peer.Heard is the time at which the query was sent, so that a late
+// answer does not make the peer look fresh.
+func (table *Table) RecordAnswer(peer Peer) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	known, ok := table.peers[peer.Address]
@@ -111,13 +110,12 @@
 	table.refreshLocked()
 }
 
-// Refresh drops peers that have not answered lately from the live ones, and
-// forgets addresses that nothing names any more.
+// Refresh removes peers that have not answered lately from the live peers, and removes addresses that have expired.
 func (table *Table) Refresh() {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for address, peer := range table.peers {
-		if table.now()-max(peer.Listed, peer.Heard) > forgetAfter {
+		if table.now()-max(peer.Listed, peer.Heard) > addressTTL {
 			delete(table.peers, address)
 		}
 	}
@@ -136,52 +134,52 @@
 }
 
 func (table *Table) isLive(peer *Peer) bool {
-	return peer.Incarnation != 0 && peer.Heard != 0 && table.now()-peer.Heard < LiveFor
+	return peer.Incarnation != 0 && peer.Heard != 0 && table.now()-peer.Heard < LiveTTL
 }
 
-// Live returns the incarnations of the live nodes of this data centre, this
-// one among them. The slice must not be changed.
+// Live returns the incarnations of the live nodes of this data centre, including this node. The slice must not be
+// modified.
 func (table *Table) Live() []uint64 {
 	return *table.live.Load()
 }
 
-// Duty returns the node that should act on a duty.
-func (table *Table) Duty(duty string) uint64 {
+// DutyOwner returns the incarnation of the node that should perform a duty.
+func (table *Table) DutyOwner(duty string) uint64 {
 	incarnation, _ := rendezvous.Pick(duty, table.Live())
 	return incarnation
 }
 
-// Mine reports whether this node should act on a duty.
-func (table *Table) Mine(duty string) bool {
-	return table.Duty(duty) == table.self.Incarnation
+// OwnsDuty reports whether this node should perform a duty.
+func (table *Table) OwnsDuty(duty string) bool {
+	return table.DutyOwner(duty) == table.self.Incarnation
 }
 
-// Local returns the known peers of this data centre, and those whose data
-// centre is not known yet, ordered by address.
-func (table *Table) Local() []Peer {
+// LocalPeers returns the known peers of this data centre and those whose data centre is not known yet, ordered by
+// address.
+func (table *Table) LocalPeers() []Peer {
 	return table.filter(func(peer *Peer) bool {
 		return peer.DataCentre == table.self.DataCentre || peer.DataCentre == ""
 	})
 }
 
-// Remote returns one peer of each other data centre of the region and one of
-// another region, a different one each time.
-func (table *Table) Remote() []Peer {
+// RemotePeers returns one peer of each other data centre of the region and one of another region. It rotates through
+// the peers from call to call.
+func (table *Table) RemotePeers() []Peer {
 	table.mu.Lock()
-	table.turn++
-	turn := table.turn
+	table.rotation++
+	rotation := table.rotation
 	table.mu.Unlock()
-	byPlace := map[string][]Peer{}
+	byLocation := map[string][]Peer{}
 	for _, peer := range table.filter(func(peer *Peer) bool { return peer.DataCentre != "" && peer.DataCentre != table.self.DataCentre }) {
-		place := "other regions"
+		location := "other regions"
 		if peer.Region == table.self.Region {
-			place = peer.DataCentre
+			location = peer.DataCentre
 		}
-		byPlace[place] = append(byPlace[place], peer)
+		byLocation[location] = append(byLocation[location], peer)
 	}
 	chosen := []Peer{}
-	for _, peers := range byPlace {
-		chosen = append(chosen, peers[turn%len(peers)])
+	for _, peers := range byLocation {
+		chosen = append(chosen, peers[rotation%len(peers)])
 	}
 	slices.SortFunc(chosen, func(a, b Peer) int { return strings.Compare(a.Address, b.Address) })
 	return chosen
@@ -200,8 +198,8 @@
 	return found
 }
 
-// Find returns the address of the peer with an incarnation.
-func (table *Table) Find(incarnation uint64) (string, bool) {
+// AddressOf returns the address of the peer with the given incarnation.
+func (table *Table) AddressOf(incarnation uint64) (string, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for _, peer := range table.peers {
--- a/internal/run/node/answer.go
+++ b/internal/run/node/answer.go
@@ -46,7 +46,7 @@
 	case *exchange.Request_Hello:
 		// A node that cannot read the instance list still learns of its peers
 		// by their hellos.
-		node.members.Learn([]member.Peer{{
+		node.members.AddAddresses([]member.Peer{{
 			Address: kind.Hello.Address, Region: kind.Hello.Region, DataCentre: kind.Hello.DataCentre,
 		}})
 		reply.Kind = &exchange.Reply_Hello{Hello: node.hello()}
@@ -139,7 +139,7 @@
 // probe asks one live peer to read a server that this node cannot reach.
 func (node *Node) probe(ctx context.Context, address string) (engine.Report, time.Duration, bool) {
 	sent := node.now()
-	for _, known := range node.members.Local() {
+	for _, known := range node.members.LocalPeers() {
 		if known.Incarnation == 0 || known.Heard == 0 || sent-known.Heard > pullEvery*3 {
 			continue
 		}
@@ -170,8 +170,8 @@
 // that the appends of many nodes become one. It need not be the right node:
 // any node may append.
 func (node *Node) relayBatch(ctx context.Context, batch *record.BookingBatch) error {
-	home := node.members.Duty("append/bookings")
-	address, ok := node.members.Find(home)
+	home := node.members.DutyOwner("append/bookings")
+	address, ok := node.members.AddressOf(home)
 	if home == node.Incarnation || !ok {
 		return <-node.appender.Add(batch)
 	}
@@ -212,7 +212,7 @@
 
 // askHolder asks the node that holds a claim.
 func (node *Node) askHolder(ctx context.Context, incarnation uint64, key string) (booking.HolderReply, bool) {
-	address, ok := node.members.Find(incarnation)
+	address, ok := node.members.AddressOf(incarnation)
 	if !ok {
 		return booking.HolderReply{}, false
 	}
@@ -263,10 +263,10 @@
 	}
 	unknown := booking.Answer{Outcome: outcome.Unknown, Cause: "the node that issued this ticket cannot be asked"}
 	addresses := []string{}
-	if address, ok := node.members.Find(issuer); ok {
+	if address, ok := node.members.AddressOf(issuer); ok {
 		addresses = append(addresses, address)
 	}
-	for _, known := range node.members.Local() {
+	for _, known := range node.members.LocalPeers() {
 		addresses = append(addresses, known.Address)
 	}
 	for _, address := range addresses {
--- a/internal/run/node/exchange.go
+++ b/internal/run/node/exchange.go
@@ -82,7 +82,7 @@
 
 func (exchanger *exchanger) pullLocal() {
 	pulls := pool.New().WithMaxGoroutines(pullConcurrency)
-	for _, known := range exchanger.node.members.Local() {
+	for _, known := range exchanger.node.members.LocalPeers() {
 		pulls.Go(func() { exchanger.pull(known, pullTimeout, false) })
 	}
 	pulls.Wait()
@@ -90,7 +90,7 @@
 
 func (exchanger *exchanger) pullRemote() {
 	pulls := pool.New().WithMaxGoroutines(pullConcurrency)
-	for _, known := range exchanger.node.members.Remote() {
+	for _, known := range exchanger.node.members.RemotePeers() {
 		pulls.Go(func() { exchanger.pull(known, remoteTimeout, true) })
 	}
 	pulls.Wait()
@@ -118,7 +118,7 @@
 		}
 	}
 	known.Heard, known.Stopping = sent, reply.GetPull().GetStopping()
-	exchanger.node.members.Heard(known)
+	exchanger.node.members.RecordAnswer(known)
 	exchanger.learn(known, sent, reply.GetPull())
 }
 
--- a/internal/run/node/lists.go
+++ b/internal/run/node/lists.go
@@ -72,10 +72,10 @@
 	for _, seed := range reader.node.settings.Peers.Seeds {
 		seeds = append(seeds, member.Peer{Address: seed})
 	}
-	reader.node.members.Learn(seeds)
+	reader.node.members.AddAddresses(seeds)
 	reader.node.GoAs("lists", reader.tick)
 	reader.node.EveryAs("lists", listTick, func() {
-		reader.node.members.Learn(seeds)
+		reader.node.members.AddAddresses(seeds)
 		reader.tick()
 	})
 }
@@ -87,7 +87,7 @@
 		reader.mu.Lock()
 		age, never := reader.node.now()-listing.at, listing.at == 0
 		reader.mu.Unlock()
-		mine := reader.node.members.Mine("list/" + listing.name)
+		mine := reader.node.members.OwnsDuty("list/" + listing.name)
 		if never || (mine && age >= listing.every) || age >= listTooOld*listing.every {
 			reader.read(listing)
 		}
@@ -155,7 +155,7 @@
 			peers = append(peers, member.Peer{Address: instance.Address, Region: instance.Region, DataCentre: instance.DataCentre})
 		}
 	}
-	reader.node.members.Learn(peers)
+	reader.node.members.AddAddresses(peers)
 }
 
 // versions says what this node holds, when it asks a peer.
--- a/internal/run/node/node.go
+++ b/internal/run/node/node.go
@@ -301,7 +301,7 @@
 	node.facts = fabric.New(node.now)
 	node.tally = replica.NewTally(node.now())
 	node.groups.Store(replica.Assemble(node.facts.Snapshot(), node.now()))
-	node.watcher = fabric.NewWatcher(node.facts, node.members.Mine, node.engines.Report, node.probe)
+	node.watcher = fabric.NewWatcher(node.facts, node.members.OwnsDuty, node.engines.Report, node.probe)
 	node.former = &replica.Former{
 		Incarnation: node.Incarnation, Snapshot: node.groups.Load, Facts: node.facts.Snapshot,
 		Mine: node.mayForm, Models: node.models, Order: node.engines.Order, Right: node.right,
@@ -389,7 +389,7 @@
 // checkpoint writes the checkpoints that are this node's duty.
 func (node *Node) checkpoint() {
 	for _, follower := range node.streams {
-		if !node.members.Mine("checkpoint/" + follower.Name) {
+		if !node.members.OwnsDuty("checkpoint/" + follower.Name) {
 			continue
 		}
 		if err := follower.MaybeCheckpoint(); err != nil {
--- a/internal/run/node/stop.go
+++ b/internal/run/node/stop.go
@@ -89,7 +89,7 @@
 	if len(request.Outcomes) == 0 && node.bookings.State().Tickets == 0 {
 		return
 	}
-	for _, peer := range node.members.Local() {
+	for _, peer := range node.members.LocalPeers() {
 		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		reply, err := node.peers.Ask(ctx, peer.Address, node.request(&exchange.Request{Kind: &exchange.Request_HandOver{HandOver: request}}))
 		cancel()
--- a/internal/run/node/view.go
+++ b/internal/run/node/view.go
@@ -103,8 +103,8 @@
 // has just started: until it has heard its peers every duty looks like its own,
 // and it would plan against the node whose duty the domain is.
 func (node *Node) mayForm(duty string) bool {
-	settledIn := node.now()-node.startedAt >= member.LiveFor
-	return settledIn && !node.stopping.Load() && node.members.Mine(duty)
+	settledIn := node.now()-node.startedAt >= member.LiveTTL
+	return settledIn && !node.stopping.Load() && node.members.OwnsDuty(duty)
 }
 
 // right tells whether this node may give orders in a domain. Engines that
