--- a/internal/fleet/detour/detour.go
+++ b/internal/fleet/detour/detour.go
@@ -1,20 +1,20 @@
-// Package detour chooses through which other node a request goes on that this node can't bring to its
-// servers.
+// Package detour chooses the node through which a request is forwarded if this node cannot reach the request's
+// servers itself.
 //
-// A Table holds the nodes that said lately that they take requests of others, with the ways to servers
-// that they have lost and the calls that they have under way. Nodes say so when they are asked, and they are asked
-// while some way of this node isn't open, so that a fleet of which all ways are open spends nothing on it.
+// A Table holds the nodes that reported lately that they accept requests from other nodes, with the paths that each
+// node has lost and its calls under way. Nodes report this when they are queried, and they are queried only while
+// some path of this node is not healthy, so that a fleet whose paths are all healthy spends nothing on it.
 //
-// Nodes of the own data centre come first. Among those that could take a request two are drawn, and
-// the one with fewer calls takes it: where most nodes of a fleet have lost their ways at once, the others share
-// what these are asked for, though each node knows a few of them only.
+// Nodes of the own data centre are preferred. Of the nodes that could take a request, two are drawn at random, and
+// the one with fewer calls takes it. If most nodes of a fleet lose their paths at once, this spreads their requests
+// over the remaining nodes, although each node knows only a few of them.
 //
 // # Usage
 //
 //	table := detour.New("east", detour.Clock(now))
-//	table.Heard(detour.Node{Address: "10.0.0.7:7341", DataCentre: "east", Calls: 3})
-//	peer, found := table.Choose("drafts", ways.Lost(true), nil)
-//	use := peer.Begin(0, 0, cancel)
+//	table.RecordReport(detour.Node{Address: "10.0.0.7:7341", DataCentre: "east", Calls: 3})
+//	peer, found := table.Choose("drafts", lost, nil)
+//	call := peer.Begin(0, 0, cancel)
 package detour
 
 import (
@@ -30,36 +30,36 @@
 )
 
 const (
-	// freshFor is how long what a node said counts. Nodes are asked several times in that time.
-	freshFor = 1500 * time.Millisecond
-	// avoidFailed is how long a node that didn't take a request is passed by.
-	avoidFailed = 700 * time.Millisecond
-	// nodesMost bounds the table.
-	nodesMost = 64
+	// reportTTL is how long a node's report is valid. Nodes are queried several times in that period.
+	reportTTL = 1500 * time.Millisecond
+	// failureBackoff is how long a node that failed to take a request is not chosen.
+	failureBackoff = 700 * time.Millisecond
+	// maxNodes bounds the size of the table.
+	maxNodes = 64
 )
 
-// Node is what a node says of itself.
+// Node is a node's report about itself.
 type Node struct {
-	// Address is where it takes requests of other nodes, Peer where it takes their frames.
-	Address    string
-	Peer       string
-	DataCentre string
-	// Lost are the ways to servers that it has lost.
+	// Address is where the node accepts requests from other nodes. PeerAddress is where it accepts their frames.
+	Address     string
+	PeerAddress string
+	DataCentre  string
+	// Lost are the destinations to which the node has lost its path.
 	Lost []reach.Place
-	// Calls are those that it has under way.
+	// Calls is the number of the node's calls under way.
 	Calls int
 }
 
-// Peer is a node that requests are sent through. Its Target counts them.
+// Peer is a node through which requests are sent. Its Target counts them.
 type Peer struct {
 	*dispatch.Target
 	Node
 
-	heardAt    time.Duration
+	reportedAt time.Duration
 	avoidUntil time.Duration
 }
 
-// Table is the nodes that take requests of others, as far as is known.
+// Table holds the nodes that are known to accept requests from other nodes.
 type Table struct {
 	dataCentre string
 	now        clock.Now
@@ -67,11 +67,11 @@
 
 	mu    sync.Mutex
 	peers map[string]*Peer
-	// askedAt is when other nodes were last asked.
-	askedAt time.Duration
+	// queriedAt is when other nodes were last queried.
+	queriedAt time.Duration
 }
 
-// Option changes how a Table is built.
+// Option configures a Table.
 type Option func(*Table)
 
 // Clock sets the clock.
@@ -79,12 +79,12 @@
 	return func(table *Table) { table.now = now }
 }
 
-// Random sets how a number below n is drawn.
-func Random(draw func(n int) int) Option {
-	return func(table *Table) { table.random = draw }
+// Random sets the source of random numbers in [0, n).
+func Random(random func(n int) int) Option {
+	return func(table *Table) { table.random = random }
 }
 
-// New returns a table without nodes, of a node in a data centre.
+// New returns an empty table for a node in the given data centre.
 func New(dataCentre string, options ...Option) *Table {
 	table := &Table{dataCentre: dataCentre, now: clock.Boot, random: rand.IntN, peers: map[string]*Peer{}}
 	for _, option := range options {
@@ -93,165 +93,169 @@
 	return table
 }
 
-// Heard takes what a node has just said of itself.
-func (table *Table) Heard(node Node) {
+// RecordReport stores a node's current report. If the table is full, it drops the node with the oldest report.
+func (table *Table) RecordReport(node Node) {
 	if node.Address == "" {
 		return
 	}
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	now := table.now()
-	made := &Peer{Node: node, heardAt: now}
-	if held, known := table.peers[node.Address]; known {
-		made.Target, made.avoidUntil = held.Target, held.avoidUntil
+	peer := &Peer{Node: node, reportedAt: now}
+	if existing, known := table.peers[node.Address]; known {
+		peer.Target, peer.avoidUntil = existing.Target, existing.avoidUntil
 	} else {
-		made.Target = dispatch.Apart(dispatch.Spec{ID: node.Address, Address: node.Address, DataCentre: node.DataCentre}, table.now)
+		peer.Target = dispatch.Apart(dispatch.Spec{ID: node.Address, Address: node.Address, DataCentre: node.DataCentre}, table.now)
 	}
-	table.peers[node.Address] = made
-	if len(table.peers) <= nodesMost {
+	table.peers[node.Address] = peer
+	if len(table.peers) <= maxNodes {
 		return
 	}
-	oldest := slices.MinFunc(table.allLocked(), func(one, other *Peer) int { return cmp.Compare(one.heardAt, other.heardAt) })
+	oldest := slices.MinFunc(table.sortedLocked(), func(a, b *Peer) int { return cmp.Compare(a.reportedAt, b.reportedAt) })
 	delete(table.peers, oldest.Address)
 }
 
-func (table *Table) allLocked() []*Peer {
-	all := make([]*Peer, 0, len(table.peers))
+func (table *Table) sortedLocked() []*Peer {
+	sorted := make([]*Peer, 0, len(table.peers))
 	for _, peer := range table.peers {
-		all = append(all, peer)
+		sorted = append(sorted, peer)
 	}
-	slices.SortFunc(all, func(one, other *Peer) int { return cmp.Compare(one.Address, other.Address) })
-	return all
+	slices.SortFunc(sorted, func(a, b *Peer) int { return cmp.Compare(a.Address, b.Address) })
+	return sorted
 }
 
-// freshLocked returns the nodes that said something lately.
+// freshLocked returns the nodes whose report is still valid.
 func (table *Table) freshLocked() []*Peer {
 	now := table.now()
-	return slices.DeleteFunc(table.allLocked(), func(peer *Peer) bool { return now-peer.heardAt > freshFor })
+	return slices.DeleteFunc(table.sortedLocked(), func(peer *Peer) bool { return now-peer.reportedAt > reportTTL })
 }
 
-// Useful returns where the nodes take frames that said lately that they have kept some of the ways that are lost here.
-func (table *Table) Useful(lost []reach.Place) []string {
+// PeersWithPath returns the frame addresses of the nodes that reported lately that they still have a path to any of
+// the lost destinations.
+func (table *Table) PeersWithPath(lost []reach.Place) []string {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	useful := []string{}
+	addresses := []string{}
 	for _, peer := range table.freshLocked() {
-		if peer.Peer != "" && peer.keeps(lost) {
-			useful = append(useful, peer.Peer)
+		if peer.PeerAddress != "" && peer.hasPath(lost) {
+			addresses = append(addresses, peer.PeerAddress)
 		}
 	}
-	return useful
+	return addresses
 }
 
-// Choose returns a node that reaches servers of a service which this one doesn't, by the ways that this one has lost. It
-// is none of those that are excluded, by their addresses.
+// Choose returns a node that still has a path to one of the lost destinations of a service. It skips the excluded
+// addresses and nodes that failed lately.
 func (table *Table) Choose(service string, lost []reach.Place, exclude []string) (*Peer, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	now, lost := table.now(), placesOf(service, lost)
-	near, far := []*Peer{}, []*Peer{}
+	now, lost := table.now(), destinationsOf(service, lost)
+	local, remote := []*Peer{}, []*Peer{}
 	for _, peer := range table.freshLocked() {
 		switch {
-		case now < peer.avoidUntil, slices.Contains(exclude, peer.Address), !peer.keeps(lost):
+		case now < peer.avoidUntil, slices.Contains(exclude, peer.Address), !peer.hasPath(lost):
 		case peer.DataCentre == table.dataCentre:
-			near = append(near, peer)
+			local = append(local, peer)
 		default:
-			far = append(far, peer)
+			remote = append(remote, peer)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	if len(local) == 0 {
+		local = remote
 	}
-	if len(near) == 0 {
+	if len(local) == 0 {
 		return nil, false
 	}
-	one, other := near[table.random(len(near))], near[table.random(len(near))]
-	if other.load() < one.load() {
-		one = other
+	first, second := local[table.random(len(local))], local[table.random(len(local))]
+	if second.load() < first.load() {
+		first = second
 	}
-	return one, true
+	return first, true
 }
 
-// keeps says whether the node has kept the way to any of some places.
-func (peer *Peer) keeps(places []reach.Place) bool {
-	return slices.ContainsFunc(places, func(place reach.Place) bool { return !slices.Contains(peer.Node.Lost, place) })
+// hasPath reports whether the node has a path to any of the destinations.
+func (peer *Peer) hasPath(destinations []reach.Place) bool {
+	return slices.ContainsFunc(destinations, func(destination reach.Place) bool { return !slices.Contains(peer.Node.Lost, destination) })
 }
 
-// placesOf returns those of some places that are of a service.
-func placesOf(service string, places []reach.Place) []reach.Place {
-	return slices.DeleteFunc(slices.Clone(places), func(place reach.Place) bool { return place.Service != service })
+// destinationsOf returns the destinations that belong to a service.
+func destinationsOf(service string, destinations []reach.Place) []reach.Place {
+	return slices.DeleteFunc(slices.Clone(destinations), func(destination reach.Place) bool { return destination.Service != service })
 }
 
-// Asked notes that other nodes were asked, and that those which answer have answered.
-func (table *Table) Asked() {
+// RecordQuery records that other nodes were queried and have had time to answer.
+func (table *Table) RecordQuery() {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	table.askedAt = table.now()
+	table.queriedAt = table.now()
 }
 
-// Knows says whether other nodes were asked lately, so that none will be known in a moment that isn't yet.
-func (table *Table) Knows() bool {
+// QueriedRecently reports whether other nodes were queried lately. If so, waiting a moment for more answers will not
+// make another node known.
+func (table *Table) QueriedRecently() bool {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	return table.askedAt != 0 && table.now()-table.askedAt <= freshFor
+	return table.queriedAt != 0 && table.now()-table.queriedAt <= reportTTL
 }
 
-// load is the calls that the node said it has, and those that this node has sent there.
+// load returns the calls that the node reported plus those that this node has under way there.
 func (peer *Peer) load() int {
 	return peer.Calls + peer.Taken()
 }
 
-// Failed notes that a node did not take a request.
-func (table *Table) Failed(address string) {
+// RecordFailure records that a node did not take a request, and excludes the node for failureBackoff.
+func (table *Table) RecordFailure(address string) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	if held, known := table.peers[address]; known {
-		held.avoidUntil = table.now() + avoidFailed
+	if peer, known := table.peers[address]; known {
+		peer.avoidUntil = table.now() + failureBackoff
 	}
 }
 
-// Stalled ends the calls through nodes of which nothing has come for too long, and returns the addresses of these.
-func (table *Table) Stalled(still, unanswered time.Duration) []string {
+// Stalled ends the calls through nodes that have sent nothing for too long, and returns the addresses of these nodes.
+// The limit is answerTimeout before the first event of a call, and idleTimeout after it.
+func (table *Table) Stalled(idleTimeout, answerTimeout time.Duration) []string {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	stalled := []string{}
 	for address, peer := range table.peers {
-		if peer.Stalled(still, unanswered) {
-			peer.avoidUntil = table.now() + avoidFailed
+		if peer.Stalled(idleTimeout, answerTimeout) {
+			peer.avoidUntil = table.now() + failureBackoff
 			stalled = append(stalled, address)
 		}
 	}
 	return stalled
 }
 
-// Lacks notes that a node said, refusing a request, that it reaches no server of a service either.
-func (table *Table) Lacks(address, service string, lost []reach.Place) {
+// RecordLostPaths records that a node, in refusing a request, reported that it reaches no server of the service
+// either.
+func (table *Table) RecordLostPaths(address, service string, lost []reach.Place) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	held, known := table.peers[address]
+	peer, known := table.peers[address]
 	if !known {
 		return
 	}
-	changed := *held
-	changed.Node.Lost = slices.Clone(held.Node.Lost)
-	for _, place := range placesOf(service, lost) {
-		if !slices.Contains(changed.Node.Lost, place) {
-			changed.Node.Lost = append(changed.Node.Lost, place)
+	updated := *peer
+	updated.Node.Lost = slices.Clone(peer.Node.Lost)
+	for _, destination := range destinationsOf(service, lost) {
+		if !slices.Contains(updated.Node.Lost, destination) {
+			updated.Node.Lost = append(updated.Node.Lost, destination)
 		}
 	}
-	table.peers[address] = &changed
+	table.peers[address] = &updated
 }
 
-// State is a node of the table in the state dump.
+// State describes a node of the table in the state dump.
 type State struct {
 	Address, DataCentre string
 	Lost                []reach.Place
-	// Calls are those that it said it has, Mine those that this node has sent through it.
+	// Calls is the number of calls that the node reported, Mine the number that this node has under way through it.
 	Calls, Mine     int
 	AgeMilliseconds int64
 }
 
-// State returns the nodes that count.
+// State returns the nodes whose report is still valid.
 func (table *Table) State() []State {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -259,7 +263,7 @@
 	for _, peer := range table.freshLocked() {
 		states = append(states, State{
 			Address: peer.Address, DataCentre: peer.DataCentre, Lost: peer.Node.Lost, Calls: peer.Calls,
-			Mine: peer.Taken(), AgeMilliseconds: (table.now() - peer.heardAt).Milliseconds(),
+			Mine: peer.Taken(), AgeMilliseconds: (table.now() - peer.reportedAt).Milliseconds(),
 		})
 	}
 	return states
--- a/internal/fleet/detour/detour_test.go
+++ b/internal/fleet/detour/detour_test.go
@@ -12,9 +12,9 @@
 	"hazelslip/internal/policy/reach"
 )
 
-// Guards against requests that go through a node that doesn't reach the service, that was not heard of lately,
-// or that has just failed to take one.
-func TestNodesThatCanNotServeAreNotChosen(t *testing.T) {
+// Guards against requests through a node that does not reach the service, has not reported lately, or has just failed
+// to take a request.
+func TestUnusableNodesAreNotChosen(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	at := time.Hour
 	table := detour.New("east", detour.Clock(func() time.Duration { return at }))
@@ -27,36 +27,36 @@
 		return peer.Address
 	}
 	expect.Expect(choose()).To(gomega.BeEmpty())
-	table.Heard(detour.Node{Address: "a", DataCentre: "east", Lost: lost})
+	table.RecordReport(detour.Node{Address: "a", DataCentre: "east", Lost: lost})
 	expect.Expect(choose()).To(gomega.BeEmpty())
-	table.Heard(detour.Node{Address: "b", DataCentre: "west", Lost: lost[:1]})
+	table.RecordReport(detour.Node{Address: "b", DataCentre: "west", Lost: lost[:1]})
 	expect.Expect(choose()).To(gomega.Equal("b"))
-	table.Heard(detour.Node{Address: "c", DataCentre: "east", Calls: 50})
-	expect.Expect(choose()).To(gomega.Equal("c"), "the own data centre first")
+	table.RecordReport(detour.Node{Address: "c", DataCentre: "east", Calls: 50})
+	expect.Expect(choose()).To(gomega.Equal("c"), "nodes of the own data centre come first")
 	expect.Expect(choose("c")).To(gomega.Equal("b"))
-	table.Lacks("c", "drafts", lost)
-	expect.Expect(choose()).To(gomega.Equal("b"), "it refused a request since it reaches none either")
-	table.Heard(detour.Node{Address: "c", DataCentre: "east", Calls: 50})
-	table.Failed("c")
+	table.RecordLostPaths("c", "drafts", lost)
+	expect.Expect(choose()).To(gomega.Equal("b"), "c refused a request because it reaches no server either")
+	table.RecordReport(detour.Node{Address: "c", DataCentre: "east", Calls: 50})
+	table.RecordFailure("c")
 	expect.Expect(choose()).To(gomega.Equal("b"))
 	at += time.Second
-	table.Heard(detour.Node{Address: "c", DataCentre: "east"})
+	table.RecordReport(detour.Node{Address: "c", DataCentre: "east"})
 	expect.Expect(choose()).To(gomega.Equal("c"))
 	at += 2 * time.Second
 	expect.Expect(choose()).To(gomega.BeEmpty())
 }
 
-// Load: most nodes of a fleet lose their ways at once, and each knows a few of the others. Guards against
-// one node that is sent the requests of all.
-func TestRequestsSpreadOverTheNodesThatAreLeft(t *testing.T) {
-	for _, fleet := range []struct{ cut, left, known int }{{6, 1, 1}, {4, 3, 3}, {80, 11, 8}, {900, 84, 8}} {
+// Guards against one node that receives the requests of all others: most nodes of a fleet lose their paths at once,
+// and each knows only a few of the remaining nodes.
+func TestRequestsSpreadOverRemainingNodes(t *testing.T) {
+	for _, fleet := range []struct{ isolated, connected, known int }{{6, 1, 1}, {4, 3, 3}, {80, 11, 8}, {900, 84, 8}} {
 		expect := gomega.NewWithT(t)
 		draw := rand.New(rand.NewPCG(1, 2))
-		taken := make([]int, fleet.left)
-		for range fleet.cut {
+		calls := make([]int, fleet.connected)
+		for range fleet.isolated {
 			table := detour.New("east", detour.Clock(func() time.Duration { return time.Hour }), detour.Random(draw.IntN))
-			for _, node := range draw.Perm(fleet.left)[:fleet.known] {
-				table.Heard(detour.Node{Address: fmt.Sprint(node), DataCentre: "east", Calls: taken[node]})
+			for _, node := range draw.Perm(fleet.connected)[:fleet.known] {
+				table.RecordReport(detour.Node{Address: fmt.Sprint(node), DataCentre: "east", Calls: calls[node]})
 			}
 			for range 20 {
 				peer, found := table.Choose("drafts", []reach.Place{{Service: "drafts"}}, nil)
@@ -65,13 +65,13 @@
 				node := 0
 				_, err := fmt.Sscan(peer.Address, &node)
 				expect.Expect(err).NotTo(gomega.HaveOccurred())
-				taken[node]++
+				calls[node]++
 			}
 		}
-		most, mean := 0, float64(fleet.cut*20)/float64(fleet.left)
-		for _, calls := range taken {
-			most = max(most, calls)
+		most, mean := 0, float64(fleet.isolated*20)/float64(fleet.connected)
+		for _, count := range calls {
+			most = max(most, count)
 		}
-		expect.Expect(float64(most)).To(gomega.BeNumerically("<=", 1.5*mean), "%d of %d cut: %v", fleet.cut, fleet.cut+fleet.left, taken)
+		expect.Expect(float64(most)).To(gomega.BeNumerically("<=", 1.5*mean), "%d of %d nodes isolated: %v", fleet.isolated, fleet.isolated+fleet.connected, calls)
 	}
 }
--- a/internal/fleet/follower/era.go
+++ b/internal/fleet/follower/era.go
@@ -10,80 +10,79 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// ErrEarlierEra says that the store answered in an era before one that it was already in:
-// the answer is late, or the store forgot how often it has come back.
-var ErrEarlierEra = errors.New("the store answered in an era that has passed")
+// ErrPastEra reports that the store answered with an era older than one already seen: the answer is late, or the
+// store has lost its count of restores.
+var ErrPastEra = errors.New("the store answered in an era that has passed")
 
-// unknownEra is what is known before the store has answered.
+// unknownEra is the era before the store's first answer.
 const unknownEra = -1
 
-// HeardEra notes the era of an answer of the store. The first of a new era says that the
-// store came back from an older copy: what this node wrote since is gone, and is written
-// again. An answer of an era that has passed must not be used, since its offsets are
-// given out again.
-func (follower *Follower) HeardEra(era int64) error {
+// ObserveEra records the era of an answer from the store. The era counts the store's restores from older backups. A
+// new era means that the store was restored: what this node wrote since the backup is lost and is written again. An
+// answer from a past era returns ErrPastEra and must not be used, because the store assigns its offsets again.
+func (follower *Follower) ObserveEra(era int64) error {
 	for {
-		held := follower.era.Load()
+		current := follower.era.Load()
 		switch {
-		case era < held:
-			return errors.Wrapf(ErrEarlierEra, "era %d after %d", era, held)
-		case era == held:
+		case era < current:
+			return errors.Wrapf(ErrPastEra, "era %d after %d", era, current)
+		case era == current:
 			return nil
-		case follower.era.CompareAndSwap(held, era):
-			if held != unknownEra {
-				follower.storeCameBack(held, era)
+		case follower.era.CompareAndSwap(current, era):
+			if current != unknownEra {
+				follower.handleStoreRestored(current, era)
 			}
 			return nil
 		}
 	}
 }
 
-// HeardEraFromPeer notes the era of a list that another node told, which may be behind.
-func (follower *Follower) HeardEraFromPeer(end storelog.Position) {
+// ObservePeerEra records the era of a server list that another node sent. That node may be behind.
+func (follower *Follower) ObservePeerEra(end storelog.Position) {
 	if !end.Known() {
 		return
 	}
-	if err := follower.HeardEra(end.Era); err != nil {
-		follower.Logger.Debug("gateway: a node is behind.", "Error", err.Error())
+	if err := follower.ObserveEra(end.Era); err != nil {
+		follower.Logger.Debug("gateway: another node reported a past era of the store.", "Error", err.Error())
 	}
 }
 
-func (follower *Follower) storeCameBack(before, era int64) {
-	follower.returns.Add(1)
-	follower.Logger.Warn("gateway: the store came back from an older copy.", "Era", era, "Before", before,
+func (follower *Follower) handleStoreRestored(previous, era int64) {
+	follower.restores.Add(1)
+	follower.Logger.Warn("gateway: the store came back from an older copy.", "Era", era, "Before", previous,
 		"ListEnd", follower.Servers.Load().End, "ConfigurationVersion", follower.Configuration.Load().Configuration.Version)
-	follower.CameBack()
-	follower.Look()
+	follower.StoreRestored()
+	follower.Recheck()
 }
 
-// Era is the highest that the store was seen in, -1 before it has answered.
+// Era returns the highest era seen from the store, or -1 before its first answer.
 func (follower *Follower) Era() int64 {
 	return follower.era.Load()
 }
 
-// Returns counts how often the store came back from an older copy.
-func (follower *Follower) Returns() uint64 {
-	return follower.returns.Load()
+// RestoreCount returns how many restores of the store from an older backup were seen.
+func (follower *Follower) RestoreCount() uint64 {
+	return follower.restores.Load()
 }
 
-// sameEra is an error where a reader's position is of another era than the answer: the
-// records that it read before may be gone, and those at its offset are others.
-func sameEra(from, next storelog.Position) error {
-	if from.Known() && from.Era != next.Era {
-		return errors.Wrap(store.ErrExpired, "the store came back from an older copy")
+// checkSameEra returns an error if a reader's position is from another era than the answer: the records read before
+// may be lost, and the records at its offset may be others.
+func checkSameEra(from, answer storelog.Position) error {
+	if from.Known() && from.Era != answer.Era {
+		return errors.Wrap(store.ErrExpired, "the store was restored from an older backup")
 	}
 	return nil
 }
 
-// settles says whether all entries are to be read once more, since servers that the
-// store's copy didn't show must have written theirs again by now.
-func (follower *Follower) settles(now time.Duration) bool {
-	return follower.settled.Load() < follower.era.Load() && follower.Servers.Settles(now)
+// shouldReadAllAgain reports whether all registry entries should be read once more: by now, servers missing from the
+// store's backup must have written their entries again.
+func (follower *Follower) shouldReadAllAgain(now time.Duration) bool {
+	return follower.settledEra.Load() < follower.era.Load() && follower.Servers.Settles(now)
 }
 
-// noteSettled notes that the servers of the era before were looked for once more.
-func (follower *Follower) noteSettled(era int64) {
-	follower.settled.Store(era)
+// markSettled records that the servers of the previous era were looked up once more.
+func (follower *Follower) markSettled(era int64) {
+	follower.settledEra.Store(era)
 	follower.Logger.Info("gateway: the list of servers is that of the store again.", "Era", era,
 		"Servers", len(follower.Servers.Load().Servers), "WaitedMilliseconds", roster.ReappearWithin.Milliseconds())
 }
--- a/internal/fleet/follower/era_test.go
+++ b/internal/fleet/follower/era_test.go
@@ -14,34 +14,34 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// idleFollower is a follower that is never started.
+// idleFollower returns a follower that is never started.
 func idleFollower() *Follower {
-	return New(Parts{
+	return New(Dependencies{
 		Calls: store.NewCalls(), Configuration: configuration.NewTable(), Servers: roster.New(), Now: clock.Boot, Logger: slog.New(slog.DiscardHandler),
-		Standing: func() Standing { return Standing{Role: overlay.Leaf, Fed: true} }, CameBack: func() {},
+		ReadPolicy: func() ReadPolicy { return ReadPolicy{Role: overlay.Leaf, FedByUpstream: true} }, StoreRestored: func() {},
 	})
 }
 
-// An answer of the store comes late, when the store has come back from an older copy
-// since: the offsets in it name other records by now. Or the store forgets how often it
-// came back. Both are told as errors, and the node goes on with what it knows.
-func TestAnswersOfAnEarlierEraAreNotUsed(t *testing.T) {
+// Guards against the use of answers from a past era. An answer can arrive after the store was restored from an older
+// backup, when its offsets already identify other records; or the store loses its count of restores. Both must return
+// an error, and the node keeps what it knows.
+func TestAnswersOfPastEraAreRejected(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	follower := idleFollower()
-	expect.Expect(follower.HeardEra(0)).To(gomega.Succeed())
-	expect.Expect(follower.HeardEra(2)).To(gomega.Succeed())
-	expect.Expect(follower.HeardEra(1)).To(gomega.MatchError(ErrEarlierEra))
-	expect.Expect(follower.HeardEra(2)).To(gomega.Succeed())
+	expect.Expect(follower.ObserveEra(0)).To(gomega.Succeed())
+	expect.Expect(follower.ObserveEra(2)).To(gomega.Succeed())
+	expect.Expect(follower.ObserveEra(1)).To(gomega.MatchError(ErrPastEra))
+	expect.Expect(follower.ObserveEra(2)).To(gomega.Succeed())
 	expect.Expect(follower.Era()).To(gomega.Equal(int64(2)))
-	expect.Expect(follower.Returns()).To(gomega.Equal(uint64(1)))
+	expect.Expect(follower.RestoreCount()).To(gomega.Equal(uint64(1)))
 }
 
-// A reader's place is of the era before, and the store answers with other records: all
-// must be read again. A reader that knows nothing has no place to lose.
-func TestPlaceOfAnotherEraExpires(t *testing.T) {
+// Guards against a reader that continues at a position from the previous era, where the store holds other records: it
+// must read everything again. A reader that knows nothing has no position to lose.
+func TestPositionOfAnotherEraExpires(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	next := storelog.Position{Era: 1, Offset: 9}
-	expect.Expect(sameEra(storelog.Position{Offset: 7}, next)).To(gomega.MatchError(store.ErrExpired))
-	expect.Expect(sameEra(storelog.Position{Era: 1, Offset: 7}, next)).To(gomega.Succeed())
-	expect.Expect(sameEra(storelog.Nowhere, next)).To(gomega.Succeed())
+	expect.Expect(checkSameEra(storelog.Position{Offset: 7}, next)).To(gomega.MatchError(store.ErrExpired))
+	expect.Expect(checkSameEra(storelog.Position{Era: 1, Offset: 7}, next)).To(gomega.Succeed())
+	expect.Expect(checkSameEra(storelog.Nowhere, next)).To(gomega.Succeed())
 }
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -1,20 +1,18 @@
-// Package follower keeps what a node knows of the platform's store up to date: the
-// configuration in force, the data centres that the operator drained, and the registry of
-// servers.
+// Package follower keeps a node's copy of the platform store's data up to date: the configuration in force, the data
+// centres that the operator drained, and the registry of servers.
 //
-// One node reads the store for all and the others are told over the tree, so a node asks
-// the store itself only where its part in reading says so: standing.go decides that from
-// facts that the node gives. How old its knowledge is counts by matter: a fresh registry
-// says nothing of the configuration. Calls that the store has forgotten are made again,
-// see package store.
+// One node, the reader, reads the store on behalf of all nodes, and the others receive the data over the tree. A node
+// therefore asks the store itself only if its ReadPolicy says so; readpolicy.go decides that from facts that the node
+// supplies. The age of the data is tracked separately for configuration and registry, because a fresh registry says
+// nothing about the configuration. Package store repeats calls that the store has forgotten.
 //
-// The store may come back from an older copy; era.go has what follows from that.
+// The store may be restored from an older backup; era.go handles the consequences.
 //
 // # Usage
 //
-//	follower := follower.New(follower.Parts{Store: store, Calls: calls, Standing: standing, ...})
+//	follower := follower.New(follower.Dependencies{Store: store, Calls: calls, ReadPolicy: readPolicy, ...})
 //	follower.Start()
-//	follower.Offer(body, "10.1.0.2:7000")
+//	follower.OfferConfiguration(body, "10.1.0.2:7000")
 //	follower.Stop()
 package follower
 
@@ -38,156 +36,157 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// Parts is what a Follower works with.
-type Parts struct {
+// Dependencies are the constructor arguments of a Follower.
+type Dependencies struct {
 	Store         store.Store
 	Calls         *store.Calls
 	Configuration *configuration.Table
 	Drains        *drain.Table
 	Servers       *roster.List
-	// Standing returns the node's part in reading the store.
-	Standing func() Standing
-	// FirstStart says that all nodes start now.
+	// ReadPolicy returns the facts that decide when this node reads the store.
+	ReadPolicy func() ReadPolicy
+	// FirstStart reports that all nodes of the fleet are starting now.
 	FirstStart bool
-	// Pace returns how often what leaves have no part in is done, where others do it
-	// after each tick.
-	Pace func(tick time.Duration) func() time.Duration
-	// InForce is told of a new version and its encoded form.
-	InForce func(version int64, body []byte)
-	// DrainsChanged is told of the data centres whose drain began or ended by what was read.
+	// TickInterval returns the interval function of a periodic task in which leaves have no part: one tick on other
+	// nodes, a longer interval on leaves.
+	TickInterval func(tick time.Duration) func() time.Duration
+	// ConfigurationApplied is called with a new configuration version and its encoded form.
+	ConfigurationApplied func(version int64, body []byte)
+	// DrainsChanged is called with the data centres whose drain began or ended according to the store.
 	DrainsChanged func(changes []drain.Record)
-	// ListChanged is told that the list of servers changed.
-	ListChanged func()
-	// HeardServer is told of each server that was read or told of.
-	HeardServer func(server *roster.Server)
-	// CameBack is told that the store came back from an older copy.
-	CameBack func()
-	Now      clock.Now
-	Logger   *slog.Logger
+	// ServersChanged is called after the list of servers has changed.
+	ServersChanged func()
+	// ServerSeen is called for each server that was read from the registry or received from another node.
+	ServerSeen func(server *roster.Server)
+	// StoreRestored is called after the store was restored from an older backup.
+	StoreRestored func()
+	Now           clock.Now
+	Logger        *slog.Logger
 }
 
-// Follower keeps a node's knowledge up to date.
+// Follower keeps a node's copy of the store's data up to date.
 type Follower struct {
 	*lifecycle.Part
-	Parts
+	Dependencies
 
 	startedAt time.Duration
-	// roleAt is when the node got its role, fedAt when it was last seen that a node above told it of servers.
-	roleAt  atomic.Int64
-	fedAt   atomic.Int64
-	looking chan struct{}
-	// hinted says that another node has told that the store answers it.
-	hinted atomic.Bool
-	// confirmedAt is the latest time at which the store is known to have had no newer
-	// configuration than the one in force.
+	// roleChangedAt is when the node got its current role. lastFedAt is when an upstream node was last seen to send
+	// it servers.
+	roleChangedAt atomic.Int64
+	lastFedAt     atomic.Int64
+	recheck       chan struct{}
+	// storeHinted reports that another node has said that the store answers it.
+	storeHinted atomic.Bool
+	// confirmedAt is the latest time at which the store is known to have had no newer configuration than the one in
+	// force.
 	confirmedAt atomic.Int64
 
-	// askingToldAt is when the log was last told that this node asks the store itself, by matter.
-	askingToldAt map[string]time.Duration
-	askingMu     sync.Mutex
+	// askLoggedAt holds, by kind of data, when the log last reported that this node asks the store itself.
+	askLoggedAt map[string]time.Duration
+	askLogMu    sync.Mutex
 
-	reading     atomic.Bool
+	readingList atomic.Bool
 	listExpired atomic.Bool
-	// readAt is when this node last read the registry itself.
-	readAt atomic.Int64
+	// listReadAt is when this node last read the registry itself.
+	listReadAt atomic.Int64
 
-	// era is the highest that the store was seen in, settled that in which the servers of
-	// the era before were looked for once more. returns counts new eras.
-	era     atomic.Int64
-	settled atomic.Int64
-	returns atomic.Uint64
+	// era is the highest era seen from the store. settledEra is the era in which the servers of the previous era were
+	// looked up once more. restores counts new eras.
+	era        atomic.Int64
+	settledEra atomic.Int64
+	restores   atomic.Uint64
 }
 
-// UnknownAge is the age of what was never read, and the highest that is told.
+// UnknownAge is the age of data that was never read, and the highest age that is reported.
 const UnknownAge = time.Hour
 
-// never is longer than any knowledge is old.
-const never = 1 << 62
+// infiniteAge is longer than the age of any data.
+const infiniteAge = 1 << 62
 
-// New returns a follower that is yet to be started.
-func New(parts Parts) *Follower {
-	follower := &Follower{Part: lifecycle.New("follower"), Parts: parts, looking: make(chan struct{}, 1), askingToldAt: map[string]time.Duration{}}
-	follower.confirmedAt.Store(-never)
-	follower.readAt.Store(-never)
+// New returns a follower that has not been started.
+func New(dependencies Dependencies) *Follower {
+	follower := &Follower{Part: lifecycle.New("follower"), Dependencies: dependencies, recheck: make(chan struct{}, 1), askLoggedAt: map[string]time.Duration{}}
+	follower.confirmedAt.Store(-infiniteAge)
+	follower.listReadAt.Store(-infiniteAge)
 	follower.era.Store(unknownEra)
 	return follower
 }
 
-// Start begins to follow the store.
+// Start starts to follow the store.
 func (follower *Follower) Start() {
 	follower.startedAt = follower.Now()
 	follower.GoAs("configuration", follower.followConfiguration)
-	follower.PacedAs("list", follower.Pace(ListTick), follower.refreshList)
+	follower.PacedAs("list", follower.TickInterval(ListCheckInterval), follower.refreshList)
 }
 
-// Look makes the follower look at once whether it should ask the store.
-func (follower *Follower) Look() {
+// Recheck makes the follower check immediately whether it should ask the store.
+func (follower *Follower) Recheck() {
 	select {
-	case follower.looking <- struct{}{}:
+	case follower.recheck <- struct{}{}:
 	default:
 	}
 	follower.refreshList()
 }
 
-// NewRole is told that the node has another role.
-func (follower *Follower) NewRole() {
-	follower.roleAt.Store(int64(follower.Now()))
-	follower.Look()
+// RoleChanged is called after the node's role has changed.
+func (follower *Follower) RoleChanged() {
+	follower.roleChangedAt.Store(int64(follower.Now()))
+	follower.Recheck()
 }
 
-// awaitsFirst says whether a node that knows no servers is about to be told of them: one that has just
-// attached to another is, or has just lost it and looks for the next. If all relays of a fleet read the
-// registry at a start, or all leaves of a relay when it ends, that is one whole reading each.
-func (follower *Follower) awaitsFirst(role overlay.Role) bool {
+// awaitsFirstList reports whether a node without a server list is about to receive one: it has just attached to an
+// upstream node, or has just lost one and is looking for the next. Otherwise each relay of a fleet that starts, and
+// each leaf of a relay that ends, would read the whole registry.
+func (follower *Follower) awaitsFirstList(role overlay.Role) bool {
 	attached := role == overlay.Relay || role == overlay.Leaf
-	return attached && follower.Now()-time.Duration(max(follower.roleAt.Load(), follower.fedAt.Load())) < firstPatience
+	return attached && follower.Now()-time.Duration(max(follower.roleChangedAt.Load(), follower.lastFedAt.Load())) < firstListDelay
 }
 
-// Hint is told by another node that the store answers it. A node that goes on to take it
-// for away could claim no term.
-func (follower *Follower) Hint() {
+// HintStoreAvailable is called when another node reports that the store answers it. A node that still takes the store
+// for unavailable cannot claim a leadership term.
+func (follower *Follower) HintStoreAvailable() {
 	if !follower.Calls.Away() {
 		return
 	}
-	follower.hinted.Store(true)
+	follower.storeHinted.Store(true)
 	follower.Calls.Hint()
-	follower.Look()
+	follower.Recheck()
 }
 
-// limits are how long this node waits for the store.
-func (follower *Follower) limits() patience.Limits {
-	if follower.Standing().Role == overlay.Root {
+// storeLimits returns how long this node waits for the store.
+func (follower *Follower) storeLimits() patience.Limits {
+	if follower.ReadPolicy().Role == overlay.Root {
 		return patience.Of(patience.Speaker)
 	}
 	return patience.Of(patience.Hearer)
 }
 
 const (
-	// readerWait is how long the node that reads for all waits for a change in
-	// one call. Others know by its end that there is none.
-	readerWait = 500 * time.Millisecond
-	// informedLook is how often a node that others bring what the store has looks whether
-	// that is still so, and startLook how often one without a configuration does.
-	informedLook = 100 * time.Millisecond
-	startLook    = 20 * time.Millisecond
-	// emptyPause is waited where the store holds no configuration yet.
-	emptyPause = 150 * time.Millisecond
+	// readerLongPoll is how long the reader waits for a change in one call. The end of the call tells the other nodes
+	// that there is none.
+	readerLongPoll = 500 * time.Millisecond
+	// informedRecheckInterval is how often a node that receives its data from other nodes checks whether that is
+	// still so. startupRecheckInterval is how often a node without a configuration checks.
+	informedRecheckInterval = 100 * time.Millisecond
+	startupRecheckInterval  = 20 * time.Millisecond
+	// emptyStoreDelay is the pause between reads while the store holds no configuration.
+	emptyStoreDelay = 150 * time.Millisecond
 )
 
 // followConfiguration keeps the configuration up to date from the store.
 func (follower *Follower) followConfiguration() {
 	position := storelog.Nowhere
-	checked := time.Duration(0)
+	askedAt := time.Duration(0)
 	for {
-		if !follower.asks(checked) && !follower.hinted.Swap(false) {
-			if !follower.await(follower.lookPause()) {
+		if !follower.shouldAsk(askedAt) && !follower.storeHinted.Swap(false) {
+			if !follower.waitForRecheck(follower.recheckInterval()) {
 				return
 			}
 			continue
 		}
-		checked = follower.Now()
-		follower.noteAsking("configuration", follower.ConfigurationAge())
-		rest := follower.Calls.Rest(follower.limits())
+		askedAt = follower.Now()
+		follower.logNonReaderAsk("configuration", follower.ConfigurationAge())
+		rest := follower.Calls.Rest(follower.storeLimits())
 		next, err := follower.readConfiguration(position)
 		switch {
 		case errors.Is(err, store.ErrExpired) && position.Known():
@@ -198,7 +197,7 @@
 			}
 			continue
 		}
-		if position = next; position.Offset == 0 && !follower.Sleep(emptyPause) {
+		if position = next; position.Offset == 0 && !follower.Sleep(emptyStoreDelay) {
 			return
 		}
 		select {
@@ -209,80 +208,80 @@
 	}
 }
 
-// askingTold is how often the log tells that a node asks the store itself.
-const askingTold = 5 * time.Second
+// askLogInterval is how often the log reports that a node that is not the reader asks the store.
+const askLogInterval = 5 * time.Second
 
-// noteAsking tells that a node asks the store though another reads it for all.
-func (follower *Follower) noteAsking(matter string, age time.Duration) {
-	standing := follower.Standing()
-	if standing.Reads() {
+// logNonReaderAsk logs that this node asks the store although another node is the reader.
+func (follower *Follower) logNonReaderAsk(data string, age time.Duration) {
+	policy := follower.ReadPolicy()
+	if policy.IsReader() {
 		return
 	}
-	follower.askingMu.Lock()
-	defer follower.askingMu.Unlock()
+	follower.askLogMu.Lock()
+	defer follower.askLogMu.Unlock()
 	now := follower.Now()
-	if at, told := follower.askingToldAt[matter]; told && now-at < askingTold {
+	if at, logged := follower.askLoggedAt[data]; logged && now-at < askLogInterval {
 		return
 	}
-	follower.askingToldAt[matter] = now
-	follower.Logger.Info("gateway: this node asks the store, though it is not the reader.", "Matter", matter, "Role", standing.Role.String(),
-		"AgeMilliseconds", age.Milliseconds(), "MissesVersion", standing.Misses, "RootsAway", standing.RootsAway)
+	follower.askLoggedAt[data] = now
+	follower.Logger.Info("gateway: this node asks the store although another node is the reader.", "Matter", data, "Role", policy.Role.String(),
+		"AgeMilliseconds", age.Milliseconds(), "MissesVersion", policy.MissesVersion, "RootsAway", policy.RootsUnavailable)
 }
 
-// asks says whether this node asks the store for the configuration. Checked is when it last
-// did, 0 for never.
-func (follower *Follower) asks(checked time.Duration) bool {
+// shouldAsk reports whether this node asks the store for the configuration. askedAt is when the node last did so, or
+// 0 for never.
+func (follower *Follower) shouldAsk(askedAt time.Duration) bool {
 	now := follower.Now()
-	standing := follower.Standing()
-	if standing.Role == overlay.Starting {
-		// Requests may come before a node that starts again is ready.
-		return !follower.FirstStart && !follower.Configuration.Load().Known() && now-follower.startedAt > startPatience
+	policy := follower.ReadPolicy()
+	if policy.Role == overlay.Starting {
+		// Requests may arrive before a restarting node is ready.
+		return !follower.FirstStart && !follower.Configuration.Load().Known() && now-follower.startedAt > startupReadDelay
 	}
-	sinceChecked := time.Duration(0)
-	if checked > 0 {
-		sinceChecked = now - checked
+	sinceAsked := time.Duration(0)
+	if askedAt > 0 {
+		sinceAsked = now - askedAt
 	}
-	return standing.asks(follower.ConfigurationAge(), sinceChecked)
+	return policy.shouldAsk(follower.ConfigurationAge(), sinceAsked)
 }
 
-// lookPause is how long it takes until the node looks again: short while it has no
-// configuration and refuses its callers.
-func (follower *Follower) lookPause() time.Duration {
+// recheckInterval returns the pause before the next check. It is short while the node has no configuration and
+// refuses its callers.
+func (follower *Follower) recheckInterval() time.Duration {
 	if follower.Configuration.Load().Known() {
-		return informedLook
+		return informedRecheckInterval
 	}
-	return startLook
+	return startupRecheckInterval
 }
 
-// await waits until the node should look again whether to ask the store, and says
-// whether it goes on.
-func (follower *Follower) await(span time.Duration) bool {
-	timer := time.NewTimer(span)
+// waitForRecheck waits until the next check of whether to ask the store. It returns false if the follower is
+// stopping.
+func (follower *Follower) waitForRecheck(timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-follower.Stopping:
 		return false
-	case <-follower.looking:
+	case <-follower.recheck:
 	case <-timer.C:
 	}
 	return true
 }
 
-// readConfiguration asks the store for a version from a position on, and returns
-// the position after it.
+// readConfiguration reads the next configuration version after a position from the store, and returns the position
+// after that version.
 func (follower *Follower) readConfiguration(position storelog.Position) (storelog.Position, error) {
-	wait := readerWait
+	wait := readerLongPoll
 	if !position.Known() || follower.Calls.Away() {
 		wait = 0
 	}
 	version, err := store.Ask(follower.Calls, follower.Part, store.Question[store.Version]{
-		Name: "configuration", Wait: wait, Limits: follower.limits(), Wanted: func() bool { return follower.asks(0) },
+		Name: "configuration", Wait: wait, Limits: follower.storeLimits(), Wanted: func() bool { return follower.shouldAsk(0) },
 		Call: func(ctx context.Context, wait time.Duration) (store.Version, error) {
 			began := follower.Now()
 			version, err := follower.Store.Configuration(ctx, position, wait)
 			version.At = min(follower.Now(), began+wait)
 			if err == nil {
-				err = follower.HeardEra(version.Next.Era)
+				err = follower.ObserveEra(version.Next.Era)
 			}
 			return version, err
 		},
@@ -295,17 +294,17 @@
 		follower.DrainsChanged(changes)
 	}
 	if len(version.Body) > 0 {
-		follower.Offer(version.Body, "store")
+		follower.OfferConfiguration(version.Body, "store")
 	}
-	follower.confirmed(version.At)
-	return version.Next, sameEra(position, version.Next)
+	follower.markConfirmed(version.At)
+	return version.Next, checkSameEra(position, version.Next)
 }
 
-// Offer puts a version in force if it is newer.
-func (follower *Follower) Offer(body []byte, source string) {
+// OfferConfiguration decodes a configuration version and applies it if it is newer than the one in force.
+func (follower *Follower) OfferConfiguration(body []byte, source string) {
 	decoded, err := follower.Store.DecodeConfiguration(body)
 	if err != nil {
-		follower.Logger.Error("gateway: a configuration can't be read.", "Source", source, "Error", err.Error())
+		follower.Logger.Error("gateway: cannot decode a configuration.", "Source", source, "Error", err.Error())
 		return
 	}
 	if !follower.Configuration.Offer(decoded) {
@@ -313,33 +312,33 @@
 	}
 	follower.Logger.Info("gateway: a configuration is in force.", "ConfigurationVersion", decoded.Version, "Source", source,
 		"Routes", len(decoded.Routes), "Services", len(decoded.Services), "Workspaces", len(decoded.Workspaces))
-	follower.InForce(decoded.Version, body)
+	follower.ConfigurationApplied(decoded.Version, body)
 }
 
-// ConfigurationAge is how long ago the store is known to have had no newer configuration
-// than the one in force, UnknownAge at the most.
+// ConfigurationAge returns how long ago the store is known to have had no newer configuration than the one in force,
+// at most UnknownAge.
 func (follower *Follower) ConfigurationAge() time.Duration {
 	at := follower.confirmedAt.Load()
-	if at == -never {
+	if at == -infiniteAge {
 		return UnknownAge
 	}
 	return min(UnknownAge, follower.Now()-time.Duration(at))
 }
 
-// confirmed notes that the store had no newer configuration at a time.
-func (follower *Follower) confirmed(at time.Duration) {
+// markConfirmed records that the store had no newer configuration at a time.
+func (follower *Follower) markConfirmed(at time.Duration) {
 	for {
-		held := follower.confirmedAt.Load()
-		if int64(at) <= held || follower.confirmedAt.CompareAndSwap(held, int64(at)) {
+		current := follower.confirmedAt.Load()
+		if int64(at) <= current || follower.confirmedAt.CompareAndSwap(current, int64(at)) {
 			return
 		}
 	}
 }
 
-// Confirmed takes how old another node's knowledge of a version is. It says nothing where
-// this node has another version in force.
-func (follower *Follower) Confirmed(version int64, age time.Duration) {
+// ConfirmVersion applies another node's knowledge of how long ago a version was the newest. It has no effect if this
+// node has another version in force.
+func (follower *Follower) ConfirmVersion(version int64, age time.Duration) {
 	if version == follower.Configuration.Load().Configuration.Version {
-		follower.confirmed(follower.Now() - age)
+		follower.markConfirmed(follower.Now() - age)
 	}
 }
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -14,24 +14,23 @@
 )
 
 const (
-	// ListTick is how often the age of the list is looked at.
-	ListTick = 100 * time.Millisecond
-	// listAway is how often the registry is asked for while the store doesn't answer. The
-	// configuration is asked for meanwhile, which is enough to notice its return.
-	listAway = 2 * time.Second
+	// ListCheckInterval is how often the age of the server list is checked.
+	ListCheckInterval = 100 * time.Millisecond
+	// unavailableListInterval is how often the registry is read while the store does not answer. The configuration is
+	// read meanwhile, which is enough to notice that the store is available again.
+	unavailableListInterval = 2 * time.Second
 )
 
-// refreshList reads the registry when this node's knowledge of it is older
-// than its part in reading allows.
+// refreshList reads the registry if this node's server list is older than its ReadPolicy allows.
 func (follower *Follower) refreshList() {
-	if !follower.listDue() || !follower.reading.CompareAndSwap(false, true) {
+	if !follower.listDue() || !follower.readingList.CompareAndSwap(false, true) {
 		return
 	}
-	follower.noteAsking("servers", follower.ListAge())
+	follower.logNonReaderAsk("servers", follower.ListAge())
 	follower.GoAs("list", func() {
-		defer follower.reading.Store(false)
-		limits := follower.limits()
-		limits.Away = listAway
+		defer follower.readingList.Store(false)
+		limits := follower.storeLimits()
+		limits.Away = unavailableListInterval
 		rest := follower.Calls.Rest(limits)
 		if err := follower.readList(limits); err != nil && !errors.Is(err, store.ErrExpired) {
 			rest.Wait(follower.Part)
@@ -39,19 +38,19 @@
 	})
 }
 
-// listDue says whether this node is to read the registry.
+// listDue reports whether this node should read the registry.
 func (follower *Follower) listDue() bool {
-	standing := follower.Standing()
-	if standing.Fed {
-		follower.fedAt.Store(int64(follower.Now()))
+	policy := follower.ReadPolicy()
+	if policy.FedByUpstream {
+		follower.lastFedAt.Store(int64(follower.Now()))
 	}
-	if !follower.Servers.Load().Known() && follower.awaitsFirst(standing.Role) {
+	if !follower.Servers.Load().Known() && follower.awaitsFirstList(policy.Role) {
 		return false
 	}
-	return follower.ListAge() >= standing.listLimit()
+	return follower.ListAge() >= policy.listMaxAge()
 }
 
-// ListAge is how long ago the registry was read for the list of servers, UnknownAge if never.
+// ListAge returns the time since the registry read that the server list reflects, or UnknownAge if there was none.
 func (follower *Follower) ListAge() time.Duration {
 	snapshot := follower.Servers.Load()
 	if !snapshot.Known() {
@@ -60,14 +59,14 @@
 	return follower.Now() - snapshot.ReadAt
 }
 
-// ReadsList says whether this node itself reads the registry.
+// ReadsList reports whether this node has read the registry itself lately.
 func (follower *Follower) ReadsList() bool {
-	return follower.Now()-time.Duration(follower.readAt.Load()) < ListPatience
+	return follower.Now()-time.Duration(follower.listReadAt.Load()) < ListMaxAge
 }
 
 func (follower *Follower) readList(limits patience.Limits) error {
-	settling := follower.settles(follower.Now())
-	from := follower.listFrom(settling)
+	readAll := follower.shouldReadAllAgain(follower.Now())
+	from := follower.listPosition(readAll)
 	listing, err := store.Ask(follower.Calls, follower.Part, store.Question[store.Listing]{
 		Name: "servers", Limits: limits, Wanted: follower.listDue,
 		Call: func(ctx context.Context, _ time.Duration) (store.Listing, error) {
@@ -75,10 +74,10 @@
 			listing, err := follower.Store.Servers(ctx, from)
 			listing.At = began
 			if err == nil {
-				err = follower.HeardEra(listing.Next.Era)
+				err = follower.ObserveEra(listing.Next.Era)
 			}
 			if err == nil {
-				err = sameEra(from, listing.Next)
+				err = checkSameEra(from, listing.Next)
 			}
 			return listing, err
 		},
@@ -87,54 +86,53 @@
 	if err != nil {
 		return err
 	}
-	follower.readAt.Store(int64(listing.At))
-	follower.Take(listing)
-	if settling {
-		follower.noteSettled(listing.Next.Era)
+	follower.listReadAt.Store(int64(listing.At))
+	follower.ApplyListing(listing)
+	if readAll {
+		follower.markSettled(listing.Next.Era)
 	}
 	return nil
 }
 
-// listFrom is the position from which the registry is read next: nowhere for all
-// entries that there are.
-func (follower *Follower) listFrom(settling bool) storelog.Position {
+// listPosition returns the position from which the registry is read next, storelog.Nowhere to read all entries.
+func (follower *Follower) listPosition(readAll bool) storelog.Position {
 	snapshot := follower.Servers.Load()
-	if !snapshot.Known() || follower.listExpired.Load() || settling {
+	if !snapshot.Known() || follower.listExpired.Load() || readAll {
 		return storelog.Nowhere
 	}
 	return snapshot.End
 }
 
-// Take takes what the registry or another node said.
-func (follower *Follower) Take(listing store.Listing) {
-	for number := range listing.Records {
-		record := &listing.Records[number]
+// ApplyListing applies registry records from the store or from another node.
+func (follower *Follower) ApplyListing(listing store.Listing) {
+	for index := range listing.Records {
+		record := &listing.Records[index]
 		if len(record.Body) > 0 && !follower.decodeServer(record) {
 			continue
 		}
 		if record.Server != nil {
-			follower.HeardServer(record.Server)
+			follower.ServerSeen(record.Server)
 		}
 	}
 	reading := roster.Reading{Records: listing.Records, End: listing.Next, ReadAt: listing.At, Whole: listing.Whole, Told: listing.Told}
 	if follower.Servers.Take(reading) || listing.Whole {
-		follower.ListChanged()
+		follower.ServersChanged()
 	}
 }
 
-// decodeServer reads an entry of the registry. One that says the same as before,
-// as most do, which are heartbeats, isn't read again.
+// decodeServer decodes a registry entry. Unchanged entries, such as heartbeats, which are most of them, are not
+// decoded again.
 func (follower *Follower) decodeServer(record *roster.Record) bool {
 	record.Hash = xxhash.Sum64(record.Body)
 	body := record.Body
 	record.Body = nil
-	if held, same := follower.Servers.Held(record.ID, record.Hash); same {
-		record.Server = held
+	if known, same := follower.Servers.Held(record.ID, record.Hash); same {
+		record.Server = known
 		return true
 	}
 	server, err := follower.Store.DecodeServer(body)
 	if err != nil {
-		follower.Logger.Error("gateway: a server's entry can't be read.", "Server", record.ID, "Error", err.Error())
+		follower.Logger.Error("gateway: cannot decode a server's registry entry.", "Server", record.ID, "Error", err.Error())
 		return false
 	}
 	server.ID = record.ID
--- a/internal/fleet/overlay/attach.go
+++ b/internal/fleet/overlay/attach.go
@@ -11,8 +11,8 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// errRefused says that a node answered and won't serve the purpose.
-var errRefused = errors.New("the node refused")
+// errRefused reports that a node answered but does not serve the request.
+var errRefused = errors.New("the node refused the request")
 
 func toWire(member tree.Member) *frame.Node {
 	return &frame.Node{Address: member.Address, DataCentre: member.DataCentre, Capacity: member.Capacity}
@@ -22,34 +22,34 @@
 	return tree.Member{Address: node.GetAddress(), DataCentre: node.GetDataCentre(), Capacity: node.GetCapacity()}
 }
 
-// attachTime is how long a node may take to be connected to, and to answer. One that
-// is starting again asks again soon in any case: others without power, which come back
-// together with it, answer nothing at all. When all start for the first time, the seeds
-// are asked by everybody and take their time.
-func (overlay *Overlay) attachTime() time.Duration {
-	if !overlay.FirstStart && overlay.Now()-overlay.started < bootTime {
-		return bootAttachTime
+// attachTimeoutNow returns the timeout for connecting to a node and for its first answer. It is short on a node that
+// has just restarted: such a node retries soon anyway, and nodes that lost power together with it do not answer at
+// all. It is longer when all nodes start for the first time, because every node queries the seeds then and they
+// answer slowly.
+func (overlay *Overlay) attachTimeoutNow() time.Duration {
+	if !overlay.FirstStart && overlay.Now()-overlay.startedAt < bootGracePeriod {
+		return bootAttachTimeout
 	}
-	return attachTime
+	return attachTimeout
 }
 
-// open connects to a node, says what for, and returns its first answer.
-func (overlay *Overlay) open(address string, purpose frame.Purpose) (*sibling.Conn, *frame.Frame, error) {
-	within := overlay.attachTime()
-	conn, err := sibling.Connect(overlay.Dial, address, within)
+// openConn connects to a node, sends the purpose of the connection, and returns the node's first answer.
+func (overlay *Overlay) openConn(address string, purpose frame.Purpose) (*sibling.Conn, *frame.Frame, error) {
+	timeout := overlay.attachTimeoutNow()
+	conn, err := sibling.Connect(overlay.Dial, address, timeout)
 	if err != nil {
 		return nil, nil, err
 	}
 	hello, err := proto.Marshal(&frame.Frame{Hello: &frame.Hello{Incarnation: overlay.Incarnation, Sender: toWire(overlay.Self), Purpose: purpose}})
 	if err != nil {
 		conn.Close()
-		return nil, nil, errors.Wrap(err, "encode a greeting")
+		return nil, nil, errors.Wrap(err, "encode the hello frame")
 	}
-	if err := conn.Send(hello, within); err != nil {
+	if err := conn.Send(hello, timeout); err != nil {
 		conn.Close()
 		return nil, nil, err
 	}
-	answer, err := conn.Receive(within)
+	answer, err := conn.Receive(timeout)
 	if err != nil {
 		conn.Close()
 		return nil, nil, err
@@ -57,79 +57,79 @@
 	return conn, answer, nil
 }
 
-// greeted is a node that takes this one.
-type greeted struct {
+// acceptedConn is a connection to a node that has accepted this one.
+type acceptedConn struct {
 	conn    *sibling.Conn
 	welcome *frame.Welcome
 }
 
-// greet connects to a node for a purpose, and returns nil if it won't do.
-func (overlay *Overlay) greet(address string, purpose frame.Purpose) *greeted {
-	conn, answer, err := overlay.open(address, purpose)
+// handshake connects to a node for a purpose. It returns nil if the node fails or refuses.
+func (overlay *Overlay) handshake(address string, purpose frame.Purpose) *acceptedConn {
+	conn, answer, err := overlay.openConn(address, purpose)
 	if err != nil {
-		overlay.Counts.AttachFailed.Add(1)
-		overlay.suspect(address, 0)
+		overlay.Counters.LinksFailed.Add(1)
+		overlay.backOff(address, 0)
 		return nil
 	}
-	overlay.learnAll(answer.Heads)
+	overlay.addHeads(answer.Heads)
 	welcome := answer.GetWelcome()
-	overlay.learnRoot(welcome.GetSender().GetDataCentre(), welcome.GetRoot())
+	overlay.setRoot(welcome.GetSender().GetDataCentre(), welcome.GetRoot())
 	if welcome == nil || welcome.Refusal != "" {
 		conn.Close()
-		overlay.Counts.AttachFailed.Add(1)
+		overlay.Counters.LinksFailed.Add(1)
 		if answer.Stopping {
-			overlay.stops(address)
+			overlay.markStopping(address)
 		} else {
-			overlay.suspect(address, refusedFor)
+			overlay.backOff(address, refusalBackoff)
 		}
 		return nil
 	}
-	overlay.answered(address)
-	return &greeted{conn: conn, welcome: welcome}
+	overlay.markAlive(address)
+	return &acceptedConn{conn: conn, welcome: welcome}
 }
 
-// link makes a link of a connection to a node that takes this one.
-func (overlay *Overlay) link(found *greeted, purpose frame.Purpose) *Link {
-	overlay.Counts.Attached.Add(1)
-	link := newLink(found.conn, purpose, true, fromWire(found.welcome.Sender), found.welcome.Incarnation)
-	overlay.Go(func() { overlay.run(link) })
+// startLink starts a link over an accepted connection.
+func (overlay *Overlay) startLink(accepted *acceptedConn, purpose frame.Purpose) *Link {
+	overlay.Counters.LinksAttached.Add(1)
+	link := newLink(accepted.conn, purpose, true, fromWire(accepted.welcome.Sender), accepted.welcome.Incarnation)
+	overlay.Go(func() { overlay.runLink(link) })
 	return link
 }
 
-// attach opens a link to a node, nil if that won't do.
+// attach opens a link to a node. It returns nil if the node fails or refuses.
 func (overlay *Overlay) attach(address string, purpose frame.Purpose) *Link {
-	found := overlay.greet(address, purpose)
-	if found == nil {
+	accepted := overlay.handshake(address, purpose)
+	if accepted == nil {
 		return nil
 	}
-	return overlay.link(found, purpose)
+	return overlay.startLink(accepted, purpose)
 }
 
-// headStart is how much sooner each node is tried than the next: several times what
-// one that is well takes to answer.
-const headStart = 40 * time.Millisecond
+// attachStagger is the delay between the attempts on successive nodes: several times the answer time of a healthy
+// node.
+const attachStagger = 40 * time.Millisecond
 
-// race opens a link to the first of some nodes that takes this one, nil if none
-// does. A node without power answers nothing; waited for in turn, three of them
-// would leave this one without news for a second.
-func (overlay *Overlay) race(addresses []string, purpose frame.Purpose) *Link {
-	answers := make(chan *greeted, len(addresses))
-	timer := time.NewTimer(headStart)
+// attachFirst opens a link to the first of several nodes that accepts this one. It returns nil if none does. The
+// attempts overlap, because a node without power answers nothing: waiting for three such nodes in turn would leave
+// this node without updates for a second.
+func (overlay *Overlay) attachFirst(addresses []string, purpose frame.Purpose) *Link {
+	answers := make(chan *acceptedConn, len(addresses))
+	timer := time.NewTimer(attachStagger)
 	defer timer.Stop()
-	begun, ended := 0, 0
-	for ended < len(addresses) {
-		if begun < len(addresses) {
-			address := addresses[begun]
-			overlay.Go(func() { answers <- overlay.greet(address, purpose) })
-			begun++
-			timer.Reset(headStart)
+	started, finished := 0, 0
+	for finished < len(addresses) {
+		if started < len(addresses) {
+			address := addresses[started]
+			overlay.Go(func() { answers <- overlay.handshake(address, purpose) })
+			started++
+			timer.Reset(attachStagger)
 		}
 		select {
-		case found := <-answers:
-			ended++
-			if found != nil {
-				overlay.closeLate(answers, begun-ended)
-				return overlay.link(found, purpose)
+		case accepted := <-answers:
+			finished++
+			if accepted != nil {
+				overlay.closeLateConns(answers, started-finished)
+				return overlay.startLink(accepted, purpose)
 			}
 		case <-timer.C:
 		}
@@ -137,10 +137,10 @@
 	return nil
 }
 
-// closeLate closes the connections of a race that has been won.
-func (overlay *Overlay) closeLate(answers <-chan *greeted, left int) {
+// closeLateConns closes the connections of the attempts that lost against the first accepted one.
+func (overlay *Overlay) closeLateConns(answers <-chan *acceptedConn, count int) {
 	overlay.Go(func() {
-		for range left {
+		for range count {
 			if late := <-answers; late != nil {
 				late.conn.Close()
 			}
@@ -148,21 +148,21 @@
 	})
 }
 
-// Fetch asks a node for the configuration in force.
-func (overlay *Overlay) Fetch(address string) ([]byte, error) {
-	conn, err := sibling.Connect(overlay.Dial, address, attachTime)
+// FetchConfiguration fetches the configuration in force from a node.
+func (overlay *Overlay) FetchConfiguration(address string) ([]byte, error) {
+	conn, err := sibling.Connect(overlay.Dial, address, attachTimeout)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
 	hello, err := proto.Marshal(&frame.Frame{Hello: &frame.Hello{Incarnation: overlay.Incarnation, Sender: toWire(overlay.Self), Purpose: frame.Purpose_Fetch}})
 	if err != nil {
-		return nil, errors.Wrap(err, "encode a question")
+		return nil, errors.Wrap(err, "encode the configuration request")
 	}
-	if err := conn.Send(hello, attachTime); err != nil {
+	if err := conn.Send(hello, attachTimeout); err != nil {
 		return nil, err
 	}
-	answer, err := conn.Receive(fetchTime)
+	answer, err := conn.Receive(longAnswerTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -172,50 +172,50 @@
 	return answer.Configuration, nil
 }
 
-// serve serves a connection that another node opened.
-func (overlay *Overlay) serve(conn *sibling.Conn) {
-	first, err := conn.Receive(attachTime)
+// handleConn serves a connection that another node opened.
+func (overlay *Overlay) handleConn(conn *sibling.Conn) {
+	first, err := conn.Receive(attachTimeout)
 	if err != nil || first.Hello == nil {
 		return
 	}
 	hello := first.Hello
 	remote := fromWire(hello.Sender)
-	overlay.learn(remote)
-	overlay.answered(remote.Address)
+	overlay.addMember(remote)
+	overlay.markAlive(remote.Address)
 	if hello.Purpose == frame.Purpose_Fetch {
-		overlay.reply(conn, &frame.Frame{Configuration: overlay.Configuration()})
+		overlay.sendReply(conn, &frame.Frame{Configuration: overlay.Configuration()})
 		return
 	}
 	refusal := ""
 	if hello.Purpose != frame.Purpose_Ask {
-		refusal = overlay.refusal(hello, remote)
+		refusal = overlay.refusalReason(hello, remote)
 	}
-	told := overlay.heads()
+	heads := overlay.heads()
 	detours := []*frame.Detour(nil)
 	if hello.Purpose == frame.Purpose_Ask && overlay.Detours != nil {
 		detours = overlay.Detours()
 	}
 	welcome := &frame.Welcome{Incarnation: overlay.Incarnation, Sender: toWire(overlay.Self), Refusal: refusal, Root: overlay.Root()}
-	if !overlay.reply(conn, &frame.Frame{Welcome: welcome, Heads: told.nodes, Detours: detours, Stopping: overlay.leaving.Load()}) || hello.Purpose == frame.Purpose_Ask || refusal != "" {
+	if !overlay.sendReply(conn, &frame.Frame{Welcome: welcome, Heads: heads.nodes, Detours: detours, Stopping: overlay.leaving.Load()}) || hello.Purpose == frame.Purpose_Ask || refusal != "" {
 		return
 	}
 	link := newLink(conn, hello.Purpose, false, remote, hello.Incarnation)
-	link.heads = told.version
-	overlay.run(link)
+	link.sentHeads = heads.hash
+	overlay.runLink(link)
 }
 
-// reply sends one answer.
-func (overlay *Overlay) reply(conn *sibling.Conn, answer *frame.Frame) bool {
+// sendReply sends one frame and reports whether it was sent.
+func (overlay *Overlay) sendReply(conn *sibling.Conn, answer *frame.Frame) bool {
 	body, err := proto.Marshal(answer)
 	if err != nil {
-		overlay.Logger.Error("overlay: an answer can't be encoded.", "Error", err.Error())
+		overlay.Logger.Error("overlay: cannot encode the answer to a connecting node.", "Error", err.Error())
 		return false
 	}
-	return conn.Send(body, fetchTime) == nil
+	return conn.Send(body, longAnswerTimeout) == nil
 }
 
-// refusal says why a node won't be served, empty if it will.
-func (overlay *Overlay) refusal(hello *frame.Hello, remote tree.Member) string {
+// refusalReason returns why this node refuses a connection, or an empty string if it accepts it.
+func (overlay *Overlay) refusalReason(hello *frame.Hello, remote tree.Member) string {
 	role := overlay.Role()
 	switch {
 	case overlay.leaving.Load():
@@ -226,7 +226,7 @@
 		return ""
 	case role != Root && role != Relay:
 		return "the node is no relay"
-	case hello.Purpose == frame.Purpose_Leaf && !overlay.Fit():
+	case hello.Purpose == frame.Purpose_Leaf && !overlay.ReadyForLeaves():
 		return "the node doesn't know yet what its leaves need"
 	case remote.DataCentre == overlay.Self.DataCentre && tree.Compare(remote, overlay.Self) < 0:
 		return "the node stands behind the one that asks"
--- a/internal/fleet/overlay/directory.go
+++ b/internal/fleet/overlay/directory.go
@@ -13,71 +13,70 @@
 )
 
 const (
-	// fetchTime bounds an answer that may be long: some hundred KB over a link of
-	// 20 Mbit/s that loses packets.
-	fetchTime = 1500 * time.Millisecond
-	// suspectLeast is how long a node that didn't answer is not tried again; it
-	// doubles with each failure up to suspectMost.
-	suspectLeast = 500 * time.Millisecond
-	suspectMost  = 15 * time.Second
-	// refusedFor is the same for a node that answered and refused: it may just be
-	// starting.
-	refusedFor = 100 * time.Millisecond
-	// aloneAgain is the most for a node that has no connection to any other.
-	aloneAgain = 400 * time.Millisecond
-	// forgetAfter is how many failures in a row make a node be forgotten.
-	forgetAfter = 12
-	// headsTold is how many nodes of each data centre are told to others: the
-	// relays and who comes after them.
-	headsTold = 5
-	// storeTime bounds a call to the store's directory.
-	storeTime = 700 * time.Millisecond
-	// directoryEvery is how often a root reads the store's directory, for nodes that
-	// nobody it knows has heard of.
-	directoryEvery = 15 * time.Second
+	// longAnswerTimeout bounds an answer that may be long: some hundred KB over a 20 Mbit/s link with packet loss.
+	longAnswerTimeout = 1500 * time.Millisecond
+	// minFailureBackoff is how long a node that did not answer is not tried again. It doubles with each consecutive
+	// failure, up to maxFailureBackoff.
+	minFailureBackoff = 500 * time.Millisecond
+	maxFailureBackoff = 15 * time.Second
+	// refusalBackoff is the backoff for a node that answered with a refusal. Such a node may just be starting.
+	refusalBackoff = 100 * time.Millisecond
+	// isolatedRetryInterval bounds the backoff on a node that has no link to any other node.
+	isolatedRetryInterval = 400 * time.Millisecond
+	// forgetAfterFailures is the number of consecutive failures after which a node is removed from the directory.
+	forgetAfterFailures = 12
+	// headsPerDataCentre is how many nodes of each data centre are announced to other nodes: the relays and the nodes
+	// that rank next.
+	headsPerDataCentre = 5
+	// storeTimeout bounds a call to the store's directory.
+	storeTimeout = 700 * time.Millisecond
+	// directoryInterval is how often a root reads the store's directory, to find nodes that none of its known nodes
+	// know.
+	directoryInterval = 15 * time.Second
 )
 
-// entry is a node that was heard of.
-type entry struct {
+// directoryEntry is a known node and the state of attempts to reach it.
+type directoryEntry struct {
 	tree.Member
-	failures     int
-	suspectUntil time.Duration
-	// stopsUntil is up to when it isn't counted, since it said that it stops.
-	stopsUntil time.Duration
+	failures int
+	retryAt  time.Duration
+	// stoppingUntil is the time until which the node is ignored because it announced its shutdown.
+	stoppingUntil time.Duration
 }
 
-// learn notes that there is a node.
-func (overlay *Overlay) learn(member tree.Member) {
+// addMember adds a node to the directory, or updates it. A new node of this data centre that ranks before this node
+// triggers an upstream selection.
+func (overlay *Overlay) addMember(member tree.Member) {
 	if member.Address == "" || member.DataCentre == "" || member.Address == overlay.Self.Address {
 		return
 	}
 	overlay.mu.Lock()
-	held, known := overlay.directory[member.Address]
-	news := !known || held.Member != member
-	if news {
-		overlay.directory[member.Address] = &entry{Member: member}
+	entry, known := overlay.directory[member.Address]
+	changed := !known || entry.Member != member
+	if changed {
+		overlay.directory[member.Address] = &directoryEntry{Member: member}
 	}
 	overlay.mu.Unlock()
-	if news && member.DataCentre == overlay.Self.DataCentre && tree.Compare(member, overlay.Self) < 0 {
-		overlay.nudge()
+	if changed && member.DataCentre == overlay.Self.DataCentre && tree.Compare(member, overlay.Self) < 0 {
+		overlay.requestReselect()
 	}
 }
 
-// nudge makes the node look for its place again.
-func (overlay *Overlay) nudge() {
+// requestReselect triggers a new upstream selection.
+func (overlay *Overlay) requestReselect() {
 	select {
-	case overlay.wake <- struct{}{}:
+	case overlay.reselect <- struct{}{}:
 	default:
 	}
 }
 
-func (overlay *Overlay) learnAll(heads []*frame.Node) {
+func (overlay *Overlay) addHeads(heads []*frame.Node) {
 	for _, head := range heads {
-		overlay.learn(fromWire(head))
+		overlay.addMember(fromWire(head))
 	}
 }
 
-func (overlay *Overlay) learnRoot(dataCentre, address string) {
+func (overlay *Overlay) setRoot(dataCentre, address string) {
 	if dataCentre == "" {
 		return
 	}
@@ -86,175 +85,174 @@
 	overlay.roots[dataCentre] = address
 }
 
-// suspect keeps a node from being tried for a while: as long as given, or longer
-// with each failure.
-func (overlay *Overlay) suspect(address string, span time.Duration) {
+// backOff excludes a node from attempts for the given delay. A delay of 0 selects the exponential failure backoff.
+func (overlay *Overlay) backOff(address string, delay time.Duration) {
 	overlay.mu.Lock()
 	defer overlay.mu.Unlock()
-	held, known := overlay.directory[address]
+	entry, known := overlay.directory[address]
 	if !known {
 		return
 	}
-	if span == 0 {
-		span = min(suspectMost, suspectLeast<<min(held.failures, 5))
-		held.failures++
+	if delay == 0 {
+		delay = min(maxFailureBackoff, minFailureBackoff<<min(entry.failures, 5))
+		entry.failures++
 	}
-	if overlay.Now()-overlay.started < bootTime {
-		// It may be starting as well.
-		span = min(span, bootAgain)
+	if overlay.Now()-overlay.startedAt < bootGracePeriod {
+		// The other node may be starting as well.
+		delay = min(delay, bootRetryInterval)
 	}
-	alone := len(overlay.links) == 0
-	if alone {
+	isolated := len(overlay.links) == 0
+	if isolated {
 		// This node may be the one that is cut off.
-		span = min(span, aloneAgain)
+		delay = min(delay, isolatedRetryInterval)
 	}
-	held.suspectUntil = overlay.Now() + span
-	if held.failures >= forgetAfter && !alone {
+	entry.retryAt = overlay.Now() + delay
+	if entry.failures >= forgetAfterFailures && !isolated {
 		delete(overlay.directory, address)
 	}
 }
 
-// stops notes that a node said that it stops.
-func (overlay *Overlay) stops(address string) {
-	overlay.suspect(address, stoppingFor)
+// markStopping records that a node announced its shutdown.
+func (overlay *Overlay) markStopping(address string) {
+	overlay.backOff(address, stoppingBackoff)
 	overlay.mu.Lock()
 	defer overlay.mu.Unlock()
-	if held, known := overlay.directory[address]; known {
-		held.stopsUntil = overlay.Now() + stoppingFor
+	if entry, known := overlay.directory[address]; known {
+		entry.stoppingUntil = overlay.Now() + stoppingBackoff
 	}
 }
 
-// answered notes that a node lives.
-func (overlay *Overlay) answered(address string) {
+// markAlive records that a node answered, and resets its backoff.
+func (overlay *Overlay) markAlive(address string) {
 	overlay.mu.Lock()
 	defer overlay.mu.Unlock()
-	if held, known := overlay.directory[address]; known {
-		held.failures, held.suspectUntil, held.stopsUntil = 0, 0, 0
+	if entry, known := overlay.directory[address]; known {
+		entry.failures, entry.retryAt, entry.stoppingUntil = 0, 0, 0
 	}
 }
 
-// goneAfter is how many failures in a row make a node count as gone while it isn't
-// tried: its place goes to the next. One that failed once may only have been slow, and
-// a leaf that took its place for that would be a relay until it looks again.
-const goneAfter = 3
+// deadAfterFailures is the number of consecutive failures after which a node in backoff counts as dead, so that the
+// next node takes its position. A node that failed once may only be slow, and a leaf that took its position would act
+// as a relay until its next upstream selection.
+const deadAfterFailures = 3
 
-// members returns the nodes that may be alive; with suspects, also those that
-// failed lately, but for a few times in a row.
-func (overlay *Overlay) members(suspects bool) []tree.Member {
-	return overlay.membersThat(func(held *entry, now time.Duration) bool {
-		return now >= held.suspectUntil || (suspects && held.failures < goneAfter)
+// candidates returns the nodes that may be alive. With includeFailing, it also returns nodes in backoff with fewer
+// than deadAfterFailures consecutive failures.
+func (overlay *Overlay) candidates(includeFailing bool) []tree.Member {
+	return overlay.filterMembers(func(entry *directoryEntry, now time.Duration) bool {
+		return now >= entry.retryAt || (includeFailing && entry.failures < deadAfterFailures)
 	})
 }
 
-// answering returns the nodes that did not fail lately. One that refused isn't tried for a
-// moment and lives.
-func (overlay *Overlay) answering() []tree.Member {
-	return overlay.membersThat(func(held *entry, now time.Duration) bool {
-		return now >= held.suspectUntil || held.failures == 0
+// healthyMembers returns the nodes that have not failed lately. A node that refused is in a short backoff, but is
+// alive.
+func (overlay *Overlay) healthyMembers() []tree.Member {
+	return overlay.filterMembers(func(entry *directoryEntry, now time.Duration) bool {
+		return now >= entry.retryAt || entry.failures == 0
 	})
 }
 
-// membersThat returns the nodes that count, but for those that said that they stop.
-func (overlay *Overlay) membersThat(count func(held *entry, now time.Duration) bool) []tree.Member {
+// filterMembers returns the nodes that match, without those that announced their shutdown.
+func (overlay *Overlay) filterMembers(match func(entry *directoryEntry, now time.Duration) bool) []tree.Member {
 	overlay.mu.Lock()
 	defer overlay.mu.Unlock()
 	now := overlay.Now()
 	members := make([]tree.Member, 0, len(overlay.directory))
-	for _, held := range overlay.directory {
-		if now >= held.stopsUntil && count(held, now) {
-			members = append(members, held.Member)
+	for _, entry := range overlay.directory {
+		if now >= entry.stoppingUntil && match(entry, now) {
+			members = append(members, entry.Member)
 		}
 	}
 	return members
 }
 
-// place is where this node stands, and which nodes above it there are to be tried;
-// with suspects, also those that failed lately.
-func (overlay *Overlay) place(suspects bool) tree.Place {
-	place := tree.PlaceOf(overlay.Self, overlay.members(true), overlay.Relays)
-	if suspects {
-		return place
+// position returns this node's position in the tree and the upstream candidates to try. With includeFailing, the
+// candidates include nodes that failed lately.
+func (overlay *Overlay) position(includeFailing bool) tree.Place {
+	position := tree.PlaceOf(overlay.Self, overlay.candidates(true), overlay.RelayCount)
+	if includeFailing {
+		return position
 	}
-	tried := map[string]bool{}
-	for _, member := range overlay.members(false) {
-		tried[member.Address] = true
+	available := map[string]bool{}
+	for _, member := range overlay.candidates(false) {
+		available[member.Address] = true
 	}
-	place.Above = slices.DeleteFunc(place.Above, func(address string) bool { return !tried[address] })
-	return place
+	position.Above = slices.DeleteFunc(position.Above, func(address string) bool { return !available[address] })
+	return position
 }
 
-// byDataCentre sorts nodes by data centre, each in its order.
-func byDataCentre(members []tree.Member) map[string][]tree.Member {
-	centres := map[string][]tree.Member{}
+// groupByDataCentre groups nodes by data centre, each group in tree order.
+func groupByDataCentre(members []tree.Member) map[string][]tree.Member {
+	groups := map[string][]tree.Member{}
 	for _, member := range members {
-		centres[member.DataCentre] = append(centres[member.DataCentre], member)
+		groups[member.DataCentre] = append(groups[member.DataCentre], member)
 	}
-	for dataCentre, inside := range centres {
-		centres[dataCentre] = tree.Order(inside)
+	for dataCentre, group := range groups {
+		groups[dataCentre] = tree.Order(group)
 	}
-	return centres
+	return groups
 }
 
-// headsKept is how long the heads that were worked out last are told: sorting some
-// hundred nodes for every frame cost a relay as much as the frames did.
-const headsKept = 500 * time.Millisecond
+// headsCacheTTL is how long a computed head list is reused. Sorting some hundred nodes for each frame cost a relay as
+// much as the frames did.
+const headsCacheTTL = 500 * time.Millisecond
 
-// headsKeptBoot is the same while the nodes find each other.
-const headsKeptBoot = 50 * time.Millisecond
+// bootHeadsCacheTTL replaces headsCacheTTL while the nodes discover each other.
+const bootHeadsCacheTTL = 50 * time.Millisecond
 
-// heads are the first nodes of each data centre, and a hash of them.
-type heads struct {
+// headList holds the first nodes of each data centre and a hash of their addresses.
+type headList struct {
 	nodes   []*frame.Node
-	version uint64
-	at      time.Duration
+	hash    uint64
+	builtAt time.Duration
 }
 
-// heads returns the first nodes of each data centre, this one among its own.
-func (overlay *Overlay) heads() *heads {
-	now, kept := overlay.Now(), headsKept
-	if now-overlay.started < bootTime {
-		kept = headsKeptBoot
+// heads returns the first nodes of each data centre, including this node.
+func (overlay *Overlay) heads() *headList {
+	now, ttl := overlay.Now(), headsCacheTTL
+	if now-overlay.startedAt < bootGracePeriod {
+		ttl = bootHeadsCacheTTL
 	}
-	if held := overlay.told.Load(); held != nil && now-held.at < kept {
-		return held
+	if cached := overlay.cachedHeads.Load(); cached != nil && now-cached.builtAt < ttl {
+		return cached
 	}
-	found, digest := &heads{at: now}, xxhash.New()
-	centres := byDataCentre(append(overlay.answering(), overlay.Self))
-	names := make([]string, 0, len(centres))
-	for dataCentre := range centres {
+	list, digest := &headList{builtAt: now}, xxhash.New()
+	groups := groupByDataCentre(append(overlay.healthyMembers(), overlay.Self))
+	names := make([]string, 0, len(groups))
+	for dataCentre := range groups {
 		names = append(names, dataCentre)
 	}
 	slices.Sort(names)
 	for _, dataCentre := range names {
-		inside := centres[dataCentre]
-		for _, member := range inside[:min(headsTold, len(inside))] {
-			found.nodes = append(found.nodes, toWire(member))
+		group := groups[dataCentre]
+		for _, member := range group[:min(headsPerDataCentre, len(group))] {
+			list.nodes = append(list.nodes, toWire(member))
 			_, _ = digest.WriteString(member.Address + " ")
 		}
 	}
-	found.version = digest.Sum64()
-	overlay.told.Store(found)
-	return found
+	list.hash = digest.Sum64()
+	overlay.cachedHeads.Store(list)
+	return list
 }
 
-// DataCentres counts those that nodes are known of, this one's among them.
-func (overlay *Overlay) DataCentres() int {
-	return len(byDataCentre(append(overlay.members(true), overlay.Self)))
+// DataCentreCount returns the number of data centres with known nodes, including this node's own.
+func (overlay *Overlay) DataCentreCount() int {
+	return len(groupByDataCentre(append(overlay.candidates(true), overlay.Self)))
 }
 
-// sourceGrace is how much longer the other sources are waited for when one has told
-// of nodes: those that live answer within some milliseconds of each other.
+// sourceGrace is how long discovery waits for the remaining sources after one has returned nodes. Sources that are
+// alive answer within some milliseconds of each other.
 const sourceGrace = 15 * time.Millisecond
 
-// discover asks which nodes there are: all seeds at once, and the store's directory
-// where there are no seeds or nodes must be there already. It waits until one has
-// told, or none will. After all nodes lost power together, seeds that don't answer
-// cost each node 0.3 s in which it refused its callers.
+// discover queries all seeds for nodes at once. It also reads the store's directory if there are no seeds, or if this
+// is not the fleet's first start, since the directory must list nodes by then. It waits until one source has returned
+// nodes, or none will. Waiting for every seed after a power loss of all nodes cost each node 0.3 s in which it
+// refused its callers, because some seeds did not answer.
 func (overlay *Overlay) discover() {
 	sources := []func() bool{}
 	for _, seed := range overlay.Seeds {
 		if seed != overlay.Self.Address {
-			sources = append(sources, func() bool { return overlay.question(seed) })
+			sources = append(sources, func() bool { return overlay.queryNodes(seed) })
 		}
 	}
 	if len(sources) == 0 || !overlay.FirstStart {
@@ -264,12 +262,12 @@
 	for _, source := range sources {
 		overlay.Go(func() { answers <- source() })
 	}
-	timer := time.NewTimer(2 * attachTime)
+	timer := time.NewTimer(2 * attachTimeout)
 	defer timer.Stop()
 	for range sources {
 		select {
-		case told := <-answers:
-			if told {
+		case answered := <-answers:
+			if answered {
 				timer.Reset(sourceGrace)
 			}
 		case <-timer.C:
@@ -280,63 +278,62 @@
 	}
 }
 
-// boot finds the other nodes. When all start for the first time nobody knows them yet: each
-// makes itself known to one seed, and asks again when all have. A node that took its
-// place by what it knew at first was a relay or a root for seconds, with calls to the
-// store and more connections, as nearly all nodes were.
-func (overlay *Overlay) boot() {
-	if !overlay.FirstStart || !overlay.askSeed() {
+// bootstrap finds the other nodes. When all nodes start for the first time, no node knows any other: each makes
+// itself known to one seed, and queries again once all nodes have done so. Nodes that took their position from their
+// first, incomplete answers, as nearly all nodes did, were relays or roots for seconds, with additional store calls
+// and connections.
+func (overlay *Overlay) bootstrap() {
+	if !overlay.FirstStart || !overlay.queryAnySeed() {
 		overlay.discover()
 	}
 	if !overlay.FirstStart {
 		return
 	}
-	again := firstOthers + rand.N(firstSpread)
+	delay := rediscoverDelay + rand.N(rediscoverJitter)
 	if slices.Contains(overlay.Seeds, overlay.Self.Address) {
-		again = firstSeeds
+		delay = seedRediscoverDelay
 	}
-	if !overlay.Sleep(again) {
+	if !overlay.Sleep(delay) {
 		return
 	}
-	if slices.Contains(overlay.Seeds, overlay.Self.Address) || !overlay.askSeed() {
+	if slices.Contains(overlay.Seeds, overlay.Self.Address) || !overlay.queryAnySeed() {
 		overlay.discover()
 	}
 }
 
-// askSeed asks one seed after the other, in an order drawn anew, until one answers. It
-// says whether one did.
-func (overlay *Overlay) askSeed() bool {
-	for _, number := range rand.Perm(len(overlay.Seeds)) {
-		if seed := overlay.Seeds[number]; seed != overlay.Self.Address && overlay.question(seed) {
+// queryAnySeed queries the seeds one after the other in random order until one answers. It reports whether one did.
+func (overlay *Overlay) queryAnySeed() bool {
+	for _, index := range rand.Perm(len(overlay.Seeds)) {
+		if seed := overlay.Seeds[index]; seed != overlay.Self.Address && overlay.queryNodes(seed) {
 			return true
 		}
 	}
 	return false
 }
 
-// question asks a node for those that it knows, and makes this one known to it. It
-// says whether the node answered.
-func (overlay *Overlay) question(address string) bool {
-	conn, answer, err := overlay.open(address, frame.Purpose_Ask)
+// queryNodes queries a node for the nodes that it knows, and makes this node known to it. It reports whether the node
+// answered.
+func (overlay *Overlay) queryNodes(address string) bool {
+	conn, answer, err := overlay.openConn(address, frame.Purpose_Ask)
 	if err != nil {
-		overlay.suspect(address, 0)
+		overlay.backOff(address, 0)
 		return false
 	}
 	conn.Close()
-	overlay.learn(fromWire(answer.GetWelcome().GetSender()))
+	overlay.addMember(fromWire(answer.GetWelcome().GetSender()))
 	if answer.Stopping {
-		overlay.stops(address)
+		overlay.markStopping(address)
 	} else {
-		overlay.answered(address)
+		overlay.markAlive(address)
 	}
-	overlay.learnAll(answer.Heads)
+	overlay.addHeads(answer.Heads)
 	return true
 }
 
-// AskDetours asks a node which nodes take requests of others, itself and some that hear from it. A node that stops
-// takes none.
-func (overlay *Overlay) AskDetours(address string) []*frame.Detour {
-	conn, answer, err := overlay.open(address, frame.Purpose_Ask)
+// QueryDetours queries a node for the nodes that accept requests from other nodes: itself and some of its downstream
+// nodes. A node that is shutting down returns none.
+func (overlay *Overlay) QueryDetours(address string) []*frame.Detour {
+	conn, answer, err := overlay.openConn(address, frame.Purpose_Ask)
 	if err != nil {
 		return nil
 	}
@@ -347,52 +344,50 @@
 	return answer.Detours
 }
 
-// Others returns the peer addresses of nodes that didn't fail lately, those of the own data centre first, each
-// in an order drawn anew.
-func (overlay *Overlay) Others() []string {
-	near, far := []string{}, []string{}
-	for _, member := range overlay.answering() {
+// HealthyPeers returns the peer addresses of the nodes that have not failed lately, in random order, those of this
+// node's data centre first.
+func (overlay *Overlay) HealthyPeers() []string {
+	local, remote := []string{}, []string{}
+	for _, member := range overlay.healthyMembers() {
 		if member.DataCentre == overlay.Self.DataCentre {
-			near = append(near, member.Address)
+			local = append(local, member.Address)
 		} else {
-			far = append(far, member.Address)
+			remote = append(remote, member.Address)
 		}
 	}
-	for _, addresses := range [][]string{near, far} {
-		rand.Shuffle(len(addresses), func(one, other int) { addresses[one], addresses[other] = addresses[other], addresses[one] })
+	for _, addresses := range [][]string{local, remote} {
+		rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	}
-	return append(near, far...)
+	return append(local, remote...)
 }
 
-// readDirectory learns of the nodes in the store's directory, and says whether that
-// could be read.
+// readDirectory adds the nodes of the store's directory, and reports whether the read succeeded.
 func (overlay *Overlay) readDirectory() bool {
-	ctx, cancel := overlay.Context(storeTime)
+	ctx, cancel := overlay.Context(storeTimeout)
 	defer cancel()
-	members, err := overlay.Known(ctx)
+	members, err := overlay.ListNodes(ctx)
 	if err != nil {
-		overlay.Logger.Warn("overlay: the directory of nodes can't be read.", "Error", err.Error())
+		overlay.Logger.Warn("overlay: cannot read the store's node directory.", "Error", err.Error())
 		return false
 	}
 	for _, member := range members {
-		overlay.learn(member)
+		overlay.addMember(member)
 	}
 	return true
 }
 
-// announce makes this node known to the first nodes of its data centre, which may
-// stand behind it and attach to it then.
-func (overlay *Overlay) announce() {
-	questions := conc.WaitGroup{}
-	inside := byDataCentre(overlay.members(false))[overlay.Self.DataCentre]
-	for _, member := range inside[:min(headsTold, len(inside))] {
-		questions.Go(func() { overlay.question(member.Address) })
+// announceToHeads makes this node known to the first nodes of its data centre. Those that rank behind it can then
+// attach to it.
+func (overlay *Overlay) announceToHeads() {
+	queries := conc.WaitGroup{}
+	group := groupByDataCentre(overlay.candidates(false))[overlay.Self.DataCentre]
+	for _, member := range group[:min(headsPerDataCentre, len(group))] {
+		queries.Go(func() { overlay.queryNodes(member.Address) })
 	}
-	questions.Wait()
+	queries.Wait()
 }
 
-// register makes this node known in the store's directory, where it isn't yet, and
-// reads who else is there.
+// register adds this node to the store's directory if it is not registered yet, and then reads the directory.
 func (overlay *Overlay) register() {
 	overlay.mu.Lock()
 	registered := overlay.registered
@@ -400,10 +395,10 @@
 	if registered {
 		return
 	}
-	ctx, cancel := overlay.Context(storeTime)
+	ctx, cancel := overlay.Context(storeTimeout)
 	defer cancel()
 	if err := overlay.Register(ctx); err != nil {
-		overlay.Logger.Warn("overlay: the node can't be registered.", "Error", err.Error())
+		overlay.Logger.Warn("overlay: cannot register the node in the store's directory.", "Error", err.Error())
 		return
 	}
 	overlay.mu.Lock()
@@ -412,36 +407,35 @@
 	overlay.readDirectory()
 }
 
-// Reachable is told that the store answers again. A node that could not make itself known
-// there does so now.
-func (overlay *Overlay) Reachable() {
+// StoreReachable is called when the store answers again. A relay or root that could not register registers now.
+func (overlay *Overlay) StoreReachable() {
 	overlay.mu.Lock()
 	registered := overlay.registered
 	overlay.mu.Unlock()
 	if role := overlay.Role(); registered || (role != Relay && role != Root) {
 		return
 	}
-	overlay.registerSoon(0)
+	overlay.scheduleRegister(0)
 }
 
-// Forgotten is told that the store may have lost this node's entry of the directory. A
-// node that nobody finds there isn't told of by others for as long as those that know
-// it live.
-func (overlay *Overlay) Forgotten() {
+// RegistrationLost is called when the store may have lost this node's directory entry. A registered node then
+// registers again: other nodes announce only the first nodes of each data centre, so a node that is missing from the
+// directory may stay unknown to the rest of the fleet even while nodes that know it are alive.
+func (overlay *Overlay) RegistrationLost() {
 	overlay.mu.Lock()
 	lost := overlay.registered
 	overlay.registered = false
 	overlay.mu.Unlock()
 	if lost {
-		overlay.registerSoon(0)
+		overlay.scheduleRegister(0)
 	}
 }
 
-// registerSoon makes this node known in the store's directory, if it is a relay or root by then.
-// At a start many nodes are relays in passing.
-func (overlay *Overlay) registerSoon(least time.Duration) {
+// scheduleRegister registers this node after a delay if it is a relay or root by then. At a start many nodes are
+// relays only temporarily.
+func (overlay *Overlay) scheduleRegister(minDelay time.Duration) {
 	overlay.Go(func() {
-		if !overlay.Sleep(least + rand.N(registerSpread)) {
+		if !overlay.Sleep(minDelay + rand.N(registerJitter)) {
 			return
 		}
 		if role := overlay.Role(); role == Relay || role == Root {
@@ -451,14 +445,14 @@
 }
 
 const (
-	// registerSpread is the time over which nodes register.
-	registerSpread = 2 * time.Second
-	// relayLasts is how long a node must have been a relay before it registers.
-	relayLasts = time.Second
+	// registerJitter is the period over which the registrations of nodes are spread.
+	registerJitter = 2 * time.Second
+	// relayRegisterDelay is how long a node must have been a relay before it registers.
+	relayRegisterDelay = time.Second
 )
 
-// refresh keeps what a root knows of other nodes up to date.
-func (overlay *Overlay) refresh() {
+// refreshDirectory registers this node and reads the store's directory if the node is a root.
+func (overlay *Overlay) refreshDirectory() {
 	if overlay.Role() == Root {
 		overlay.register()
 		overlay.readDirectory()
--- a/internal/fleet/overlay/directory_test.go
+++ b/internal/fleet/overlay/directory_test.go
@@ -15,44 +15,43 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// A node that refused a purpose is told of to others: one that starts meanwhile would take a
-// place that isn't its own.
-func TestNodesThatRefusedAreToldOf(t *testing.T) {
+// Guards against heads that leave out a node because it refused a connection: a node that starts meanwhile would take
+// a position that belongs to another.
+func TestRefusingNodesAreAnnounced(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	now := time.Hour
-	overlay := New(nil, Parts{Self: tree.Member{Address: "a", DataCentre: "east"}, Now: func() time.Duration { return now }})
-	overlay.started = now
+	overlay := New(nil, Dependencies{Self: tree.Member{Address: "a", DataCentre: "east"}, Now: func() time.Duration { return now }})
+	overlay.startedAt = now
 	for _, address := range []string{"b", "c", "d"} {
-		overlay.learn(tree.Member{Address: address, DataCentre: "west"})
+		overlay.addMember(tree.Member{Address: address, DataCentre: "west"})
 	}
-	overlay.suspect("b", refusedFor)
-	overlay.suspect("c", 0)
-	overlay.stops("d")
-	told := []string{}
+	overlay.backOff("b", refusalBackoff)
+	overlay.backOff("c", 0)
+	overlay.markStopping("d")
+	announced := []string{}
 	for _, node := range overlay.heads().nodes {
-		told = append(told, node.Address)
+		announced = append(announced, node.Address)
 	}
-	expect.Expect(told).To(gomega.Equal([]string{"a", "b"}))
-	expect.Expect(overlay.members(false)).To(gomega.BeEmpty())
+	expect.Expect(announced).To(gomega.Equal([]string{"a", "b"}))
+	expect.Expect(overlay.candidates(false)).To(gomega.BeEmpty())
 }
 
-// Guards against a start at which each node that is a relay in passing is written to the store's
-// directory, and reads it.
-func TestNodeThatIsARelayInPassingIsNotRegistered(t *testing.T) {
+// Guards against starts at which every temporary relay writes itself to the store's directory and reads it.
+func TestTemporaryRelayIsNotRegistered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		registered := atomic.Int64{}
-		overlay := New(nil, Parts{
-			Self: tree.Member{Address: "a", DataCentre: "east"}, Now: clock.Virtual(), Logger: slog.New(slog.DiscardHandler), Changed: func(Role) {},
-			Register: func(context.Context) error { registered.Add(1); return nil }, Known: func(context.Context) ([]tree.Member, error) { return nil, nil },
+		overlay := New(nil, Dependencies{
+			Self: tree.Member{Address: "a", DataCentre: "east"}, Now: clock.Virtual(), Logger: slog.New(slog.DiscardHandler), RoleChanged: func(Role) {},
+			Register: func(context.Context) error { registered.Add(1); return nil }, ListNodes: func(context.Context) ([]tree.Member, error) { return nil, nil },
 		})
-		overlay.settle(&Link{Purpose: frame.Purpose_Relay})
-		time.Sleep(relayLasts / 2)
-		overlay.settle(&Link{Purpose: frame.Purpose_Leaf})
-		time.Sleep(relayLasts + registerSpread)
+		overlay.adoptUpstream(&Link{Purpose: frame.Purpose_Relay})
+		time.Sleep(relayRegisterDelay / 2)
+		overlay.adoptUpstream(&Link{Purpose: frame.Purpose_Leaf})
+		time.Sleep(relayRegisterDelay + registerJitter)
 		expect.Expect(registered.Load()).To(gomega.BeZero())
-		overlay.settle(&Link{Purpose: frame.Purpose_Relay})
-		time.Sleep(relayLasts + registerSpread)
+		overlay.adoptUpstream(&Link{Purpose: frame.Purpose_Relay})
+		time.Sleep(relayRegisterDelay + registerJitter)
 		expect.Expect(registered.Load()).To(gomega.Equal(int64(1)))
 	})
 }
--- a/internal/fleet/overlay/link.go
+++ b/internal/fleet/overlay/link.go
@@ -12,53 +12,53 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// Link is a connection with another node that stays open.
+// Link is a long-lived connection to another node.
 type Link struct {
-	// Purpose is what it was opened for, Opened whether this node opened it.
+	// Purpose is the purpose of the connection. Opened reports whether this node opened it.
 	Purpose frame.Purpose
 	Opened  bool
-	// Remote is the other node, Incarnation that of its process.
+	// Remote is the other node, and Incarnation identifies its process.
 	Remote      tree.Member
 	Incarnation uint64
 	// Done is closed when the link has ended.
 	Done chan struct{}
 
-	conn *sibling.Conn
-	poke chan struct{}
-	once sync.Once
-	// every is how often the other side wants to hear, in nanoseconds.
-	every atomic.Int64
-	// told says that the other side stops.
-	told atomic.Bool
-	// heads is the hash of the heads that the other side was last told.
-	heads uint64
+	conn        *sibling.Conn
+	sendRequest chan struct{}
+	endOnce     sync.Once
+	// remoteInterval is the send interval that the remote node requested, in nanoseconds, or 0 for none.
+	remoteInterval atomic.Int64
+	// remoteStopping reports that the remote node announced its shutdown.
+	remoteStopping atomic.Bool
+	// sentHeads is the hash of the head list that was last sent to the remote node.
+	sentHeads uint64
 }
 
 func newLink(conn *sibling.Conn, purpose frame.Purpose, opened bool, remote tree.Member, incarnation uint64) *Link {
 	return &Link{
 		Purpose: purpose, Opened: opened, Remote: remote, Incarnation: incarnation,
-		Done: make(chan struct{}), conn: conn, poke: make(chan struct{}, 1),
+		Done: make(chan struct{}), conn: conn, sendRequest: make(chan struct{}, 1),
 	}
 }
 
-// Upstream says whether the link leads to the node that this one is attached to.
+// Upstream reports whether the link leads to this node's upstream node.
 func (link *Link) Upstream() bool {
 	return link.Opened && link.Purpose != frame.Purpose_Root
 }
 
-// close ends the link; whoever runs it notices.
+// close closes the connection. The goroutine in runLink then removes the link.
 func (link *Link) close() {
 	link.conn.Close()
 }
 
-func (link *Link) wake() {
+func (link *Link) requestSend() {
 	select {
-	case link.poke <- struct{}{}:
+	case link.sendRequest <- struct{}{}:
 	default:
 	}
 }
 
-// Links returns the links that there are.
+// Links returns the open links.
 func (overlay *Overlay) Links() []*Link {
 	overlay.mu.Lock()
 	defer overlay.mu.Unlock()
@@ -69,17 +69,17 @@
 	return links
 }
 
-// Poke sends frames at once over the links that are wanted.
-func (overlay *Overlay) Poke(wanted func(link *Link) bool) {
+// SendNow sends a frame immediately over each matching link.
+func (overlay *Overlay) SendNow(match func(link *Link) bool) {
 	for _, link := range overlay.Links() {
-		if wanted(link) {
-			link.wake()
+		if match(link) {
+			link.requestSend()
 		}
 	}
 }
 
-// drop ends the links that match.
-func (overlay *Overlay) drop(match func(link *Link) bool) {
+// closeLinks closes the matching links.
+func (overlay *Overlay) closeLinks(match func(link *Link) bool) {
 	for _, link := range overlay.Links() {
 		if match(link) {
 			link.close()
@@ -87,168 +87,164 @@
 	}
 }
 
-// run serves a link until it ends.
-func (overlay *Overlay) run(link *Link) {
-	if !overlay.add(link) {
+// runLink serves a link until it ends.
+func (overlay *Overlay) runLink(link *Link) {
+	if !overlay.addLink(link) {
 		link.close()
 		close(link.Done)
 		return
 	}
-	overlay.Go(func() { overlay.send(link) })
-	for !link.told.Load() || !link.Upstream() {
-		received, err := link.conn.Receive(silence)
+	overlay.Go(func() { overlay.sendLoop(link) })
+	for !link.remoteStopping.Load() || !link.Upstream() {
+		received, err := link.conn.Receive(linkIdleTimeout)
 		if err != nil {
 			break
 		}
-		overlay.Counts.FramesTaken.Add(1)
-		overlay.take(link, received)
+		overlay.Counters.FramesReceived.Add(1)
+		overlay.handleFrame(link, received)
 	}
-	overlay.remove(link)
+	overlay.removeLink(link)
 }
 
-// add takes a link up. Of two between the same roots the one stays that was opened
-// from the data centre whose name comes first, at both ends; of two that were
-// opened from the same side the newer one, since the other end knows the older to
-// be broken.
-func (overlay *Overlay) add(link *Link) bool {
+// addLink registers a link and reports whether it is kept. Of two links between the same roots, both ends keep the
+// one that was opened from the data centre whose name sorts first. Of two links opened from the same side, the newer
+// one is kept, because the node that opened it knows that the older one is broken.
+func (overlay *Overlay) addLink(link *Link) bool {
 	overlay.mu.Lock()
 	defer overlay.mu.Unlock()
-	for held := range overlay.links {
-		if link.Purpose != frame.Purpose_Root || held.Purpose != frame.Purpose_Root || held.Incarnation != link.Incarnation {
+	for existing := range overlay.links {
+		if link.Purpose != frame.Purpose_Root || existing.Purpose != frame.Purpose_Root || existing.Incarnation != link.Incarnation {
 			continue
 		}
-		if held.Opened != link.Opened && overlay.openedFirst(held) {
+		if existing.Opened != link.Opened && overlay.openedByPreferredSide(existing) {
 			return false
 		}
-		held.close()
+		existing.close()
 	}
 	overlay.links[link] = struct{}{}
 	return true
 }
 
-// openedFirst says whether a link between roots was opened from the side that
-// comes first.
-func (overlay *Overlay) openedFirst(link *Link) bool {
+// openedByPreferredSide reports whether a link between roots was opened from the data centre whose name sorts first.
+func (overlay *Overlay) openedByPreferredSide(link *Link) bool {
 	return link.Opened == (overlay.Self.DataCentre < link.Remote.DataCentre)
 }
 
-func (overlay *Overlay) remove(link *Link) {
-	link.once.Do(func() {
+func (overlay *Overlay) removeLink(link *Link) {
+	link.endOnce.Do(func() {
 		link.close()
 		close(link.Done)
 		overlay.mu.Lock()
 		delete(overlay.links, link)
 		overlay.mu.Unlock()
-		overlay.Counts.LinksEnded.Add(1)
-		overlay.Ended(link)
+		overlay.Counters.LinksEnded.Add(1)
+		overlay.LinkEnded(link)
 	})
 }
 
-// take handles what concerns the overlay itself in a frame, and passes it on.
-func (overlay *Overlay) take(link *Link, received *frame.Frame) {
-	overlay.learnAll(received.Heads)
+// handleFrame processes the fields of a frame that belong to the overlay, and passes the frame on.
+func (overlay *Overlay) handleFrame(link *Link, received *frame.Frame) {
+	overlay.addHeads(received.Heads)
 	if received.IntervalMs > 0 {
-		link.every.Store(int64(time.Duration(received.IntervalMs) * time.Millisecond))
+		link.remoteInterval.Store(int64(time.Duration(received.IntervalMs) * time.Millisecond))
 	}
 	if received.Stopping {
-		link.told.Store(true)
+		link.remoteStopping.Store(true)
 	}
-	overlay.Take(link, received)
+	overlay.HandleFrame(link, received)
 }
 
-// quietMost is for how long a frame that would say nothing new is left out: a third of the
-// time after which a silent link has ended.
-const quietMost = 240 * time.Millisecond
+// maxFrameGap is how long frames that carry nothing new may be skipped: a third of linkIdleTimeout, after which the
+// remote node closes the link.
+const maxFrameGap = 240 * time.Millisecond
 
-// send sends frames until the link ends: after each interval, and at once when
-// there is something to tell.
-func (overlay *Overlay) send(link *Link) {
+// sendLoop sends frames until the link ends: after each send interval, and immediately on request.
+func (overlay *Overlay) sendLoop(link *Link) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	sent := time.Duration(0)
+	lastSent := time.Duration(0)
 	for {
-		poked := false
+		requested := false
 		select {
 		case <-overlay.Stopping:
 			return
 		case <-link.Done:
 			return
-		case <-link.poke:
-			poked = true
+		case <-link.sendRequest:
+			requested = true
 		case <-timer.C:
 		}
-		own := overlay.own(link)
-		optional := !poked && !own.Stopping && len(own.Heads) == 0 && overlay.Now()-sent < quietMost
+		fields := overlay.overlayFields(link)
+		optional := !requested && !fields.Stopping && len(fields.Heads) == 0 && overlay.Now()-lastSent < maxFrameGap
 		if body := overlay.Compose(link, optional); body != nil {
-			body = overlay.complete(body, own)
-			if err := link.conn.Send(body, sendTime); err != nil {
+			body = overlay.appendFields(body, fields)
+			if err := link.conn.Send(body, sendTimeout); err != nil {
 				link.close()
 				return
 			}
-			sent = overlay.Now()
-			overlay.Counts.FramesSent.Add(1)
-			overlay.Counts.BytesSent.Add(uint64(len(body)))
+			lastSent = overlay.Now()
+			overlay.Counters.FramesSent.Add(1)
+			overlay.Counters.BytesSent.Add(uint64(len(body)))
 		}
-		timer.Reset(overlay.interval(link))
+		timer.Reset(overlay.sendInterval(link))
 	}
 }
 
-// own is what the overlay itself tells in the next frame.
-func (overlay *Overlay) own(link *Link) *frame.Frame {
-	own := &frame.Frame{Stopping: overlay.leaving.Load()}
+// overlayFields returns the overlay's own fields for the next frame.
+func (overlay *Overlay) overlayFields(link *Link) *frame.Frame {
+	fields := &frame.Frame{Stopping: overlay.leaving.Load()}
 	if link.Purpose == frame.Purpose_Leaf && !link.Opened {
-		own.IntervalMs = uint32(overlay.interval(link).Milliseconds())
+		fields.IntervalMs = uint32(overlay.sendInterval(link).Milliseconds())
 	}
-	told := overlay.heads()
-	if told.version != link.heads && (!link.Upstream() || link.Purpose == frame.Purpose_Relay) {
-		own.Heads, link.heads = told.nodes, told.version
+	heads := overlay.heads()
+	if heads.hash != link.sentHeads && (!link.Upstream() || link.Purpose == frame.Purpose_Relay) {
+		fields.Heads, link.sentHeads = heads.nodes, heads.hash
 	}
-	return own
+	return fields
 }
 
-// complete adds to a frame what the overlay itself tells. An encoded message may be
-// followed by more fields of it.
-func (overlay *Overlay) complete(body []byte, own *frame.Frame) []byte {
-	added, err := proto.Marshal(own)
+// appendFields appends the overlay's own fields to an encoded frame. Protobuf allows concatenation: an encoded
+// message may be followed by more of its fields.
+func (overlay *Overlay) appendFields(body []byte, fields *frame.Frame) []byte {
+	encoded, err := proto.Marshal(fields)
 	if err != nil {
-		overlay.Logger.Error("overlay: a frame can't be encoded.", "Error", err.Error())
+		overlay.Logger.Error("overlay: cannot encode the overlay's fields of a frame.", "Error", err.Error())
 		return body
 	}
-	return append(body, added...)
+	return append(body, encoded...)
 }
 
 const (
-	// perLeaf is how much each leaf of a relay adds to the pause between its frames,
-	// so that a relay with many sends as often as one with few: a frame costs it some
-	// 0.05 ms, at both ends.
-	perLeaf = 2500 * time.Microsecond
-	// leafLeast and leafMost bound the interval of leaves. With longer ones calls go where
-	// others' went just before.
-	leafLeast = 50 * time.Millisecond
-	leafMost  = 200 * time.Millisecond
-	// perCore, coreLeast and coreMost are the same between relays and roots, over
-	// which what is told passes up to three times on its way to a leaf.
-	perCore   = 5 * time.Millisecond
-	coreLeast = 25 * time.Millisecond
-	coreMost  = 100 * time.Millisecond
+	// intervalPerLeaf is how much each leaf adds to a relay's send interval, so that the total number of frames per
+	// second does not grow with the number of leaves. A frame costs some 0.05 ms at each end.
+	intervalPerLeaf = 2500 * time.Microsecond
+	// minLeafInterval and maxLeafInterval bound the send interval to and from leaves. With longer intervals, calls go
+	// to servers that other nodes have just chosen as well.
+	minLeafInterval = 50 * time.Millisecond
+	maxLeafInterval = 200 * time.Millisecond
+	// intervalPerBackboneLink, minBackboneInterval and maxBackboneInterval are the same for the backbone links
+	// between relays and roots. State crosses up to three of these links on its way to a leaf.
+	intervalPerBackboneLink = 5 * time.Millisecond
+	minBackboneInterval     = 25 * time.Millisecond
+	maxBackboneInterval     = 100 * time.Millisecond
 )
 
-// interval is how often a frame is sent over a link.
-func (overlay *Overlay) interval(link *Link) time.Duration {
-	if told := link.every.Load(); told > 0 {
-		return time.Duration(told)
+// sendInterval returns the interval between frames on a link.
+func (overlay *Overlay) sendInterval(link *Link) time.Duration {
+	if requested := link.remoteInterval.Load(); requested > 0 {
+		return time.Duration(requested)
 	}
 	overlay.mu.Lock()
 	leaves := 0
-	for held := range overlay.links {
-		if held.Purpose == frame.Purpose_Leaf {
+	for open := range overlay.links {
+		if open.Purpose == frame.Purpose_Leaf {
 			leaves++
 		}
 	}
-	others := len(overlay.links) - leaves
+	backboneLinks := len(overlay.links) - leaves
 	overlay.mu.Unlock()
 	if link.Purpose == frame.Purpose_Leaf {
-		return min(leafMost, max(leafLeast, perLeaf*time.Duration(leaves)))
+		return min(maxLeafInterval, max(minLeafInterval, intervalPerLeaf*time.Duration(leaves)))
 	}
-	return min(coreMost, max(coreLeast, perCore*time.Duration(others)))
+	return min(maxBackboneInterval, max(minBackboneInterval, intervalPerBackboneLink*time.Duration(backboneLinks)))
 }
--- a/internal/fleet/overlay/overlay.go
+++ b/internal/fleet/overlay/overlay.go
@@ -1,24 +1,22 @@
-// Package overlay keeps the connections over which the nodes of a fleet tell each
-// other what they know.
+// Package overlay maintains the connections over which the nodes of a fleet exchange state.
 //
-// Package tree says where a node stands; this package finds the others, connects,
-// and replaces what breaks. A leaf holds one connection, to a relay of its data
-// centre. A relay holds one to its root and one from each of its leaves, a root
-// one more to the root of each other data centre. What passes over them is not
-// its concern: Compose makes the frames, Take is given those that come.
+// Package tree computes each node's position. Package overlay discovers the other nodes, connects to them and
+// replaces broken connections. A leaf holds one connection, to a relay of its data centre. A relay holds one
+// connection to its root and one from each of its leaves. A root additionally holds one to the root of each other
+// data centre. The caller provides the content: Dependencies.Compose encodes outgoing frames, and
+// Dependencies.HandleFrame receives incoming ones.
 //
-// Nothing is agreed on and nothing is kept. A node learns of others from the seeds
-// that it was told, from whoever connects to it, from frames, and from the store's
-// directory where these say nothing. A connection that ends is first opened
-// anew, since connections are reset or go silent while both ends are well; then
-// the next node above is tried; a node that reaches none speaks for itself, as a
-// root, and goes on trying.
+// There is no consensus, and no state is persisted. A node learns of other nodes from its configured seeds, from
+// nodes that connect to it, from frames, and from the store's directory where these sources yield nothing. A node
+// first reopens a connection that has ended, since connections are reset or fall silent while both ends are healthy.
+// Then the node tries the next upstream candidate. A node that reaches no candidate becomes a root that represents
+// only itself, and keeps trying.
 //
 // # Usage
 //
-//	overlay := overlay.New(listener, overlay.Parts{Self: self, Compose: compose, Take: take, ...})
+//	overlay := overlay.New(listener, overlay.Dependencies{Self: self, Compose: compose, HandleFrame: handle, ...})
 //	overlay.Start()
-//	overlay.Poke(func(link *overlay.Link) bool { return link.Purpose != frame.Purpose_Leaf })
+//	overlay.SendNow(func(link *overlay.Link) bool { return link.Purpose != frame.Purpose_Leaf })
 //	overlay.Stop()
 package overlay
 
@@ -38,154 +36,149 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// Role is what a node does in the fleet.
+// Role is the function of a node in the fleet's tree.
 type Role int32
 
 // The roles of a node.
 const (
-	// Starting: it looks for the others.
+	// Starting: the node is still looking for other nodes.
 	Starting Role = iota
-	// Leaf: a relay tells it what it needs to know.
+	// Leaf: a relay sends the node the state that it needs.
 	Leaf
-	// Relay: it keeps all that there is to know, as its root tells it.
+	// Relay: the node holds the complete state, which its root sends it.
 	Relay
-	// Root: it speaks for its data centre, or for itself where it reaches nobody.
+	// Root: the node represents its data centre, or only itself if it reaches no other node.
 	Root
 )
 
-// String names the role for logs.
+// String returns the role's name for logs.
 func (role Role) String() string {
 	return [...]string{"Starting", "Leaf", "Relay", "Root"}[role]
 }
 
-// Parts is what an Overlay works with.
-type Parts struct {
+// Dependencies are the constructor arguments of an Overlay.
+type Dependencies struct {
 	Self        tree.Member
 	Incarnation uint64
-	// Seeds are addresses to begin with.
+	// Seeds are the addresses that the node queries first.
 	Seeds []string
-	// FirstStart says that all nodes start now, so that none can be found yet.
+	// FirstStart reports that all nodes of the fleet are starting now, so that none can be found yet.
 	FirstStart bool
-	// Relays is how many nodes of a data centre are relays.
-	Relays int
-	// Register makes this node known in the store's directory, Known returns the
-	// nodes there.
-	Register func(ctx context.Context) error
-	Known    func(ctx context.Context) ([]tree.Member, error)
-	// Compose returns the next frame for a link, encoded; nil where it would say nothing
-	// new and is optional. Take is given each frame that came over one, in order. Ended
-	// is told of a link that is gone.
-	Compose func(link *Link, optional bool) []byte
-	Take    func(link *Link, received *frame.Frame)
-	Ended   func(link *Link)
-	// Changed is told of a new role.
-	Changed func(role Role)
-	// Configuration returns the configuration in force, for whoever fetches it.
+	// RelayCount is the number of relays in a data centre.
+	RelayCount int
+	// Register adds this node to the store's directory; ListNodes returns the nodes in the directory.
+	Register  func(ctx context.Context) error
+	ListNodes func(ctx context.Context) ([]tree.Member, error)
+	// Compose returns the next encoded frame for a link. It may return nil if the frame is optional and would carry
+	// nothing new. HandleFrame receives each frame of a link, in order. LinkEnded is called after a link has ended.
+	Compose     func(link *Link, optional bool) []byte
+	HandleFrame func(link *Link, received *frame.Frame)
+	LinkEnded   func(link *Link)
+	// RoleChanged is called after the node's role has changed.
+	RoleChanged func(role Role)
+	// Configuration returns the configuration in force, for nodes that fetch it.
 	Configuration func() []byte
-	// Detours are the nodes that take requests of others, for whoever asks.
+	// Detours returns the nodes that accept requests from other nodes, for nodes that query them.
 	Detours func() []*frame.Detour
-	// Fit says whether this node knows what its leaves need.
-	Fit    func() bool
-	Dial   sibling.Dial
-	Now    clock.Now
-	Logger *slog.Logger
+	// ReadyForLeaves reports whether this node holds the state that its leaves need.
+	ReadyForLeaves func() bool
+	Dial           sibling.Dial
+	Now            clock.Now
+	Logger         *slog.Logger
 }
 
 const (
-	// attachTime bounds connecting to a node, and waiting for its first answer.
-	// Within a region both take some milliseconds; a node of a fifth of a core that
-	// sixty others ask at once takes longer.
-	attachTime = 300 * time.Millisecond
-	// bootAttachTime is the same for a node that has just started.
-	bootAttachTime = 100 * time.Millisecond
-	// silence is how long nothing may come over a link: several intervals, and
-	// longer than a lost packet takes to come again.
-	silence = 700 * time.Millisecond
-	// sendTime bounds sending a frame.
-	sendTime = 700 * time.Millisecond
-	// bootTime is how long a node that has just started waits for the nodes above
-	// it before it speaks for itself: they start at the same moment, and must have
-	// read the store before they are of use.
-	bootTime = 2500 * time.Millisecond
-	// relayPatience is the same for a relay that starts again.
-	relayPatience = 100 * time.Millisecond
-	// bootAgain is how often it tries them meanwhile.
-	bootAgain = 60 * time.Millisecond
-	// firstSeeds and firstOthers are after which time a node that starts for the first
-	// time, with all others, asks once more who there is: nodes that are started
-	// together start within 0.3 s, and seeds must hear from each other before the rest
-	// asks. Up to firstSpread is added, so that the seeds aren't asked by all at once.
-	firstSeeds  = 450 * time.Millisecond
-	firstOthers = 650 * time.Millisecond
-	firstSpread = 600 * time.Millisecond
-	// rootAgain is how often a root tries the nodes above it that didn't answer.
-	rootAgain = time.Second
-	// betterEvery is how often a node tries one above that comes before the one
-	// that it is attached to, so that leaves spread again over relays that were
-	// away. A random part is added.
-	betterEvery = 5 * time.Second
-	// stoppingFor is how long a node that said it stops is not tried.
-	stoppingFor = 10 * time.Second
+	// attachTimeout bounds connecting to a node, and waiting for its first answer. Within a region both take some
+	// milliseconds. A node with a fifth of a core that sixty others query at once takes longer.
+	attachTimeout = 300 * time.Millisecond
+	// bootAttachTimeout replaces attachTimeout on a node that has just restarted.
+	bootAttachTimeout = 100 * time.Millisecond
+	// linkIdleTimeout is how long a link may receive no frame before it counts as broken: several send intervals, and
+	// longer than the retransmission of a lost packet takes.
+	linkIdleTimeout = 700 * time.Millisecond
+	// sendTimeout bounds sending a frame.
+	sendTimeout = 700 * time.Millisecond
+	// bootGracePeriod is how long a starting node waits for its upstream candidates before it becomes a root. The
+	// candidates start at the same moment, and can serve other nodes only after they have read the store.
+	bootGracePeriod = 2500 * time.Millisecond
+	// relayBootGracePeriod replaces bootGracePeriod on a relay that restarts.
+	relayBootGracePeriod = 100 * time.Millisecond
+	// bootRetryInterval is the interval between attempts to attach during the grace period.
+	bootRetryInterval = 60 * time.Millisecond
+	// seedRediscoverDelay and rediscoverDelay are how long a seed and any other node wait, when all nodes start for
+	// the first time, before they query for nodes again. Nodes that are started together start within 0.3 s, and the
+	// seeds must hear from each other before the other nodes query them. The other nodes add a random delay of up to
+	// rediscoverJitter, so that they do not query the seeds all at once.
+	seedRediscoverDelay = 450 * time.Millisecond
+	rediscoverDelay     = 650 * time.Millisecond
+	rediscoverJitter    = 600 * time.Millisecond
+	// rootRetryInterval is how often a root retries upstream candidates that did not answer.
+	rootRetryInterval = time.Second
+	// betterUpstreamInterval is how often a node tries candidates that rank before its current upstream node, so that
+	// leaves spread again over relays that were unavailable. A random delay of up to the same length is added.
+	betterUpstreamInterval = 5 * time.Second
+	// stoppingBackoff is how long a node that announced its shutdown is not tried.
+	stoppingBackoff = 10 * time.Second
 )
 
-// Overlay is a node's connections with the others.
+// Overlay manages a node's links to other nodes.
 type Overlay struct {
 	*lifecycle.Part
-	Parts
-	Counts Counts
+	Dependencies
+	Counters Counters
 
-	server   *sibling.Server
-	role     atomic.Int32
-	leaving  atomic.Bool
-	started  time.Duration
-	wake     chan struct{}
-	upstream atomic.Pointer[Link]
-	told     atomic.Pointer[heads]
+	server      *sibling.Server
+	role        atomic.Int32
+	leaving     atomic.Bool
+	startedAt   time.Duration
+	reselect    chan struct{}
+	upstream    atomic.Pointer[Link]
+	cachedHeads atomic.Pointer[headList]
 
 	mu        sync.Mutex
-	directory map[string]*entry
+	directory map[string]*directoryEntry
 	links     map[*Link]struct{}
-	// roots are the addresses that other nodes named as the roots of data centres.
+	// roots maps each data centre to the address of its root, as reported by other nodes.
 	roots map[string]string
-	// apart is since when this root has had no link to a data centre; meeting those
-	// that are being connected to.
-	apart      map[string]time.Duration
-	meeting    map[string]bool
-	registered bool
+	// unlinkedSince holds the time since when this root has had no link to a data centre. connecting holds the data
+	// centres to which a connection attempt is under way.
+	unlinkedSince map[string]time.Duration
+	connecting    map[string]bool
+	registered    bool
 }
 
-// Counts are the overlay's counters; they only grow.
-type Counts struct {
-	Attached, AttachFailed, LinksEnded, FramesSent, FramesTaken, BytesSent, RoleChanges atomic.Uint64
+// Counters are the overlay's monotonic counters.
+type Counters struct {
+	LinksAttached, LinksFailed, LinksEnded, FramesSent, FramesReceived, BytesSent, RoleChanges atomic.Uint64
 }
 
-// New returns an overlay that is yet to be started.
-func New(listener net.Listener, parts Parts) *Overlay {
+// New returns an overlay that has not been started.
+func New(listener net.Listener, dependencies Dependencies) *Overlay {
 	overlay := &Overlay{
-		Part: lifecycle.New("overlay"), Parts: parts, wake: make(chan struct{}, 1),
-		directory: map[string]*entry{}, links: map[*Link]struct{}{}, roots: map[string]string{},
-		apart: map[string]time.Duration{}, meeting: map[string]bool{},
+		Part: lifecycle.New("overlay"), Dependencies: dependencies, reselect: make(chan struct{}, 1),
+		directory: map[string]*directoryEntry{}, links: map[*Link]struct{}{}, roots: map[string]string{},
+		unlinkedSince: map[string]time.Duration{}, connecting: map[string]bool{},
 	}
-	overlay.server = sibling.NewServer(listener, overlay.serve)
+	overlay.server = sibling.NewServer(listener, overlay.handleConn)
 	return overlay
 }
 
-// Start begins to look for the others and to answer them.
+// Start starts node discovery and the server for incoming connections.
 func (overlay *Overlay) Start() {
-	overlay.started = overlay.Now()
+	overlay.startedAt = overlay.Now()
 	overlay.server.Start()
-	overlay.Go(overlay.follow)
-	overlay.PacedAs("meet", overlay.meetPause, overlay.meet)
-	overlay.Every(directoryEvery, overlay.refresh)
+	overlay.Go(overlay.maintainUpstream)
+	overlay.PacedAs("meet", overlay.rootConnectPause, overlay.connectRoots)
+	overlay.Every(directoryInterval, overlay.refreshDirectory)
 }
 
-// Leave tells all others that this node stops. It goes on to hear from them.
+// Leave announces to all linked nodes that this node is shutting down. The links stay open for incoming frames.
 func (overlay *Overlay) Leave() {
 	overlay.leaving.Store(true)
-	overlay.Poke(func(*Link) bool { return true })
+	overlay.SendNow(func(*Link) bool { return true })
 }
 
-// Stop ends all connections.
+// Stop closes all connections and waits for the overlay's goroutines.
 func (overlay *Overlay) Stop() {
 	overlay.Ask()
 	overlay.mu.Lock()
@@ -197,26 +190,25 @@
 	overlay.Part.Stop()
 }
 
-// Role returns what the node does now.
+// Role returns the node's current role.
 func (overlay *Overlay) Role() Role {
 	return Role(overlay.role.Load())
 }
 
-func (overlay *Overlay) become(role Role) {
-	before := Role(overlay.role.Swap(int32(role)))
-	if before == role {
+func (overlay *Overlay) setRole(role Role) {
+	previous := Role(overlay.role.Swap(int32(role)))
+	if previous == role {
 		return
 	}
-	overlay.Counts.RoleChanges.Add(1)
-	overlay.Logger.Info("overlay: the node has another role.", "Role", role.String(), "Before", before.String(), "Upstream", overlay.upstreamAddress())
-	overlay.drop(func(link *Link) bool {
+	overlay.Counters.RoleChanges.Add(1)
+	overlay.Logger.Info("overlay: the node has another role.", "Role", role.String(), "Before", previous.String(), "Upstream", overlay.upstreamAddress())
+	overlay.closeLinks(func(link *Link) bool {
 		return (link.Purpose == frame.Purpose_Root && role != Root) || (!link.Upstream() && role == Leaf)
 	})
-	overlay.Changed(role)
+	overlay.RoleChanged(role)
 }
 
-// Upstream returns the link to the node that this one is attached to, nil for
-// none.
+// Upstream returns the link to the upstream node, or nil if there is none.
 func (overlay *Overlay) Upstream() *Link {
 	return overlay.upstream.Load()
 }
@@ -228,8 +220,7 @@
 	return ""
 }
 
-// Root returns the address of the node that speaks for this one's data centre, as
-// far as is known.
+// Root returns the address of the root of this node's data centre, or an empty string if it is unknown.
 func (overlay *Overlay) Root() string {
 	if overlay.Role() == Root {
 		return overlay.Self.Address
@@ -239,87 +230,86 @@
 	return overlay.roots[overlay.Self.DataCentre]
 }
 
-// follow keeps this node attached to one above it.
-func (overlay *Overlay) follow() {
-	overlay.boot()
-	last := ""
+// maintainUpstream keeps this node attached to an upstream node.
+func (overlay *Overlay) maintainUpstream() {
+	overlay.bootstrap()
+	previous := ""
 	for {
 		select {
 		case <-overlay.Stopping:
 			return
 		default:
 		}
-		link := overlay.attachAny(last)
+		link := overlay.attachUpstream(previous)
 		if link == nil {
-			last = ""
-			overlay.alone()
+			previous = ""
+			overlay.waitWithoutUpstream()
 			continue
 		}
-		last = overlay.stay(link)
+		previous = overlay.holdUpstream(link)
 	}
 }
 
-// alone waits where there is nobody to attach to.
-func (overlay *Overlay) alone() {
-	if place := overlay.place(true); len(place.Above) > 0 && overlay.Now()-overlay.started < overlay.patience(place) {
-		overlay.Sleep(bootAgain)
+// waitWithoutUpstream waits until the next attempt to attach. After the grace period the node becomes a root.
+func (overlay *Overlay) waitWithoutUpstream() {
+	if position := overlay.position(true); len(position.Above) > 0 && overlay.Now()-overlay.startedAt < overlay.bootGracePeriodFor(position) {
+		overlay.Sleep(bootRetryInterval)
 		return
 	}
 	if overlay.Role() != Root {
-		overlay.become(Root)
-		// Of two that become roots at once, the one that registers later reads of the
-		// other, and tells it.
+		overlay.setRole(Root)
+		// If two nodes become roots at the same time, the one that registers later finds the other in the directory
+		// and announces itself to it.
 		overlay.register()
-		overlay.announce()
+		overlay.announceToHeads()
 	}
 	if len(overlay.Links()) == 0 {
-		overlay.await(aloneAgain)
+		overlay.waitForReselect(isolatedRetryInterval)
 		return
 	}
-	overlay.await(rootAgain)
+	overlay.waitForReselect(rootRetryInterval)
 }
 
-// patience is for how long after its start a node waits for those above it. A relay
-// that starts again among others that do goes on by itself soon: all leaves of its
-// data centre wait for the first relay.
-func (overlay *Overlay) patience(place tree.Place) time.Duration {
-	if place.Relay && !overlay.FirstStart {
-		return relayPatience
+// bootGracePeriodFor returns how long after its start a node waits for its upstream candidates. A relay that restarts
+// together with the other relays waits only briefly, because all leaves of its data centre wait for the first relay.
+func (overlay *Overlay) bootGracePeriodFor(position tree.Place) time.Duration {
+	if position.Relay && !overlay.FirstStart {
+		return relayBootGracePeriod
 	}
-	return bootTime
+	return bootGracePeriod
 }
 
-// await waits until a node was learnt of, or for a time.
-func (overlay *Overlay) await(span time.Duration) {
-	timer := time.NewTimer(span)
+// waitForReselect waits until an upstream selection is requested, or until the timeout.
+func (overlay *Overlay) waitForReselect(timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-overlay.Stopping:
-	case <-overlay.wake:
+	case <-overlay.reselect:
 	case <-timer.C:
 	}
 }
 
-// attachAny attaches to the first node above that takes this one: the one that it
-// was attached to until now before any other.
-func (overlay *Overlay) attachAny(last string) *Link {
-	place := overlay.place(false)
+// attachUpstream attaches to the first upstream candidate that accepts this node. The previous upstream node is tried
+// first.
+func (overlay *Overlay) attachUpstream(previous string) *Link {
+	position := overlay.position(false)
 	purpose := frame.Purpose_Leaf
-	if place.Relay {
+	if position.Relay {
 		purpose = frame.Purpose_Relay
 	}
-	above := place.Above
-	if last != "" {
-		above = append([]string{last}, above...)
+	addresses := position.Above
+	if previous != "" {
+		addresses = append([]string{previous}, addresses...)
 	}
-	return overlay.race(above, purpose)
+	return overlay.attachFirst(addresses, purpose)
 }
 
-// stay keeps to a link until it ends, or until there is a better one. It returns
-// the address to try first after that.
-func (overlay *Overlay) stay(link *Link) string {
-	overlay.settle(link)
-	ticker := time.NewTicker(betterEvery + rand.N(betterEvery))
+// holdUpstream keeps a link as the upstream link until it ends, and replaces it if a better candidate accepts this
+// node. It returns the address to try first after that.
+func (overlay *Overlay) holdUpstream(link *Link) string {
+	overlay.adoptUpstream(link)
+	ticker := time.NewTicker(betterUpstreamInterval + rand.N(betterUpstreamInterval))
 	defer ticker.Stop()
 	for {
 		select {
@@ -327,48 +317,48 @@
 			return ""
 		case <-link.Done:
 			overlay.upstream.CompareAndSwap(link, nil)
-			if link.told.Load() {
-				overlay.stops(link.Remote.Address)
+			if link.remoteStopping.Load() {
+				overlay.markStopping(link.Remote.Address)
 				return ""
 			}
 			return link.Remote.Address
 		case <-ticker.C:
-		case <-overlay.wake:
+		case <-overlay.reselect:
 		}
-		if better := overlay.better(link); better != nil {
-			overlay.settle(better)
+		if better := overlay.findBetterUpstream(link); better != nil {
+			overlay.adoptUpstream(better)
 			link.close()
 			link = better
 		}
 	}
 }
 
-// settle makes a link the one to the node above.
-func (overlay *Overlay) settle(link *Link) {
+// adoptUpstream makes a link the upstream link and sets the role that follows from it.
+func (overlay *Overlay) adoptUpstream(link *Link) {
 	overlay.upstream.Store(link)
 	role := Leaf
 	if link.Purpose == frame.Purpose_Relay {
 		role = Relay
 	}
-	overlay.become(role)
+	overlay.setRole(role)
 	if role == Relay {
-		overlay.registerSoon(relayLasts)
+		overlay.scheduleRegister(relayRegisterDelay)
 	}
 }
 
-// better attaches to a node that comes before the one this node is attached to, or
-// as what it should be by now.
-func (overlay *Overlay) better(link *Link) *Link {
-	place := overlay.place(false)
-	if place.Relay != (link.Purpose == frame.Purpose_Relay) {
-		return overlay.attachAny("")
+// findBetterUpstream attaches to a candidate that ranks before the current upstream node, or to any candidate if the
+// node's role should change between leaf and relay. It returns nil if there is none.
+func (overlay *Overlay) findBetterUpstream(link *Link) *Link {
+	position := overlay.position(false)
+	if position.Relay != (link.Purpose == frame.Purpose_Relay) {
+		return overlay.attachUpstream("")
 	}
-	for _, address := range place.Above {
+	for _, address := range position.Above {
 		if address == link.Remote.Address {
 			return nil
 		}
-		if found := overlay.attach(address, link.Purpose); found != nil {
-			return found
+		if better := overlay.attach(address, link.Purpose); better != nil {
+			return better
 		}
 	}
 	return nil
@@ -379,12 +369,12 @@
 	Role     string
 	Upstream string
 	Root     string
-	// Leaves, Relays and Roots count the links to nodes of that kind, Known the
-	// nodes of the directory.
+	// Leaves, Relays and Roots count the links to nodes of that role, the upstream link excluded. Known counts the
+	// nodes in the node's own directory.
 	Leaves, Relays, Roots, Known int
 }
 
-// State returns what the node is connected to.
+// State returns the node's role and a summary of its links.
 func (overlay *Overlay) State() State {
 	state := State{Role: overlay.Role().String(), Upstream: overlay.upstreamAddress(), Root: overlay.Root()}
 	for _, link := range overlay.Links() {
--- a/internal/fleet/overlay/roots.go
+++ b/internal/fleet/overlay/roots.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// meetEvery is how often a root looks which data centres it has no link to.
-	meetEvery = 250 * time.Millisecond
-	// meetIdle is how often another node looks whether it has become one.
-	meetIdle = 500 * time.Millisecond
-	// meetPatience is how long a root waits for one of a data centre whose name
-	// comes first to connect, before it does so itself.
-	meetPatience = 700 * time.Millisecond
-	// meetMost is how many nodes of a data centre are tried in a row.
-	meetMost = 6
+	// rootConnectInterval is how often a root looks for data centres to which it has no link.
+	rootConnectInterval = 250 * time.Millisecond
+	// idleRootConnectInterval is how often a leaf checks whether it has become a root.
+	idleRootConnectInterval = 500 * time.Millisecond
+	// passiveConnectDelay is how long a root waits for the root of a data centre whose name sorts first to connect,
+	// before it connects itself.
+	passiveConnectDelay = 700 * time.Millisecond
+	// maxRootCandidates is how many nodes of a data centre are tried in a row.
+	maxRootCandidates = 6
 )
 
-func (overlay *Overlay) meetPause() time.Duration {
+func (overlay *Overlay) rootConnectPause() time.Duration {
 	if overlay.Role() == Leaf {
-		return meetIdle
+		return idleRootConnectInterval
 	}
-	return meetEvery
+	return rootConnectInterval
 }
 
-// meet connects to the roots of other data centres that this one has no link to.
-func (overlay *Overlay) meet() {
+// connectRoots connects to the data centres to which this root has no link.
+func (overlay *Overlay) connectRoots() {
 	if overlay.Role() != Root || overlay.leaving.Load() {
 		return
 	}
 	now := overlay.Now()
-	linked := overlay.linked()
-	for dataCentre := range byDataCentre(overlay.members(true)) {
-		if overlay.due(dataCentre, linked[dataCentre], now) {
-			overlay.Go(func() { overlay.meetOne(dataCentre) })
+	linked := overlay.linkedDataCentres()
+	for dataCentre := range groupByDataCentre(overlay.candidates(true)) {
+		if overlay.shouldConnect(dataCentre, linked[dataCentre], now) {
+			overlay.Go(func() { overlay.connectRoot(dataCentre) })
 		}
 	}
 }
 
-// linked are the data centres that this root has a link to, and its own.
-func (overlay *Overlay) linked() map[string]bool {
+// linkedDataCentres returns the data centres to which this root has a link, including its own.
+func (overlay *Overlay) linkedDataCentres() map[string]bool {
 	linked := map[string]bool{overlay.Self.DataCentre: true}
 	for _, link := range overlay.Links() {
 		if link.Purpose == frame.Purpose_Root {
@@ -50,11 +50,10 @@
 	return linked
 }
 
-// Apart says whether there is a data centre that this root knows nodes of and has no
-// link to.
-func (overlay *Overlay) Apart() bool {
-	linked := overlay.linked()
-	for dataCentre := range byDataCentre(overlay.members(true)) {
+// HasUnlinkedDataCentre reports whether this root knows nodes of a data centre to which it has no link.
+func (overlay *Overlay) HasUnlinkedDataCentre() bool {
+	linked := overlay.linkedDataCentres()
+	for dataCentre := range groupByDataCentre(overlay.candidates(true)) {
 		if !linked[dataCentre] {
 			return true
 		}
@@ -62,37 +61,37 @@
 	return false
 }
 
-// due says whether this root should connect to a data centre now, and notes that
-// it does.
-func (overlay *Overlay) due(dataCentre string, linked bool, now time.Duration) bool {
+// shouldConnect reports whether this root should connect to a data centre now, and marks the attempt as started if
+// so.
+func (overlay *Overlay) shouldConnect(dataCentre string, linked bool, now time.Duration) bool {
 	overlay.mu.Lock()
 	defer overlay.mu.Unlock()
-	if linked || overlay.meeting[dataCentre] {
-		delete(overlay.apart, dataCentre)
+	if linked || overlay.connecting[dataCentre] {
+		delete(overlay.unlinkedSince, dataCentre)
 		return false
 	}
-	since, known := overlay.apart[dataCentre]
+	since, known := overlay.unlinkedSince[dataCentre]
 	if !known {
-		since, overlay.apart[dataCentre] = now, now
+		since, overlay.unlinkedSince[dataCentre] = now, now
 	}
-	if overlay.Self.DataCentre > dataCentre && now-since < meetPatience {
+	if overlay.Self.DataCentre > dataCentre && now-since < passiveConnectDelay {
 		return false
 	}
-	overlay.meeting[dataCentre] = true
+	overlay.connecting[dataCentre] = true
 	return true
 }
 
-// meetOne connects to the root of a data centre: the one that was named as such,
-// else the first of its nodes that is one or names one.
-func (overlay *Overlay) meetOne(dataCentre string) {
+// connectRoot connects to the root of a data centre: the node that was reported as its root, or else the first of its
+// nodes that is a root or names one.
+func (overlay *Overlay) connectRoot(dataCentre string) {
 	defer func() {
 		overlay.mu.Lock()
 		defer overlay.mu.Unlock()
-		delete(overlay.meeting, dataCentre)
+		delete(overlay.connecting, dataCentre)
 	}()
 	tried := map[string]bool{}
-	for range meetMost {
-		address := overlay.nextRoot(dataCentre, tried)
+	for range maxRootCandidates {
+		address := overlay.nextRootCandidate(dataCentre, tried)
 		if address == "" {
 			return
 		}
@@ -108,15 +107,15 @@
 	}
 }
 
-// nextRoot is the node of a data centre to try next, empty for none.
-func (overlay *Overlay) nextRoot(dataCentre string, tried map[string]bool) string {
+// nextRootCandidate returns the address of the next node of a data centre to try, or an empty string if none is left.
+func (overlay *Overlay) nextRootCandidate(dataCentre string, tried map[string]bool) string {
 	overlay.mu.Lock()
-	named := overlay.roots[dataCentre]
+	reported := overlay.roots[dataCentre]
 	overlay.mu.Unlock()
-	if named != "" && !tried[named] {
-		return named
+	if reported != "" && !tried[reported] {
+		return reported
 	}
-	for _, member := range byDataCentre(overlay.members(false))[dataCentre] {
+	for _, member := range groupByDataCentre(overlay.candidates(false))[dataCentre] {
 		if !tried[member.Address] {
 			return member.Address
 		}
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -234,7 +234,7 @@
 	reader := peers.node.follower.ReadsList()
 	// While the store is away nobody reads the list, and a root that starts again is told it by others.
 	lacking := channel.listAge >= follower.UnknownAge && peers.node.storeCalls.Away()
-	if !channel.heardList || (!downstream(channel.link) && !lacking && (!reader || theirs < age+follower.ListTick)) {
+	if !channel.heardList || (!downstream(channel.link) && !lacking && (!reader || theirs < age+follower.ListCheckInterval)) {
 		return told
 	}
 	told.Follows = true
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -113,12 +113,12 @@
 // another if there is one. Once enough are of use only one more is asked: the first nodes of each data centre are those that
 // all others know.
 func (detours *detours) asked() []string {
-	most, useful := askDetoursMost, detours.table.Useful(detours.ways.Lost(true))
+	most, useful := askDetoursMost, detours.table.PeersWithPath(detours.ways.Lost(true))
 	rand.Shuffle(len(useful), func(one, other int) { useful[one], useful[other] = useful[other], useful[one] })
 	if len(useful) >= askDetoursAgain {
 		useful, most = useful[:askDetoursAgain], askDetoursAgain+1
 	}
-	others := slices.Concat(useful, slices.DeleteFunc(detours.node.peers.overlay.Others(), func(address string) bool { return slices.Contains(useful, address) }))
+	others := slices.Concat(useful, slices.DeleteFunc(detours.node.peers.overlay.HealthyPeers(), func(address string) bool { return slices.Contains(useful, address) }))
 	if len(others) > most {
 		others[most-1] = others[most-1+rand.IntN(len(others)-most+1)]
 		others = others[:most]
@@ -132,7 +132,7 @@
 	answers := make(chan bool, len(others))
 	for _, address := range others {
 		detours.node.GoAs("detours", func() {
-			found := detours.node.peers.overlay.AskDetours(address)
+			found := detours.node.peers.overlay.QueryDetours(address)
 			for _, told := range found {
 				detours.heard(told)
 			}
@@ -149,21 +149,21 @@
 				timer.Reset(askDetoursGrace)
 			}
 		case <-timer.C:
-			detours.table.Asked()
+			detours.table.RecordQuery()
 			return
 		case <-detours.node.Stopping:
 			return
 		}
 	}
-	detours.table.Asked()
+	detours.table.RecordQuery()
 }
 
 func (detours *detours) heard(told *frame.Detour) {
 	if told.Address == detours.node.settings.Listen.Detour {
 		return
 	}
-	detours.table.Heard(detour.Node{
-		Address: told.Address, Peer: told.Peer, DataCentre: told.DataCentre, Lost: waysFromWire(told.Lost), Calls: int(told.Calls),
+	detours.table.RecordReport(detour.Node{
+		Address: told.Address, PeerAddress: told.Peer, DataCentre: told.DataCentre, Lost: waysFromWire(told.Lost), Calls: int(told.Calls),
 	})
 }
 
--- a/internal/run/gateway/fetch.go
+++ b/internal/run/gateway/fetch.go
@@ -82,7 +82,7 @@
 
 func (peers *peers) fetch(address string, version int64) {
 	began := peers.node.now()
-	body, err := peers.overlay.Fetch(address)
+	body, err := peers.overlay.FetchConfiguration(address)
 	elapsed := peers.node.now() - began
 	if err != nil {
 		peers.node.logger.Warn("gateway: a configuration could not be fetched.", "Peer", address,
@@ -93,7 +93,7 @@
 		peers.node.logger.Warn("gateway: a configuration took long to fetch.", "Peer", address,
 			"ConfigurationVersion", version, "Milliseconds", elapsed.Milliseconds())
 	}
-	peers.node.follower.Offer(body, address)
+	peers.node.follower.OfferConfiguration(body, address)
 }
 
 // missesVersion says whether this node has known for a while that there is a newer
--- a/internal/run/gateway/limits.go
+++ b/internal/run/gateway/limits.go
@@ -66,7 +66,7 @@
 	}
 	peers.mu.Unlock()
 	if due {
-		peers.overlay.Poke(over)
+		peers.overlay.SendNow(over)
 	}
 }
 
@@ -83,7 +83,7 @@
 		}
 	}
 	peers.mu.Unlock()
-	peers.overlay.Poke(func(link *overlay.Link) bool { _, due := links[link]; return due })
+	peers.overlay.SendNow(func(link *overlay.Link) bool { _, due := links[link]; return due })
 }
 
 // root is a node that speaks for a data centre, by the link to it; Self is this node.
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -75,7 +75,7 @@
 	state := State{
 		Name: node.settings.Name, DataCentre: node.settings.DataCentre, Incarnation: node.Incarnation, Ready: "ready",
 		ConfigurationVersion: node.configuration.Load().Configuration.Version, StoreEra: node.follower.Era(),
-		ConfigurationAgeMilliseconds: node.follower.ConfigurationAge().Milliseconds(), Store: node.storeCalls.State(), ReadsStore: node.peers.standing().Reads(), ListEnd: servers.End,
+		ConfigurationAgeMilliseconds: node.follower.ConfigurationAge().Milliseconds(), Store: node.storeCalls.State(), ReadsStore: node.peers.standing().IsReader(), ListEnd: servers.End,
 		ListAgeMilliseconds: node.follower.ListAge().Milliseconds(), Servers: len(servers.Servers),
 		Targets: node.board.State(), Former: node.former.State(),
 		Budgets: node.budgetStates(), Nodes: node.peers.count(), Overlay: node.peers.overlay.State(),
@@ -132,7 +132,7 @@
 }
 
 func (node *Node) counters() map[string]uint64 {
-	formed, calls, links := &node.former.Counts, &node.pool.Counts, &node.peers.overlay.Counts
+	formed, calls, links := &node.former.Counts, &node.pool.Counts, &node.peers.overlay.Counters
 	paces := &node.board.PaceCounts
 	held, most, refused := node.memory.Sums()
 	return map[string]uint64{
@@ -147,9 +147,9 @@
 		"GroupsLent": formed.Lent.Load(), "Reports": formed.Reports.Load(), "SilentButWhole": formed.WholeSeen.Load(),
 		"ConnectionsDialled": calls.Dialled.Load(), "ConnectionsReused": calls.Reused.Load(),
 		"ConnectionsFailed": calls.DialFailed.Load(), "ConnectionsDiscarded": calls.Discarded.Load(),
-		"StrayAnswers": calls.StrayAnswer.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.Returns(),
-		"LinksAttached": links.Attached.Load(), "LinksFailed": links.AttachFailed.Load(), "LinksEnded": links.LinksEnded.Load(),
-		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesTaken.Load(), "FrameBytesSent": links.BytesSent.Load(),
+		"StrayAnswers": calls.StrayAnswer.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.RestoreCount(),
+		"LinksAttached": links.LinksAttached.Load(), "LinksFailed": links.LinksFailed.Load(), "LinksEnded": links.LinksEnded.Load(),
+		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesReceived.Load(), "FrameBytesSent": links.BytesSent.Load(),
 		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.newsLearnt.Load(),
 		"MemoryHeld": uint64(held), "MemoryMost": uint64(most), "MemoryRefused": refused,
 		"DemandAsked": node.demand.Counts.Asked.Load(), "DemandRefused": node.demand.Counts.Refused.Load(), "DemandTaken": node.demand.Counts.Taken.Load(),
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -178,12 +178,12 @@
 	if node.dial != nil {
 		dial = node.dial
 	}
-	peers.overlay = overlay.New(listener, overlay.Parts{
+	peers.overlay = overlay.New(listener, overlay.Dependencies{
 		Self:        tree.Member{Address: settings.Listen.advertised(), DataCentre: settings.DataCentre, Capacity: settings.Limits.Processor},
-		Incarnation: node.Incarnation, Seeds: settings.Seeds, FirstStart: settings.FirstStart, Relays: node.relays,
-		Register: peers.register, Known: peers.known,
-		Compose: peers.compose, Take: peers.take, Ended: peers.ended, Changed: peers.changed,
-		Configuration: peers.configuration, Fit: peers.fit, Detours: func() []*frame.Detour { return peers.node.detours.told() },
+		Incarnation: node.Incarnation, Seeds: settings.Seeds, FirstStart: settings.FirstStart, RelayCount: node.relays,
+		Register: peers.register, ListNodes: peers.known,
+		Compose: peers.compose, HandleFrame: peers.take, LinkEnded: peers.ended, RoleChanged: peers.changed,
+		Configuration: peers.configuration, ReadyForLeaves: peers.fit, Detours: func() []*frame.Detour { return peers.node.detours.told() },
 		Dial: dial, Now: node.now, Logger: node.logger,
 	})
 	return peers
@@ -239,7 +239,7 @@
 		peers.node.keeper.Outdated(term)
 	}
 	peers.node.changed()
-	peers.node.follower.NewRole()
+	peers.node.follower.RoleChanged()
 }
 
 // fed says whether a node above tells this one what it needs to know of servers, or
@@ -307,7 +307,7 @@
 // those that the store answers before those that it doesn't. Leaves are told.
 func (peers *peers) rank() int {
 	if peers.overlay.Role() != overlay.Root {
-		return peers.overlay.DataCentres()
+		return peers.overlay.DataCentreCount()
 	}
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
@@ -326,9 +326,9 @@
 }
 
 // standing is this node's part in reading the store.
-func (peers *peers) standing() follower.Standing {
-	return follower.Standing{
-		Role: peers.overlay.Role(), Rank: peers.rank, RootsAway: peers.rootsAway(), Fed: peers.fed(), Misses: peers.missesVersion(),
+func (peers *peers) standing() follower.ReadPolicy {
+	return follower.ReadPolicy{
+		Role: peers.overlay.Role(), Rank: peers.rank, RootsUnavailable: peers.rootsAway(), FedByUpstream: peers.fed(), MissesVersion: peers.missesVersion(),
 	}
 }
 
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -18,13 +18,13 @@
 // storeTimeout bounds a call to the store that nothing waits for.
 const storeTimeout = 700 * time.Millisecond
 
-func (node *Node) followerParts() follower.Parts {
-	return follower.Parts{
+func (node *Node) followerParts() follower.Dependencies {
+	return follower.Dependencies{
 		Store: node.platform.Store, Calls: node.storeCalls, Configuration: node.configuration, Drains: node.drained, Servers: node.servers,
-		Standing: func() follower.Standing { return node.peers.standing() }, FirstStart: node.settings.FirstStart, Pace: node.pace,
-		InForce: node.inForce, ListChanged: node.changed, HeardServer: node.heardServer,
+		ReadPolicy: func() follower.ReadPolicy { return node.peers.standing() }, FirstStart: node.settings.FirstStart, TickInterval: node.pace,
+		ConfigurationApplied: node.inForce, ServersChanged: node.changed, ServerSeen: node.heardServer,
 		DrainsChanged: func(changes []drain.Record) { node.drainsChanged(changes, "store") },
-		CameBack:      node.storeCameBack, Now: node.now, Logger: node.logger,
+		StoreRestored: node.storeCameBack, Now: node.now, Logger: node.logger,
 	}
 }
 
@@ -44,7 +44,7 @@
 // storeCameBack is told that the store lacks what this node wrote lately.
 func (node *Node) storeCameBack() {
 	node.suspectsGone.Store(true)
-	node.peers.overlay.Forgotten()
+	node.peers.overlay.RegistrationLost()
 }
 
 // callStore makes one call to the store that is to be answered at once.
@@ -71,7 +71,7 @@
 func (node *Node) storeReturned(outage store.Outage) {
 	node.logger.Info("gateway: the store answers again.", "Call", outage.Call, "AwayMilliseconds", outage.Lasted.Milliseconds(),
 		"Failures", outage.Failures, "Hanging", outage.Hanging, "ConfigurationAgeMilliseconds", node.follower.ConfigurationAge().Milliseconds())
-	node.peers.overlay.Reachable()
+	node.peers.overlay.StoreReachable()
 }
 
 // errStoreAway says that the store wasn't asked, because it doesn't answer.
@@ -91,7 +91,7 @@
 		if place, err = node.platform.Store.Claim(ctx, node.settings.Name); err != nil {
 			return err
 		}
-		return node.follower.HeardEra(place.Era)
+		return node.follower.ObserveEra(place.Era)
 	})
 	return place, err
 }
--- a/internal/run/gateway/suspects.go
+++ b/internal/run/gateway/suspects.go
@@ -196,7 +196,7 @@
 	if apart {
 		least = storedEndsApart
 	}
-	duty := apart || node.peers.standing().Reads()
+	duty := apart || node.peers.standing().IsReader()
 	if duty && node.now() >= node.stored.settlesAt {
 		node.writeSuspects(least)
 	}
@@ -210,7 +210,7 @@
 // apart says whether there are nodes that this one hears nothing of: some that were
 // heard of within the last minute, or a whole data centre.
 func (peers *peers) apart() bool {
-	return peers.count() < peers.nodes() || peers.overlay.Apart()
+	return peers.count() < peers.nodes() || peers.overlay.HasUnlinkedDataCentre()
 }
 
 // writeSuspects writes what changed, and drops what counts no more.
--- a/internal/run/gateway/take.go
+++ b/internal/run/gateway/take.go
@@ -21,7 +21,7 @@
 	peers.heardHolder(received.Holder)
 	peers.heardVersion(link, received.ConfigurationVersion)
 	if received.ConfigurationAgeMs != nil {
-		peers.node.follower.Confirmed(received.ConfigurationVersion, time.Duration(received.GetConfigurationAgeMs())*time.Millisecond)
+		peers.node.follower.ConfirmVersion(received.ConfigurationVersion, time.Duration(received.GetConfigurationAgeMs())*time.Millisecond)
 	}
 	switch {
 	case core(link):
@@ -79,7 +79,7 @@
 	peers.takeDemandsLocked(channel, received)
 	peers.mu.Unlock()
 	if returned {
-		peers.node.follower.Hint()
+		peers.node.follower.HintStoreAvailable()
 	}
 	peers.takeListing(channel, received.Listing)
 	for _, news := range received.News {
@@ -107,11 +107,11 @@
 		return
 	}
 	listing := store.Listing{Next: endOf(told), Told: true, At: now - age}
-	peers.node.follower.HeardEraFromPeer(listing.Next)
+	peers.node.follower.ObservePeerEra(listing.Next)
 	for _, record := range told.Records {
 		listing.Records = append(listing.Records, recordFromWire(record))
 	}
-	peers.node.follower.Take(listing)
+	peers.node.follower.ApplyListing(listing)
 }
 
 // takeAsLeaf takes what the node above tells.
@@ -139,7 +139,7 @@
 	peers.noteNodes(channel.nodes+1, peers.node.now())
 	peers.mu.Unlock()
 	if received.Listing != nil {
-		peers.node.follower.HeardEraFromPeer(endOf(received.Listing))
+		peers.node.follower.ObservePeerEra(endOf(received.Listing))
 	}
 	for _, group := range lost {
 		peers.node.loseGroup(group)
@@ -244,7 +244,7 @@
 		}
 	}
 	peers.mu.Unlock()
-	peers.overlay.Poke(func(link *overlay.Link) bool { return told[link] })
+	peers.overlay.SendNow(func(link *overlay.Link) bool { return told[link] })
 }
 
 // tellNews passes news of a group on to the relays and roots.
@@ -255,12 +255,12 @@
 
 // tellVersion makes a new configuration known at once.
 func (peers *peers) tellVersion() {
-	peers.overlay.Poke(func(link *overlay.Link) bool { return !link.Opened || core(link) })
+	peers.overlay.SendNow(func(link *overlay.Link) bool { return !link.Opened || core(link) })
 }
 
 // tellLeaves sends what changed in the catalogue.
 func (peers *peers) tellLeaves() {
-	peers.overlay.Poke(func(link *overlay.Link) bool { return !core(link) && !link.Opened })
+	peers.overlay.SendNow(func(link *overlay.Link) bool { return !core(link) && !link.Opened })
 }
 
 // tellSilence passes a silent group on, to whoever gives orders.
--- a/internal/serve/forward/detour.go
+++ b/internal/serve/forward/detour.go
@@ -117,7 +117,7 @@
 	for {
 		lost := exchange.forwarder.Board.Ways().Lost(true)
 		peer, found := exchange.forwarder.Detours.Choose(exchange.service, lost, exchange.excludePeers)
-		if found || len(exchange.excludePeers) > 0 || len(lost) == 0 || exchange.forwarder.Detours.Knows() || exchange.forwarder.Now() >= until || exchange.gone() {
+		if found || len(exchange.excludePeers) > 0 || len(lost) == 0 || exchange.forwarder.Detours.QueriedRecently() || exchange.forwarder.Now() >= until || exchange.gone() {
 			return peer, found
 		}
 		exchange.forwarder.DetourWanted()
@@ -155,7 +155,7 @@
 	}
 	exchange.cause = "node " + peer.Address + ": " + err.Error()
 	if !exchange.gone() {
-		forwarder.Detours.Failed(peer.Address)
+		forwarder.Detours.RecordFailure(peer.Address)
 		forwarder.DetourPool.Drop(peer.Address)
 	}
 	if !errors.Is(err, backendserver.ErrNotSent) {
@@ -192,7 +192,7 @@
 		again := leg.Header.Get("Retry-After")
 		exchange.discard(leg)
 		if outcome == Unreached || outcome == NoServer {
-			exchange.forwarder.Detours.Lacks(leg.peer.Address, exchange.service, exchange.forwarder.Board.Ways().Lost(true))
+			exchange.forwarder.Detours.RecordLostPaths(leg.peer.Address, exchange.service, exchange.forwarder.Board.Ways().Lost(true))
 		}
 		if exchange.begun || exchange.mayHaveRun || elsewhere(outcome) {
 			return false, exchange.arrivals > before
@@ -248,7 +248,7 @@
 func (exchange *exchange) takeTold(leg *leg, told url.Values) {
 	version, err := strconv.ParseInt(told.Get(fieldVersion), 10, 64)
 	if err == nil && version > exchange.snapshot.Configuration.Version {
-		exchange.forwarder.NewerAt(leg.peer.Peer, version)
+		exchange.forwarder.NewerAt(leg.peer.PeerAddress, version)
 	}
 	if runs, err := strconv.Atoi(told.Get(fieldRuns)); err == nil {
 		exchange.runs = max(exchange.runs, runs)
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -110,7 +110,7 @@
 
 // through asks the first node.
 func (pair *pair) through(path string, change func(request *http.Request)) answered {
-	pair.peers.Heard(detour.Node{Address: inwardAddress, Peer: "second:1"})
+	pair.peers.RecordReport(detour.Node{Address: inwardAddress, PeerAddress: "second:1"})
 	request := pair.request(0, path, strings.NewReader("body"))
 	request.URL.Host = firstAddress
 	if change != nil {
@@ -230,8 +230,8 @@
 			{ID: "s", Service: "ledger", Address: "nowhere:1", Slots: 9}, {ID: "near", Service: "ledger", DataCentre: "near", Address: serverAddress},
 		}})
 		pair.own.PeerLoads(map[string]dispatch.Share{"near": {Calls: 100}})
-		pair.peers.Heard(detour.Node{Address: inwardAddress, Lost: []reach.Place{{Service: "ledger"}}})
-		pair.peers.Asked()
+		pair.peers.RecordReport(detour.Node{Address: inwardAddress, Lost: []reach.Place{{Service: "ledger"}}})
+		pair.peers.RecordQuery()
 		request := pair.request(0, "/book/1", strings.NewReader("body"))
 		request.URL.Host = firstAddress
 		began := time.Now()
