--- a/internal/fleet/detour/detour.go
+++ b/internal/fleet/detour/detour.go
@@ -1,7 +1,7 @@
 // Package detour chooses the node through which a request is forwarded if this node cannot reach the request's
 // servers itself.
 //
-// A Table holds the nodes that reported lately that they accept requests from other nodes, with the paths that each
+// A Table holds the nodes that reported recently that they accept requests from other nodes, with the paths that each
 // node has lost and its calls under way. Nodes report this when they are queried, and they are queried only while
 // some path of this node is not healthy, so that a fleet whose paths are all healthy spends nothing on it.
 //
@@ -130,7 +130,7 @@
 	return slices.DeleteFunc(table.sortedLocked(), func(peer *Peer) bool { return now-peer.reportedAt > reportTTL })
 }
 
-// PeersWithPath returns the frame addresses of the nodes that reported lately that they still have a path to any of
+// PeersWithPath returns the frame addresses of the nodes that reported recently that they still have a path to any of
 // the lost destinations.
 func (table *Table) PeersWithPath(lost []reach.Place) []string {
 	table.mu.Lock()
@@ -145,7 +145,7 @@
 }
 
 // Choose returns a node that still has a path to one of the lost destinations of a service. It skips the excluded
-// addresses and nodes that failed lately.
+// addresses and nodes that failed recently.
 func (table *Table) Choose(service string, lost []reach.Place, exclude []string) (*Peer, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -190,7 +190,7 @@
 	table.queriedAt = table.now()
 }
 
-// QueriedRecently reports whether other nodes were queried lately. If so, waiting a moment for more answers will not
+// QueriedRecently reports whether other nodes were queried recently. If so, waiting a moment for more answers will not
 // make another node known.
 func (table *Table) QueriedRecently() bool {
 	table.mu.Lock()
--- a/internal/fleet/detour/detour_test.go
+++ b/internal/fleet/detour/detour_test.go
@@ -12,7 +12,7 @@
 	"hazelslip/internal/policy/reach"
 )
 
-// Guards against requests through a node that does not reach the service, has not reported lately, or has just failed
+// Guards against requests through a node that does not reach the service, has not reported recently, or has just failed
 // to take a request.
 func TestUnusableNodesAreNotChosen(t *testing.T) {
 	expect := gomega.NewWithT(t)
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -59,7 +59,7 @@
 	return follower.Now() - snapshot.ReadAt
 }
 
-// ReadsList reports whether this node has read the registry itself lately.
+// ReadsList reports whether this node has read the registry itself recently.
 func (follower *Follower) ReadsList() bool {
 	return follower.Now()-time.Duration(follower.listReadAt.Load()) < ListMaxAge
 }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,5 +1,5 @@
 // Package member tracks the other nodes: their addresses from the settings and the instance list, and which of them
-// answered lately.
+// answered recently.
 //
 // A peer of the same data centre is queried every second, and is live while its last answer is fresh. Duties are
 // distributed over the live peers. Two nodes that see different peers may both take a duty, which wastes work but is
@@ -110,7 +110,7 @@
 	table.refreshLocked()
 }
 
-// Refresh removes peers that have not answered lately from the live peers, and removes addresses that have expired.
+// Refresh removes peers that have not answered recently from the live peers, and removes addresses that have expired.
 func (table *Table) Refresh() {
 	table.mu.Lock()
 	defer table.mu.Unlock()
--- a/internal/fleet/overlay/directory.go
+++ b/internal/fleet/overlay/directory.go
@@ -144,7 +144,7 @@
 	})
 }
 
-// healthyMembers returns the nodes that have not failed lately. A node that refused is in a short backoff, but is
+// healthyMembers returns the nodes that have not failed recently. A node that refused is in a short backoff, but is
 // alive.
 func (overlay *Overlay) healthyMembers() []tree.Member {
 	return overlay.filterMembers(func(entry *directoryEntry, now time.Duration) bool {
@@ -167,7 +167,7 @@
 }
 
 // position returns this node's position in the tree and the upstream candidates to try. With includeFailing, the
-// candidates include nodes that failed lately.
+// candidates include nodes that failed recently.
 func (overlay *Overlay) position(includeFailing bool) tree.Place {
 	position := tree.PlaceOf(overlay.Self, overlay.candidates(true), overlay.RelayCount)
 	if includeFailing {
@@ -344,7 +344,7 @@
 	return answer.Detours
 }
 
-// HealthyPeers returns the peer addresses of the nodes that have not failed lately, in random order, those of this
+// HealthyPeers returns the peer addresses of the nodes that have not failed recently, in random order, those of this
 // node's data centre first.
 func (overlay *Overlay) HealthyPeers() []string {
 	local, remote := []string{}, []string{}
--- a/internal/fleet/overlay/overlay.go
+++ b/internal/fleet/overlay/overlay.go
@@ -250,7 +250,8 @@
 	}
 }
 
-// waitWithoutUpstream waits until the next attempt to attach. After the grace period the node becomes a root.
+// waitWithoutUpstream waits until the next attempt to attach. The node becomes
+// a root after the grace period, or at once if there are no upstream candidates.
 func (overlay *Overlay) waitWithoutUpstream() {
 	if position := overlay.position(true); len(position.Above) > 0 && overlay.Now()-overlay.startedAt < overlay.bootGracePeriodFor(position) {
 		overlay.Sleep(bootRetryInterval)
