--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -238,7 +238,7 @@
 	// While the store is unavailable no node reads the list, so a restarted root receives it from other
 	// nodes.
 	unknownToRemote := state.listAge >= follower.UnknownAge && peers.node.storeCalls.Away()
-	if !state.listReceived || (!isDownstream(state.link) && !unknownToRemote && (!reader || remoteAge < age+follower.ListTick)) {
+	if !state.listReceived || (!isDownstream(state.link) && !unknownToRemote && (!reader || remoteAge < age+follower.ListCheckInterval)) {
 		return listing
 	}
 	listing.Follows = true
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -119,12 +119,12 @@
 // known, only one further node is asked: all nodes know the first nodes of each data centre, so these would
 // otherwise be asked by everyone.
 func (detours *detours) queryTargets() []string {
-	limit, useful := maxDetourQueries, detours.table.Useful(detours.paths.LostDestinations(true))
+	limit, useful := maxDetourQueries, detours.table.PeersWithPath(detours.paths.LostDestinations(true))
 	rand.Shuffle(len(useful), func(a, b int) { useful[a], useful[b] = useful[b], useful[a] })
 	if len(useful) >= maxUsefulQueries {
 		useful, limit = useful[:maxUsefulQueries], maxUsefulQueries+1
 	}
-	targets := slices.Concat(useful, slices.DeleteFunc(detours.node.peers.overlay.Others(), func(address string) bool { return slices.Contains(useful, address) }))
+	targets := slices.Concat(useful, slices.DeleteFunc(detours.node.peers.overlay.HealthyPeers(), func(address string) bool { return slices.Contains(useful, address) }))
 	if len(targets) > limit {
 		targets[limit-1] = targets[limit-1+rand.IntN(len(targets)-limit+1)]
 		targets = targets[:limit]
@@ -138,7 +138,7 @@
 	answers := make(chan bool, len(targets))
 	for _, address := range targets {
 		detours.node.GoAs("detours", func() {
-			found := detours.node.peers.overlay.AskDetours(address)
+			found := detours.node.peers.overlay.QueryDetours(address)
 			for _, answered := range found {
 				detours.record(answered)
 			}
@@ -155,21 +155,21 @@
 				timer.Reset(laterDetourAnswersTimeout)
 			}
 		case <-timer.C:
-			detours.table.Asked()
+			detours.table.RecordQuery()
 			return
 		case <-detours.node.Stopping:
 			return
 		}
 	}
-	detours.table.Asked()
+	detours.table.RecordQuery()
 }
 
 func (detours *detours) record(advertised *frame.Detour) {
 	if advertised.Address == detours.node.settings.Listen.Detour {
 		return
 	}
-	detours.table.Heard(detour.Node{
-		Address: advertised.Address, Peer: advertised.Peer, DataCentre: advertised.DataCentre, Lost: pathsFromWire(advertised.Lost), Calls: int(advertised.Calls),
+	detours.table.RecordReport(detour.Node{
+		Address: advertised.Address, PeerAddress: advertised.Peer, DataCentre: advertised.DataCentre, Lost: pathsFromWire(advertised.Lost), Calls: int(advertised.Calls),
 	})
 }
 
--- a/internal/run/gateway/limits.go
+++ b/internal/run/gateway/limits.go
@@ -66,7 +66,7 @@
 	}
 	peers.mu.Unlock()
 	if immediately {
-		peers.overlay.Poke(match)
+		peers.overlay.SendNow(match)
 	}
 }
 
@@ -83,7 +83,7 @@
 		}
 	}
 	peers.mu.Unlock()
-	peers.overlay.Poke(func(link *overlay.Link) bool { _, found := links[link]; return found })
+	peers.overlay.SendNow(func(link *overlay.Link) bool { _, found := links[link]; return found })
 }
 
 // rootNode is the root of a data centre. Its neighbour is the link to it, or ratelimit.Self for this node.
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -74,7 +74,7 @@
 	state := State{
 		Name: node.settings.Name, DataCentre: node.settings.DataCentre, Incarnation: node.Incarnation, Ready: "ready",
 		ConfigurationVersion: node.configuration.Load().Configuration.Version, StoreEra: node.follower.Era(),
-		ConfigurationAgeMilliseconds: node.follower.ConfigurationAge().Milliseconds(), Store: node.storeCalls.State(), ReadsStore: node.peers.readerStanding().Reads(), ListEnd: servers.End,
+		ConfigurationAgeMilliseconds: node.follower.ConfigurationAge().Milliseconds(), Store: node.storeCalls.State(), ReadsStore: node.peers.readerStanding().IsReader(), ListEnd: servers.End,
 		ListAgeMilliseconds: node.follower.ListAge().Milliseconds(), Servers: len(servers.Servers),
 		Targets: node.board.State(), Former: node.groupController.State(),
 		Budgets: node.retryBudgetStates(), Nodes: node.peers.reachableNodes(), Overlay: node.peers.overlay.State(),
@@ -130,7 +130,7 @@
 }
 
 func (node *Node) counters() map[string]uint64 {
-	groups, connections, links := &node.groupController.Counts, &node.pool.Counts, &node.peers.overlay.Counts
+	groups, connections, links := &node.groupController.Counts, &node.pool.Counts, &node.peers.overlay.Counters
 	paces := &node.board.PaceCounts
 	held, peak, refused := node.memory.Totals()
 	return map[string]uint64{
@@ -145,9 +145,9 @@
 		"GroupsLent": groups.RetiredForOther.Load(), "Reports": groups.Reports.Load(), "SilentButWhole": groups.FoundComplete.Load(),
 		"ConnectionsDialled": connections.Dialled.Load(), "ConnectionsReused": connections.Reused.Load(),
 		"ConnectionsFailed": connections.DialFailed.Load(), "ConnectionsDiscarded": connections.Discarded.Load(),
-		"StrayAnswers": connections.StrayAnswer.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.Returns(),
-		"LinksAttached": links.Attached.Load(), "LinksFailed": links.AttachFailed.Load(), "LinksEnded": links.LinksEnded.Load(),
-		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesTaken.Load(), "FrameBytesSent": links.BytesSent.Load(),
+		"StrayAnswers": connections.StrayAnswer.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.RestoreCount(),
+		"LinksAttached": links.LinksAttached.Load(), "LinksFailed": links.LinksFailed.Load(), "LinksEnded": links.LinksEnded.Load(),
+		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesReceived.Load(), "FrameBytesSent": links.BytesSent.Load(),
 		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.announcementsApplied.Load(),
 		"MemoryHeld": uint64(held), "MemoryMost": uint64(peak), "MemoryRefused": refused,
 		"DemandAsked": node.demand.Counts.Requested.Load(), "DemandRefused": node.demand.Counts.Refused.Load(), "DemandTaken": node.demand.Counts.RemoteUpdates.Load(),
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -181,12 +181,12 @@
 	if node.dial != nil {
 		dial = node.dial
 	}
-	peers.overlay = overlay.New(listener, overlay.Parts{
+	peers.overlay = overlay.New(listener, overlay.Dependencies{
 		Self:        tree.Member{Address: settings.Listen.advertised(), DataCentre: settings.DataCentre, Capacity: settings.Limits.Millicores},
-		Incarnation: node.Incarnation, Seeds: settings.Seeds, FirstStart: settings.FirstStart, Relays: node.relayCount,
-		Register: peers.register, Known: peers.directoryMembers,
-		Compose: peers.composeFrame, Take: peers.handleFrame, Ended: peers.linkEnded, Changed: peers.roleChanged,
-		Configuration: peers.encodedConfiguration, Fit: peers.synced, Detours: func() []*frame.Detour { return peers.node.detours.advertisements() },
+		Incarnation: node.Incarnation, Seeds: settings.Seeds, FirstStart: settings.FirstStart, RelayCount: node.relayCount,
+		Register: peers.register, ListNodes: peers.directoryMembers,
+		Compose: peers.composeFrame, HandleFrame: peers.handleFrame, LinkEnded: peers.linkEnded, RoleChanged: peers.roleChanged,
+		Configuration: peers.encodedConfiguration, ReadyForLeaves: peers.synced, Detours: func() []*frame.Detour { return peers.node.detours.advertisements() },
 		Dial: dial, Now: node.now, Logger: node.logger,
 	})
 	return peers
@@ -242,7 +242,7 @@
 		peers.node.termKeeper.HandleRefusal(term)
 	}
 	peers.node.requestTargetUpdate()
-	peers.node.follower.NewRole()
+	peers.node.follower.RoleChanged()
 }
 
 // fedByUpstream reports whether this node is a leaf whose upstream node sends it the state that it needs. It
@@ -311,7 +311,7 @@
 // store rank before those that can't. Leaves receive the content from their upstream node.
 func (peers *peers) readerRank() int {
 	if peers.overlay.Role() != overlay.Root {
-		return peers.overlay.DataCentres()
+		return peers.overlay.DataCentreCount()
 	}
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
@@ -330,9 +330,9 @@
 }
 
 // readerStanding returns the facts that decide this node's part in reading the store.
-func (peers *peers) readerStanding() follower.Standing {
-	return follower.Standing{
-		Role: peers.overlay.Role(), Rank: peers.readerRank, RootsAway: peers.rootsLackStore(), Fed: peers.fedByUpstream(), Misses: peers.newerVersionOverdue(),
+func (peers *peers) readerStanding() follower.ReadPolicy {
+	return follower.ReadPolicy{
+		Role: peers.overlay.Role(), Rank: peers.readerRank, RootsUnavailable: peers.rootsLackStore(), FedByUpstream: peers.fedByUpstream(), MissesVersion: peers.newerVersionOverdue(),
 	}
 }
 
--- a/internal/run/gateway/receive.go
+++ b/internal/run/gateway/receive.go
@@ -21,7 +21,7 @@
 	peers.handleLeader(received.Holder)
 	peers.fetchIfNewer(link, received.ConfigurationVersion)
 	if received.ConfigurationAgeMs != nil {
-		peers.node.follower.Confirmed(received.ConfigurationVersion, time.Duration(received.GetConfigurationAgeMs())*time.Millisecond)
+		peers.node.follower.ConfirmVersion(received.ConfigurationVersion, time.Duration(received.GetConfigurationAgeMs())*time.Millisecond)
 	}
 	switch {
 	case isBackbone(link):
@@ -79,7 +79,7 @@
 	peers.applyDemandsLocked(state, received)
 	peers.mu.Unlock()
 	if storeRecovered {
-		peers.node.follower.Hint()
+		peers.node.follower.HintStoreAvailable()
 	}
 	peers.handleListing(state, received.Listing)
 	for _, announcement := range received.News {
@@ -107,11 +107,11 @@
 		return
 	}
 	listing := store.Listing{Next: listEnd(received), Told: true, At: now - age}
-	peers.node.follower.HeardEraFromPeer(listing.Next)
+	peers.node.follower.ObservePeerEra(listing.Next)
 	for _, record := range received.Records {
 		listing.Records = append(listing.Records, recordFromWire(record))
 	}
-	peers.node.follower.Take(listing)
+	peers.node.follower.ApplyListing(listing)
 }
 
 // handleLeafFrame applies the state that the upstream node sends to this leaf.
@@ -139,7 +139,7 @@
 	peers.observeNodeCount(state.nodes+1, peers.node.now())
 	peers.mu.Unlock()
 	if received.Listing != nil {
-		peers.node.follower.HeardEraFromPeer(listEnd(received.Listing))
+		peers.node.follower.ObservePeerEra(listEnd(received.Listing))
 	}
 	for _, group := range lostGroups {
 		peers.node.handleLostGroup(group)
@@ -244,7 +244,7 @@
 		}
 	}
 	peers.mu.Unlock()
-	peers.overlay.Poke(func(link *overlay.Link) bool { return queued[link] })
+	peers.overlay.SendNow(func(link *overlay.Link) bool { return queued[link] })
 }
 
 // broadcastAnnouncement sends the announcement of a group change to the relays and roots.
@@ -255,12 +255,12 @@
 
 // broadcastVersion announces a new configuration version immediately.
 func (peers *peers) broadcastVersion() {
-	peers.overlay.Poke(func(link *overlay.Link) bool { return !link.Opened || isBackbone(link) })
+	peers.overlay.SendNow(func(link *overlay.Link) bool { return !link.Opened || isBackbone(link) })
 }
 
 // sendCatalogue sends catalogue changes to the leaves immediately.
 func (peers *peers) sendCatalogue() {
-	peers.overlay.Poke(func(link *overlay.Link) bool { return !isBackbone(link) && !link.Opened })
+	peers.overlay.SendNow(func(link *overlay.Link) bool { return !isBackbone(link) && !link.Opened })
 }
 
 // broadcastStall reports a stalled group to the upstream node, or to the relays and roots, so that the leader
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -18,13 +18,13 @@
 // storeTimeout bounds a call to the store that no request waits for.
 const storeTimeout = 700 * time.Millisecond
 
-func (node *Node) followerDependencies() follower.Parts {
-	return follower.Parts{
+func (node *Node) followerDependencies() follower.Dependencies {
+	return follower.Dependencies{
 		Store: node.platform.Store, Calls: node.storeCalls, Configuration: node.configuration, Drains: node.drains, Servers: node.servers,
-		Standing: func() follower.Standing { return node.peers.readerStanding() }, FirstStart: node.settings.FirstStart, Pace: node.leafAwareInterval,
-		InForce: node.configurationApplied, ListChanged: node.requestTargetUpdate, HeardServer: node.handleServerEntry,
+		ReadPolicy: func() follower.ReadPolicy { return node.peers.readerStanding() }, FirstStart: node.settings.FirstStart, TickInterval: node.leafAwareInterval,
+		ConfigurationApplied: node.configurationApplied, ServersChanged: node.requestTargetUpdate, ServerSeen: node.handleServerEntry,
 		DrainsChanged: func(changes []drain.Record) { node.drainsChanged(changes, "store") },
-		CameBack:      node.storeRestored, Now: node.now, Logger: node.logger,
+		StoreRestored: node.storeRestored, Now: node.now, Logger: node.logger,
 	}
 }
 
@@ -46,7 +46,7 @@
 // recently.
 func (node *Node) storeRestored() {
 	node.storedSuspectsLost.Store(true)
-	node.peers.overlay.Forgotten()
+	node.peers.overlay.RegistrationLost()
 }
 
 // callStore makes a single call to the store with a timeout, and records its result.
@@ -73,7 +73,7 @@
 func (node *Node) storeRecovered(outage store.Outage) {
 	node.logger.Info("gateway: the store is available again.", "Call", outage.Call, "AwayMilliseconds", outage.Lasted.Milliseconds(),
 		"Failures", outage.Failures, "Hanging", outage.Hanging, "ConfigurationAgeMilliseconds", node.follower.ConfigurationAge().Milliseconds())
-	node.peers.overlay.Reachable()
+	node.peers.overlay.StoreReachable()
 }
 
 // errStoreUnavailable is returned for a call that is not made because the store doesn't respond.
@@ -93,7 +93,7 @@
 		if position, err = node.platform.Store.Claim(ctx, node.settings.Name); err != nil {
 			return err
 		}
-		return node.follower.HeardEra(position.Era)
+		return node.follower.ObserveEra(position.Era)
 	})
 	return position, err
 }
--- a/internal/run/gateway/suspects.go
+++ b/internal/run/gateway/suspects.go
@@ -198,7 +198,7 @@
 	if partitioned {
 		minFailures = partitionedStoreFailureThreshold
 	}
-	writes := partitioned || node.peers.readerStanding().Reads()
+	writes := partitioned || node.peers.readerStanding().IsReader()
 	if writes && node.now() >= node.storedSuspects.writableAt {
 		node.writeSuspects(minFailures)
 	}
@@ -212,7 +212,7 @@
 // partitioned reports whether this node hears nothing of some nodes: nodes that it heard of within the last
 // minute, or a whole data centre.
 func (peers *peers) partitioned() bool {
-	return peers.reachableNodes() < peers.budgetNodes() || peers.overlay.Apart()
+	return peers.reachableNodes() < peers.budgetNodes() || peers.overlay.HasUnlinkedDataCentre()
 }
 
 // writeSuspects writes changed suspects to the store, and deletes the records of expired ones.
--- a/internal/serve/forward/detour.go
+++ b/internal/serve/forward/detour.go
@@ -118,7 +118,7 @@
 	for {
 		lost := exchange.forwarder.Board.Paths().LostDestinations(true)
 		peer, found := exchange.forwarder.Detours.Choose(exchange.service, lost, exchange.excludedPeers)
-		if found || len(exchange.excludedPeers) > 0 || len(lost) == 0 || exchange.forwarder.Detours.Knows() || exchange.forwarder.Now() >= deadline || exchange.callerGone() {
+		if found || len(exchange.excludedPeers) > 0 || len(lost) == 0 || exchange.forwarder.Detours.QueriedRecently() || exchange.forwarder.Now() >= deadline || exchange.callerGone() {
 			return peer, found
 		}
 		exchange.forwarder.RequestDetours()
@@ -156,7 +156,7 @@
 	}
 	exchange.cause = "node " + peer.Address + ": " + err.Error()
 	if !exchange.callerGone() {
-		forwarder.Detours.Failed(peer.Address)
+		forwarder.Detours.RecordFailure(peer.Address)
 		forwarder.DetourPool.Drop(peer.Address)
 	}
 	if !errors.Is(err, backendserver.ErrNotSent) {
@@ -193,7 +193,7 @@
 		retryAfter := attempt.Header.Get("Retry-After")
 		exchange.discard(attempt)
 		if outcome == Unreached || outcome == NoServer {
-			exchange.forwarder.Detours.Lacks(attempt.peer.Address, exchange.service, exchange.forwarder.Board.Paths().LostDestinations(true))
+			exchange.forwarder.Detours.RecordLostPaths(attempt.peer.Address, exchange.service, exchange.forwarder.Board.Paths().LostDestinations(true))
 		}
 		if exchange.responseStarted || exchange.mayHaveRun || anotherPeerMayAccept(outcome) {
 			return false, exchange.sentAttempts > before
@@ -251,7 +251,7 @@
 func (exchange *exchange) applyPeerState(attempt *attempt, fields url.Values) {
 	version, err := strconv.ParseInt(fields.Get(fieldVersion), 10, 64)
 	if err == nil && version > exchange.snapshot.Configuration.Version {
-		exchange.forwarder.OnNewerVersion(attempt.peer.Peer, version)
+		exchange.forwarder.OnNewerVersion(attempt.peer.PeerAddress, version)
 	}
 	if runs, err := strconv.Atoi(fields.Get(fieldRuns)); err == nil {
 		exchange.runs = max(exchange.runs, runs)
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -110,7 +110,7 @@
 
 // sendThroughFirst sends a request to the first node, which knows the second one as a peer.
 func (nodePair *nodePair) sendThroughFirst(path string, change func(request *http.Request)) callResult {
-	nodePair.peers.Heard(detour.Node{Address: detourAddress, Peer: "second:1"})
+	nodePair.peers.RecordReport(detour.Node{Address: detourAddress, PeerAddress: "second:1"})
 	request := nodePair.request(0, path, strings.NewReader("body"))
 	request.URL.Host = firstAddress
 	if change != nil {
@@ -231,8 +231,8 @@
 			{ID: "s", Service: "ledger", Address: "nowhere:1", Slots: 9}, {ID: "near", Service: "ledger", DataCentre: "near", Address: serverAddress},
 		}})
 		pair.firstBoard.SetPeerLoads(map[string]dispatch.ServerLoad{"near": {Calls: 100}})
-		pair.peers.Heard(detour.Node{Address: detourAddress, Lost: []reach.Destination{{Service: "ledger"}}})
-		pair.peers.Asked()
+		pair.peers.RecordReport(detour.Node{Address: detourAddress, Lost: []reach.Destination{{Service: "ledger"}}})
+		pair.peers.RecordQuery()
 		request := pair.request(0, "/book/1", strings.NewReader("body"))
 		request.URL.Host = firstAddress
 		startedAt := time.Now()
