--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -36,7 +36,7 @@
 	table := class.New()
 	offset := uint64(0)
 	take := func(body []byte) {
-		decoded, err := table.Fold().Decode(body)
+		decoded, err := table.StateMachine().Decode(body)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		decoded.Apply(offset)
 		offset++
--- a/internal/peer/caller/services.go
+++ b/internal/peer/caller/services.go
@@ -40,9 +40,9 @@
 	// Call makes one call.
 	Call func(ctx context.Context, address string, call service.Call) (*http.Response, error)
 	// Bookings runs calls that may not be repeated.
-	Bookings *booking.Keeper
+	Bookings *booking.Executor
 	// Forward passes a call with a ticket to the node that issued it.
-	Forward func(ctx context.Context, name string, call service.Call, body []byte, key string, digest []byte) booking.Answer
+	Forward func(ctx context.Context, name string, call service.Call, body []byte, key string, digest []byte) booking.Result
 	// Incarnation is this node's.
 	Incarnation  uint64
 	MaxBodyBytes int64
@@ -51,7 +51,7 @@
 }
 
 func (services *Services) serveTicket(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	key, err := services.Bookings.Issue()
+	key, err := services.Bookings.IssueTicket()
 	if err != nil {
 		Refuse(writer, http.StatusServiceUnavailable, Problem{Message: err.Error(), Outcome: outcome.NotRun, RetryAfter: time.Second})
 		return
@@ -173,7 +173,7 @@
 	}
 	digest := Digest(name, call, body)
 	issuer, ticketed := booking.TicketIssuer(key)
-	var answer booking.Answer
+	var answer booking.Result
 	switch {
 	case ticketed && (issuer == services.Incarnation || services.Bookings.Adopted(issuer)):
 		answer = services.RunTicket(request.Context(), name, call, body, key, digest)
@@ -189,7 +189,7 @@
 }
 
 // RunTicket runs a call under a ticket that this node answers for.
-func (services *Services) RunTicket(ctx context.Context, name string, call service.Call, body []byte, key string, digest []byte) booking.Answer {
+func (services *Services) RunTicket(ctx context.Context, name string, call service.Call, body []byte, key string, digest []byte) booking.Result {
 	return services.Bookings.RunTicket(ctx, booking.Call{Key: key, Digest: digest, Send: services.sender(name, call, body)})
 }
 
@@ -202,8 +202,8 @@
 }
 
 // sender returns the function that makes the call once.
-func (services *Services) sender(name string, call service.Call, body []byte) func(ctx context.Context) booking.Answer {
-	return func(ctx context.Context) booking.Answer {
+func (services *Services) sender(name string, call service.Call, body []byte) func(ctx context.Context) booking.Result {
+	return func(ctx context.Context) booking.Result {
 		ctx, cancel := context.WithTimeout(ctx, serviceTimeout)
 		defer cancel()
 		err := errors.Mark(errors.Newf("no server of %s is known", name), service.ErrNotSent)
@@ -215,22 +215,22 @@
 				return readAnswer(response)
 			}
 			if !errors.Is(err, service.ErrNotSent) {
-				return booking.Answer{Outcome: outcome.Unknown, Cause: "the call was sent and its answer was lost"}
+				return booking.Result{Outcome: outcome.Unknown, Cause: "the call was sent and its answer was lost"}
 			}
 		}
-		return booking.Answer{Outcome: outcome.NotRun, Cause: err.Error(), RetryAfter: time.Second}
+		return booking.Result{Outcome: outcome.NotRun, Cause: err.Error(), RetryAfter: time.Second}
 	}
 }
 
 // readAnswer reads a service's answer whole. One that breaks off has run all
 // the same, and what it said is not known.
-func readAnswer(response *http.Response) booking.Answer {
+func readAnswer(response *http.Response) booking.Result {
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
 	if err != nil || len(body) > maxAnswerBytes {
-		return booking.Answer{Outcome: outcome.Unknown, Cause: "the service's answer broke off or was too large"}
+		return booking.Result{Outcome: outcome.Unknown, Cause: "the service's answer broke off or was too large"}
 	}
-	return booking.Answer{
+	return booking.Result{
 		Outcome: outcome.Run, Status: response.StatusCode,
 		ContentType: response.Header.Get("Content-Type"), Body: body,
 	}
@@ -240,7 +240,7 @@
 // request under the same key.
 const HeaderReplayed = "Hazelslip-Replayed"
 
-func writeAnswer(writer http.ResponseWriter, answer booking.Answer) {
+func writeAnswer(writer http.ResponseWriter, answer booking.Result) {
 	if answer.Outcome == outcome.Run {
 		writer.Header().Set(outcome.Header, string(answer.Outcome))
 		if answer.Replayed {
--- a/internal/peer/operator/operator.go
+++ b/internal/peer/operator/operator.go
@@ -277,8 +277,8 @@
 	status := http.StatusOK
 	switch {
 	case verdict.Accepted:
-	case verdict.Beaten != nil:
-		line := lineOf(verdict.Beaten)
+	case verdict.InForce != nil:
+		line := lineOf(verdict.InForce)
 		answer.Beaten = &line
 		status = http.StatusConflict
 	case verdict.Reason == class.ReasonStale:
--- a/internal/run/node/answer.go
+++ b/internal/run/node/answer.go
@@ -115,7 +115,7 @@
 	if !ok {
 		return &exchange.Reply{Failure: "this node does not follow the stream " + fetch.Stream}
 	}
-	relayed, err := follower.Fetch(stream.Want{From: fetch.From, Snapshot: fetch.WantSnapshot}, int(min(fetch.Max, fetchRecords)))
+	relayed, err := follower.Fetch(stream.FetchRequest{From: fetch.From, Snapshot: fetch.WantSnapshot}, int(min(fetch.Max, fetchRecords)))
 	if err != nil {
 		return &exchange.Reply{Failure: err.Error()}
 	}
@@ -239,7 +239,7 @@
 	if claim.Incarnation != node.Incarnation {
 		return &exchange.ClaimReply{}
 	}
-	held := node.bookings.Holding(claim.Key)
+	held := node.bookings.ClaimStatus(claim.Key)
 	reply := &exchange.ClaimReply{Known: true, Running: held.Running}
 	if held.Outcome != nil {
 		body, err := proto.Marshal(held.Outcome)
@@ -253,7 +253,7 @@
 
 // forwardTicket passes a call with a ticket to its issuer, or to the peer that
 // has taken over the issuer's table. Whether it ran is known only from a reply.
-func (node *Node) forwardTicket(ctx context.Context, name string, call service.Call, body []byte, key string, digest []byte) booking.Answer {
+func (node *Node) forwardTicket(ctx context.Context, name string, call service.Call, body []byte, key string, digest []byte) booking.Result {
 	issuer, _ := booking.TicketIssuer(key)
 	request := &exchange.CallRequest{Service: name, Method: call.Method, Path: call.Path + query(call), Body: body, Key: key, Digest: digest}
 	for header, values := range call.Header {
@@ -261,7 +261,7 @@
 			request.Headers = append(request.Headers, &exchange.CallHeader{Name: header, Value: value})
 		}
 	}
-	unknown := booking.Answer{Outcome: outcome.Unknown, Cause: "the node that issued this ticket cannot be asked"}
+	unknown := booking.Result{Outcome: outcome.Unknown, Cause: "the node that issued this ticket cannot be asked"}
 	addresses := []string{}
 	if address, ok := node.members.Find(issuer); ok {
 		addresses = append(addresses, address)
@@ -278,7 +278,7 @@
 			return unknown
 		}
 		answered := reply.GetCall()
-		return booking.Answer{
+		return booking.Result{
 			Outcome: outcome.Outcome(answered.Outcome), Status: int(answered.Status),
 			ContentType: answered.ContentType, Body: answered.Body, Cause: answered.Cause,
 			Replayed: answered.Replayed, Conflict: answered.Conflict,
--- a/internal/run/node/exchange.go
+++ b/internal/run/node/exchange.go
@@ -266,7 +266,7 @@
 	}
 	ctx, cancel := exchanger.Context(remoteTimeout)
 	defer cancel()
-	want := follower.Want()
+	want := follower.NextFetch()
 	reply, err := exchanger.node.peers.Ask(ctx, known.Address, exchanger.node.request(&exchange.Request{
 		Kind: &exchange.Request_Fetch{Fetch: &exchange.FetchRequest{
 			Stream: position.Stream, From: want.From, Max: fetchRecords, WantSnapshot: want.Snapshot,
@@ -276,18 +276,18 @@
 		return
 	}
 	fetched := reply.GetFetch()
-	relayed := stream.Relayed{Snapshot: fetched.GetSnapshot(), SnapshotNext: fetched.GetSnapshotNext()}
+	relayed := stream.FetchReply{Snapshot: fetched.GetSnapshot(), SnapshotNext: fetched.GetSnapshotNext()}
 	for _, record := range fetched.GetRecords() {
 		relayed.Records = append(relayed.Records, logservice.Record{Offset: record.Offset, Body: record.Body})
 	}
-	follower.Offer(relayed)
+	follower.ApplyFetched(relayed)
 }
 
 func (exchanger *exchanger) needed(follower *stream.Follower, position *exchange.StreamPosition) bool {
-	want := follower.Want()
+	want := follower.NextFetch()
 	if position.Next <= want.From && !want.Snapshot {
-		if position.Next == 0 && !follower.Ready() && follower.Dark() {
-			follower.AcceptEmpty()
+		if position.Next == 0 && !follower.Ready() && follower.LogUnavailable() {
+			follower.MarkEmpty()
 		}
 		exchanger.mu.Lock()
 		delete(exchanger.behind, position.Stream)
@@ -297,7 +297,7 @@
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
 	exchanger.behind[position.Stream]++
-	return follower.Dark() || !follower.Ready() || exchanger.behind[position.Stream] > behindPulls
+	return follower.LogUnavailable() || !follower.Ready() || exchanger.behind[position.Stream] > behindPulls
 }
 
 // positions lists the streams whose history this node knows.
--- a/internal/run/node/node.go
+++ b/internal/run/node/node.go
@@ -98,9 +98,9 @@
 	journal   *journal.Journal
 	classes   *class.Table
 	leases    *lease.Table
-	leaseHold *lease.Keeper
+	leaseHold *lease.Manager
 	keys      *booking.Table
-	bookings  *booking.Keeper
+	bookings  *booking.Executor
 	collector *booking.Batcher
 	appender  *booking.Batcher
 	streams   []*stream.Follower
@@ -276,23 +276,23 @@
 	node.leases = lease.New(node.now)
 	node.keys = booking.NewTable(time.Duration(node.settings.Limits.BookingWindowMinutes) * time.Minute)
 	node.streams = []*stream.Follower{
-		configStream:  node.follow(class.StreamName, node.classes.Fold()),
-		groupStream:   node.follow("Groups."+node.settings.DataCentre, node.leases.Fold()),
-		bookingStream: node.follow("Bookings."+node.settings.Region, node.keys.Fold()),
+		configStream:  node.follow(class.StreamName, node.classes.StateMachine()),
+		groupStream:   node.follow("Groups."+node.settings.DataCentre, node.leases.StateMachine()),
+		bookingStream: node.follow("Bookings."+node.settings.Region, node.keys.StateMachine()),
 	}
 	groups, bookings := node.streams[groupStream], node.streams[bookingStream]
-	node.leaseHold = &lease.Keeper{
+	node.leaseHold = &lease.Manager{
 		Incarnation: node.Incarnation, Table: node.leases, Now: node.now,
 		Append: groups.Append, Ready: groups.Ready,
 	}
 	node.appender = booking.NewBatcher(node.appendBatch)
 	node.collector = booking.NewBatcher(node.relayBatch)
 	node.bookings = booking.New(node.Incarnation, node.keys,
-		booking.Follower{Ready: bookings.Ready, Dark: bookings.Dark}, node.collector,
+		booking.StreamStatus{Ready: bookings.Ready, LogUnavailable: bookings.LogUnavailable}, node.collector,
 		booking.Clock(node.now), booking.AskHolder(node.askHolder))
 }
 
-func (node *Node) follow(name string, fold stream.Fold) *stream.Follower {
+func (node *Node) follow(name string, fold stream.StateMachine) *stream.Follower {
 	return stream.New(name, fold, stream.Read(node.log.Read), stream.Append(node.log.Append),
 		stream.Clock(node.now), stream.Logger(node.logger))
 }
--- a/internal/run/node/state.go
+++ b/internal/run/node/state.go
@@ -179,8 +179,8 @@
 
 // BookOneByOne turns batches of bookings off; comparisons use it.
 func (node *Node) BookOneByOne(single bool) {
-	node.collector.OneByOne(single)
-	node.appender.OneByOne(single)
+	node.collector.DisableBatching(single)
+	node.appender.DisableBatching(single)
 }
 
 // Booking returns what this node's region knows about a service's key.
--- a/internal/state/booking/batch.go
+++ b/internal/state/booking/batch.go
@@ -14,71 +14,70 @@
 )
 
 const (
-	batchFirst    = 20 * time.Millisecond
-	batchMost     = 640 * time.Millisecond
-	batchEntries  = 2000
-	batchBytes    = 1 << 20
-	queueMost     = 20_000
-	appendTimeout = 5 * time.Second
+	// minAppendInterval and maxAppendInterval bound the time between two appends.
+	minAppendInterval   = 20 * time.Millisecond
+	maxAppendInterval   = 640 * time.Millisecond
+	maxBatchesPerAppend = 2000
+	maxAppendBytes      = 1 << 20
+	maxQueuedBatches    = 20_000
+	appendTimeout       = 5 * time.Second
 )
 
-// ErrFull means that more is waiting for the log than this node holds.
-var ErrFull = errors.New("too much is waiting for the log")
+// ErrQueueFull means that the queue of batches to append is full.
+var ErrQueueFull = errors.New("too much is waiting for the log")
 
-// pending is a part of a batch and whom to tell about it.
-type pending struct {
+// queuedBatch is a batch that waits for its append, and the channel that receives the result.
+type queuedBatch struct {
 	batch  *record.BookingBatch
 	result chan error
 }
 
-// Batcher writes many intents and outcomes in one append. Appends are scarce
-// and shared by everybody, so it keeps one append in the air, and waits longer
-// between appends each time the log refuses one.
+// Batcher merges queued intents and outcomes into few appends. The log takes few appends a second, and all nodes share
+// them. The Batcher therefore runs one append at a time and doubles the interval between appends whenever one fails.
 type Batcher struct {
 	*lifecycle.Part
-	// write appends one batch, or gives it to the node that does.
+	// write appends one batch, or forwards it to the node that appends for the data centre.
 	write func(ctx context.Context, batch *record.BookingBatch) error
 
-	mu       sync.Mutex
-	waiting  []pending
-	interval time.Duration
-	wake     chan struct{}
-	appends  uint64
-	entries  uint64
-	refused  uint64
-	single   bool
+	mu            sync.Mutex
+	queue         []queuedBatch
+	interval      time.Duration
+	wake          chan struct{}
+	appends       uint64
+	entries       uint64
+	failedAppends uint64
+	unbatched     bool
 }
 
-// OneByOne makes each entry an append of its own, sent as soon as the one
-// before has ended; comparisons use it.
-func (batcher *Batcher) OneByOne(single bool) {
+// DisableBatching makes each queued batch an append of its own, sent as soon as the previous append has ended.
+// Comparisons with batched appends use it.
+func (batcher *Batcher) DisableBatching(disabled bool) {
 	batcher.mu.Lock()
 	defer batcher.mu.Unlock()
-	batcher.single = single
+	batcher.unbatched = disabled
 }
 
-// NewBatcher returns a batcher that writes through the function.
+// NewBatcher returns a Batcher that appends merged batches by calling write.
 func NewBatcher(write func(ctx context.Context, batch *record.BookingBatch) error) *Batcher {
-	return &Batcher{Part: lifecycle.New("booking"), write: write, interval: batchFirst, wake: make(chan struct{}, 1)}
+	return &Batcher{Part: lifecycle.New("booking"), write: write, interval: minAppendInterval, wake: make(chan struct{}, 1)}
 }
 
-// Start begins to write.
+// Start starts the goroutine that appends queued batches.
 func (batcher *Batcher) Start() {
 	batcher.Go(batcher.run)
 }
 
-// Add puts a batch into the next append. The channel gives the result: nil
-// once it was written, logservice.ErrNotWritten where it provably was not,
-// anything else where that is open.
+// Add queues a batch for the next append. The channel receives the result: nil if the batch was written,
+// logservice.ErrNotWritten if it was provably not written, and any other error if that is unknown.
 func (batcher *Batcher) Add(batch *record.BookingBatch) <-chan error {
 	result := make(chan error, 1)
 	batcher.mu.Lock()
 	defer batcher.mu.Unlock()
-	if len(batcher.waiting) >= queueMost {
-		result <- errors.Mark(ErrFull, logservice.ErrNotWritten)
+	if len(batcher.queue) >= maxQueuedBatches {
+		result <- errors.Mark(ErrQueueFull, logservice.ErrNotWritten)
 		return result
 	}
-	batcher.waiting = append(batcher.waiting, pending{batch: batch, result: result})
+	batcher.queue = append(batcher.queue, queuedBatch{batch: batch, result: result})
 	select {
 	case batcher.wake <- struct{}{}:
 	default:
@@ -95,69 +94,72 @@
 		case <-batcher.wake:
 		}
 		for batcher.flush() {
-			if !batcher.Sleep(batcher.pause()) {
+			if !batcher.Sleep(batcher.appendDelay()) {
 				break
 			}
 		}
 	}
 }
 
-func (batcher *Batcher) pause() time.Duration {
+// appendDelay returns the time to wait before the next append.
+func (batcher *Batcher) appendDelay() time.Duration {
 	batcher.mu.Lock()
 	defer batcher.mu.Unlock()
-	if batcher.single {
+	if batcher.unbatched {
 		return 0
 	}
 	return batcher.interval
 }
 
-// flush writes what waits, at most one append, and reports whether there was
-// anything.
+// flush sends at most one append with queued batches and reports whether any batch was queued.
 func (batcher *Batcher) flush() bool {
-	parts, merged := batcher.take()
-	if len(parts) == 0 {
+	queued, merged := batcher.dequeue()
+	if len(queued) == 0 {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), appendTimeout)
 	defer cancel()
 	err := batcher.write(ctx, merged)
-	batcher.adapt(err, len(merged.Intents)+len(merged.Outcomes))
-	for _, part := range parts {
-		part.result <- err
+	batcher.adjustInterval(err, len(merged.Intents)+len(merged.Outcomes))
+	for _, entry := range queued {
+		entry.result <- err
 	}
 	return true
 }
 
-func (batcher *Batcher) take() ([]pending, *record.BookingBatch) {
+// dequeue removes the batches of the next append from the queue and returns them with their merged content. The merged
+// content can exceed maxAppendBytes by part of one batch.
+func (batcher *Batcher) dequeue() ([]queuedBatch, *record.BookingBatch) {
 	batcher.mu.Lock()
 	defer batcher.mu.Unlock()
 	merged := &record.BookingBatch{}
-	taken, bytes := 0, 0
-	most := batchEntries
-	if batcher.single {
-		most = 1
+	count, bytes := 0, 0
+	limit := maxBatchesPerAppend
+	if batcher.unbatched {
+		limit = 1
 	}
-	for taken < len(batcher.waiting) && taken < most && bytes < batchBytes {
-		part := batcher.waiting[taken].batch
-		bytes += proto.Size(part)
-		merged.Intents = append(merged.Intents, part.Intents...)
-		merged.Outcomes = append(merged.Outcomes, part.Outcomes...)
-		taken++
+	for count < len(batcher.queue) && count < limit && bytes < maxAppendBytes {
+		batch := batcher.queue[count].batch
+		bytes += proto.Size(batch)
+		merged.Intents = append(merged.Intents, batch.Intents...)
+		merged.Outcomes = append(merged.Outcomes, batch.Outcomes...)
+		count++
 	}
-	parts := batcher.waiting[:taken:taken]
-	batcher.waiting = batcher.waiting[taken:]
-	return parts, merged
+	queued := batcher.queue[:count:count]
+	batcher.queue = batcher.queue[count:]
+	return queued, merged
 }
 
-func (batcher *Batcher) adapt(err error, entries int) {
+// adjustInterval shortens the interval by a tenth after a successful append and doubles it after a failed one.
+func (batcher *Batcher) adjustInterval(err error, entries int) {
 	batcher.mu.Lock()
 	defer batcher.mu.Unlock()
 	batcher.appends++
 	if err == nil {
 		batcher.entries += uint64(entries)
-		batcher.interval = max(batchFirst, batcher.interval*9/10)
+		batcher.interval = max(minAppendInterval, batcher.interval*9/10)
 		return
 	}
-	batcher.refused++
-	batcher.interval = min(batchMost, 2*batcher.interval)
+	batcher.failedAppends++
+	batcher.interval = min(maxAppendInterval, 2*batcher.interval)
 }
--- a/internal/state/booking/booking.go
+++ b/internal/state/booking/booking.go
@@ -1,21 +1,25 @@
-// Package booking runs calls that may not be repeated at most once.
+// Package booking runs non-idempotent calls at most once.
 //
-// A Keeper writes an intent for the call's idempotency key to the log and
-// sends the call only when it has read the stream through its own intent and
-// found it to be the first one for the key. The outcome follows on the stream,
-// so that a retry on any node finds an outcome, which is replayed, or a claim
-// without one, whose holder is asked, or nothing, and may claim. Nobody ever
-// sends a call under a key that somebody else claimed.
+// An Executor appends an intent for the idempotency key of a call to a stream of the platform's log. The Executor sends
+// the call only after it has read the stream up to its own intent and found that intent to be the first for the key.
+// That intent is the claim of the key, and its node is the holder. The outcome of the call is appended to the same
+// stream. A retry on any node therefore finds one of three states:
 //
-// With the log dark such a call is refused as NotRun, and truly was not run.
-// Tickets are the way around that: a key that only one incarnation of one node
-// may run, from its own memory; see Tickets.
+//   - an outcome, which is replayed
+//   - a claim without an outcome, whose holder is asked
+//   - no claim, so that the retry may claim the key
+//
+// A node never sends a call under a key that another node has claimed.
+//
+// While the log is unavailable, a call under a new key is refused as NotRun and is never sent. Tickets work without the
+// log: a ticket is a key that only one incarnation of one node may run, which it tracks in memory; see
+// Executor.IssueTicket.
 //
 // # Usage
 //
-//	keeper := booking.New(incarnation, table, follower, batcher)
-//	answer := keeper.Run(ctx, booking.Call{Key: key, Digest: digest, Send: send})
-//	// answer.Outcome is NotRun, Run or Unknown
+//	executor := booking.New(incarnation, table, streamStatus, batcher)
+//	result := executor.Run(ctx, booking.Call{Key: key, Digest: digest, Send: send})
+//	// result.Outcome is NotRun, Run or Unknown
 package booking
 
 import (
@@ -31,62 +35,62 @@
 )
 
 const (
-	// claimPatience is how long a call waits for its own intent.
-	claimPatience = 4 * time.Second
-	// othersPatience is how long a retry waits for an outcome on the stream
-	// before it asks the claim's holder.
-	othersPatience = time.Second
-	// claimAge is how old a claim may be when its call is sent. A node that
-	// was paused for longer gives the call up: its key may have expired.
-	claimAge = time.Minute
-	// sendTimeout bounds the call itself, whether or not the caller waits.
+	// claimTimeout is how long a call waits to read its own intent back from the stream.
+	claimTimeout = 4 * time.Second
+	// outcomeTimeout is how long a retry waits for an outcome on the stream before it asks the holder of the claim.
+	outcomeTimeout = time.Second
+	// maxClaimAge is how old a claim may be when its call is sent. A node that was paused for longer abandons the call,
+	// because the key may have expired meanwhile.
+	maxClaimAge = time.Minute
+	// sendTimeout bounds the call itself, even if its caller has left.
 	sendTimeout = 30 * time.Second
-	// KeptBodyBytes is the largest answer that is kept for retries.
-	KeptBodyBytes  = 64 << 10
-	abandonedMost  = 20_000
-	abandonedFor   = 10 * time.Minute
-	sweepInterval  = time.Second
-	retryAfterDark = 2 * time.Second
+	// MaxStoredBodyBytes is the size of the largest response body that is stored for retries.
+	MaxStoredBodyBytes = 64 << 10
+	maxAbandonedClaims = 20_000
+	abandonedClaimTTL  = 10 * time.Minute
+	sweepInterval      = time.Second
+	refusalRetryAfter  = 2 * time.Second
 )
 
-// Answer is what a caller is told. Status, ContentType and Body are the
-// service's own where Outcome is Run.
-type Answer struct {
+// Result is the result of a call as reported to its caller. If Outcome is Run, Status, ContentType and Body are those
+// of the response of the service.
+type Result struct {
 	Outcome     outcome.Outcome
 	Status      int
 	ContentType string
 	Body        []byte
 	Replayed    bool
-	// Conflict marks a key that was used before with another body.
+	// Conflict is set if the key was used before with another request body.
 	Conflict bool
-	// Cause says why there is no answer of the service.
+	// Cause says why there is no response of the service.
 	Cause string
-	// RetryAfter says when the caller should come back, 0 for not at all.
+	// RetryAfter is how long the caller should wait before it retries, or 0 if it should not retry.
 	RetryAfter time.Duration
 }
 
-// Call is one call that may not be repeated.
+// Call is one non-idempotent call.
 type Call struct {
-	Key    string
+	Key string
+	// Digest is the digest of the request body.
 	Digest []byte
-	// Send makes the call once. It must say NotRun only with proof.
-	Send func(ctx context.Context) Answer
+	// Send makes the call once. It returns NotRun only if the call provably did not run.
+	Send func(ctx context.Context) Result
 }
 
-// HolderReply is what a claim's holder says about a key.
+// HolderReply is the reply of a claim's holder about a key.
 type HolderReply struct {
 	Known   bool
 	Running bool
 	Outcome *record.Outcome
 }
 
-// Follower is what the Keeper needs to know about the stream.
-type Follower struct {
-	Ready func() bool
-	Dark  func() bool
+// StreamStatus reports whether the history of the Bookings stream is known and whether the log is unavailable.
+type StreamStatus struct {
+	Ready          func() bool
+	LogUnavailable func() bool
 }
 
-// State is what a Keeper shows in the state dump.
+// State is the part of an Executor in the state dump.
 type State struct {
 	Keys          int
 	KeyBytes      int
@@ -104,155 +108,157 @@
 	Violations    uint64
 }
 
-// Keeper runs calls that may not be repeated on one node.
-type Keeper struct {
+// Executor runs the non-idempotent calls of one node.
+type Executor struct {
 	*lifecycle.Part
 	incarnation uint64
 	table       *Table
-	follower    Follower
+	stream      StreamStatus
 	batcher     *Batcher
 	now         clock.Now
 	askHolder   func(ctx context.Context, incarnation uint64, key string) (HolderReply, bool)
 
 	mu        sync.Mutex
-	running   map[string]*run
-	abandoned map[claimRef]time.Duration
+	running   map[string]*execution
+	abandoned map[claimID]time.Duration
 	tickets   *tickets
 	attempts  atomic.Uint64
 
 	runs, replays, notRun, unknown, violations atomic.Uint64
 }
 
-// run is one request of this node under its key. An answer without an outcome
-// asks whoever waits for it to look again.
-type run struct {
+// execution is the attempt of this node to run the call of a key. All requests of this node with that key share its
+// result. A result without an outcome makes the waiting requests start over.
+type execution struct {
 	done   chan struct{}
 	digest []byte
-	answer Answer
+	result Result
 	sent   bool
 }
 
-// Option changes how a Keeper is built.
-type Option func(*Keeper)
+// Option configures an Executor.
+type Option func(*Executor)
 
 // Clock sets the monotonic clock.
 func Clock(now clock.Now) Option {
-	return func(keeper *Keeper) { keeper.now = now }
+	return func(executor *Executor) { executor.now = now }
 }
 
-// AskHolder sets how the holder of a claim is asked. It reports false when the
-// holder cannot be reached.
+// AskHolder sets the function that asks the holder of a claim about a key. The function returns false if the holder
+// cannot be reached.
 func AskHolder(ask func(ctx context.Context, incarnation uint64, key string) (HolderReply, bool)) Option {
-	return func(keeper *Keeper) { keeper.askHolder = ask }
+	return func(executor *Executor) { executor.askHolder = ask }
 }
 
-// New returns a Keeper for one incarnation of a node.
-func New(incarnation uint64, table *Table, follower Follower, batcher *Batcher, options ...Option) *Keeper {
-	keeper := &Keeper{
-		Part: lifecycle.New("booking"), incarnation: incarnation, table: table, follower: follower, batcher: batcher,
-		now: clock.Boot, running: map[string]*run{}, abandoned: map[claimRef]time.Duration{}, tickets: newTickets(),
+// New returns an Executor for one incarnation of a node.
+func New(incarnation uint64, table *Table, status StreamStatus, batcher *Batcher, options ...Option) *Executor {
+	executor := &Executor{
+		Part: lifecycle.New("booking"), incarnation: incarnation, table: table, stream: status, batcher: batcher,
+		now: clock.Boot, running: map[string]*execution{}, abandoned: map[claimID]time.Duration{}, tickets: newTickets(),
 		askHolder: func(context.Context, uint64, string) (HolderReply, bool) { return HolderReply{}, false },
 	}
 	for _, option := range options {
-		option(keeper)
+		option(executor)
 	}
-	return keeper
+	return executor
 }
 
-// Start begins to release claims that were given up.
-func (keeper *Keeper) Start() {
-	keeper.Every(sweepInterval, keeper.sweep)
+// Start starts the periodic release of abandoned claims.
+func (executor *Executor) Start() {
+	executor.Every(sweepInterval, executor.releaseAbandoned)
 }
 
-// Run runs the call at most once and returns what is known of it. The call
-// goes on when the caller's context ends; its outcome is kept for a retry.
-func (keeper *Keeper) Run(ctx context.Context, call Call) Answer {
-	answer := keeper.decide(ctx, call)
-	switch answer.Outcome {
+// Run runs the call at most once and returns what is known about it. The call continues when the caller's context
+// ends, and its outcome is stored for a retry.
+func (executor *Executor) Run(ctx context.Context, call Call) Result {
+	result := executor.execute(ctx, call)
+	switch result.Outcome {
 	case outcome.NotRun:
-		keeper.notRun.Add(1)
+		executor.notRun.Add(1)
 	case outcome.Unknown:
-		keeper.unknown.Add(1)
+		executor.unknown.Add(1)
 	}
-	return answer
+	return result
 }
 
-func (keeper *Keeper) decide(ctx context.Context, call Call) Answer {
+// execute claims the key of the call, or waits for the execution of this node that does, until there is an outcome.
+func (executor *Executor) execute(ctx context.Context, call Call) Result {
 	for {
-		current, mine := keeper.join(call)
-		var answer Answer
-		if mine {
-			answer = keeper.claim(ctx, call, current)
+		current, started := executor.startOrJoin(call)
+		var result Result
+		if started {
+			result = executor.claimAndSend(ctx, call, current)
 		} else {
-			answer = keeper.await(ctx, call, current)
+			result = executor.awaitExecution(ctx, call, current)
 		}
-		if answer.Outcome != "" {
-			return answer
+		if result.Outcome != "" {
+			return result
 		}
 	}
 }
 
-// join finds the run of this key on this node, or begins one.
-func (keeper *Keeper) join(call Call) (current *run, mine bool) {
-	keeper.mu.Lock()
-	defer keeper.mu.Unlock()
-	if current, ok := keeper.running[call.Key]; ok {
+// startOrJoin returns the execution of the key on this node. It starts one if there is none.
+func (executor *Executor) startOrJoin(call Call) (current *execution, started bool) {
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
+	if current, ok := executor.running[call.Key]; ok {
 		return current, false
 	}
-	current = &run{done: make(chan struct{}), digest: call.Digest}
-	keeper.running[call.Key] = current
+	current = &execution{done: make(chan struct{}), digest: call.Digest}
+	executor.running[call.Key] = current
 	return current, true
 }
 
-func (keeper *Keeper) leave(key string, current *run, answer Answer) {
-	keeper.mu.Lock()
-	defer keeper.mu.Unlock()
-	current.answer = answer
-	delete(keeper.running, key)
+// finish removes an execution and passes its result to the requests that wait for it.
+func (executor *Executor) finish(key string, current *execution, result Result) {
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
+	current.result = result
+	delete(executor.running, key)
 	close(current.done)
 }
 
-// await waits for another request of this node under the same key.
-func (keeper *Keeper) await(ctx context.Context, call Call, current *run) Answer {
+// awaitExecution waits for the result of an execution that another request of this node started.
+func (executor *Executor) awaitExecution(ctx context.Context, call Call, current *execution) Result {
 	if string(current.digest) != string(call.Digest) {
-		return conflict()
+		return refuseConflict()
 	}
 	select {
 	case <-current.done:
-		answer := current.answer
-		answer.Replayed = answer.Outcome == outcome.Run
-		return answer
+		result := current.result
+		result.Replayed = result.Outcome == outcome.Run
+		return result
 	case <-ctx.Done():
-		return Answer{Outcome: outcome.Unknown, Cause: "the call is still running under this key"}
+		return Result{Outcome: outcome.Unknown, Cause: "the call is still running under this key"}
 	}
 }
 
-// follow answers a request whose key is known from the stream.
-func (keeper *Keeper) follow(ctx context.Context, call Call, entry Entry) Answer {
+// resolveClaimed returns the result of a call whose key is already claimed on the stream.
+func (executor *Executor) resolveClaimed(ctx context.Context, call Call, entry Entry) Result {
 	if !sameDigest(entry, call.Digest) {
-		return conflict()
+		return refuseConflict()
 	}
 	released := false
 	if entry.Outcome == nil {
-		entry, released = keeper.awaitOutcome(ctx, call.Key, entry)
+		entry, released = executor.awaitOutcome(ctx, call.Key, entry)
 	}
 	if released {
-		return Answer{}
+		return Result{}
 	}
 	if entry.Outcome != nil {
-		keeper.replays.Add(1)
+		executor.replays.Add(1)
 		return Replay(entry.Outcome)
 	}
-	return keeper.ask(ctx, call.Key, entry.Intent)
+	return executor.queryHolder(ctx, call.Key, entry.Intent)
 }
 
-// awaitOutcome waits a while for the outcome of somebody's claim. Released
-// reports that the claim ended without a run, so the key is free again.
-func (keeper *Keeper) awaitOutcome(ctx context.Context, key string, entry Entry) (latest Entry, released bool) {
-	timer := time.NewTimer(othersPatience)
+// awaitOutcome waits up to outcomeTimeout for the outcome of another request's claim. It returns released as true if
+// the claim ended without running the call, so that the key can be claimed again.
+func (executor *Executor) awaitOutcome(ctx context.Context, key string, entry Entry) (latest Entry, released bool) {
+	timer := time.NewTimer(outcomeTimeout)
 	defer timer.Stop()
 	for {
-		current, known, changed := keeper.table.Watch(key)
+		current, known, changed := executor.table.Watch(key)
 		if !known {
 			return entry, true
 		}
@@ -269,77 +275,78 @@
 	}
 }
 
-// ask asks a claim's holder. Without its word nothing is known.
-func (keeper *Keeper) ask(ctx context.Context, key string, intent *record.Intent) Answer {
-	if intent.Incarnation == keeper.incarnation {
+// queryHolder asks the holder of a claim for the outcome. If the holder cannot be asked, the outcome is Unknown.
+func (executor *Executor) queryHolder(ctx context.Context, key string, intent *record.Intent) Result {
+	if intent.Incarnation == executor.incarnation {
 		return refuse("an earlier claim of this key is being released")
 	}
-	reply, reached := keeper.askHolder(ctx, intent.Incarnation, key)
+	reply, reached := executor.askHolder(ctx, intent.Incarnation, key)
 	switch {
 	case reached && reply.Outcome != nil:
-		keeper.replays.Add(1)
+		executor.replays.Add(1)
 		return Replay(reply.Outcome)
 	case reached && reply.Running:
-		return Answer{Outcome: outcome.Unknown, Cause: "the call is still running under this key", RetryAfter: time.Second}
+		return Result{Outcome: outcome.Unknown, Cause: "the call is still running under this key", RetryAfter: time.Second}
 	case reached && reply.Known:
 		return refuse("an earlier claim of this key is being released")
 	}
-	return Answer{Outcome: outcome.Unknown, Cause: "the node that claimed this key cannot be asked"}
+	return Result{Outcome: outcome.Unknown, Cause: "the node that claimed this key cannot be asked"}
 }
 
-// Replay turns a kept outcome into an answer.
-func Replay(kept *record.Outcome) Answer {
-	if kept.Kind == record.OutcomeKind_OutcomeUnknown {
-		return Answer{Outcome: outcome.Unknown, Cause: "the call was sent and its answer was lost", Replayed: true}
+// Replay converts a stored outcome to a result.
+func Replay(stored *record.Outcome) Result {
+	if stored.Kind == record.OutcomeKind_OutcomeUnknown {
+		return Result{Outcome: outcome.Unknown, Cause: "the call was sent and its answer was lost", Replayed: true}
 	}
-	return Answer{
-		Outcome: outcome.Run, Status: int(kept.Status), ContentType: kept.ContentType,
-		Body: kept.Body, Replayed: true,
+	return Result{
+		Outcome: outcome.Run, Status: int(stored.Status), ContentType: stored.ContentType,
+		Body: stored.Body, Replayed: true,
 	}
 }
 
-// Kept turns an answer into the outcome that is kept for retries.
-func Kept(key string, answer Answer) *record.Outcome {
-	kept := &record.Outcome{Key: key, Status: uint32(answer.Status), ContentType: answer.ContentType, Body: answer.Body}
-	switch answer.Outcome {
+// OutcomeRecord converts a result to the outcome that is stored for retries. It leaves out a body that is larger than
+// MaxStoredBodyBytes.
+func OutcomeRecord(key string, result Result) *record.Outcome {
+	stored := &record.Outcome{Key: key, Status: uint32(result.Status), ContentType: result.ContentType, Body: result.Body}
+	switch result.Outcome {
 	case outcome.NotRun:
-		kept.Kind = record.OutcomeKind_OutcomeReleased
+		stored.Kind = record.OutcomeKind_OutcomeReleased
 	case outcome.Run:
-		kept.Kind = record.OutcomeKind_OutcomeRun
+		stored.Kind = record.OutcomeKind_OutcomeRun
 	default:
-		kept.Kind = record.OutcomeKind_OutcomeUnknown
+		stored.Kind = record.OutcomeKind_OutcomeUnknown
 	}
-	if len(kept.Body) > KeptBodyBytes {
-		kept.Body, kept.ContentType = nil, ""
+	if len(stored.Body) > MaxStoredBodyBytes {
+		stored.Body, stored.ContentType = nil, ""
 	}
-	return kept
+	return stored
 }
 
-// Holding answers another node that asks about a claim of this incarnation.
-func (keeper *Keeper) Holding(key string) HolderReply {
-	keeper.mu.Lock()
-	_, running := keeper.running[key]
-	keeper.mu.Unlock()
-	entry, known := keeper.table.Lookup(key)
+// ClaimStatus returns the reply to a node that asks about a claim of this incarnation.
+func (executor *Executor) ClaimStatus(key string) HolderReply {
+	executor.mu.Lock()
+	_, running := executor.running[key]
+	executor.mu.Unlock()
+	entry, known := executor.table.Lookup(key)
 	reply := HolderReply{Known: true, Running: running}
-	if known && entry.Intent.Incarnation == keeper.incarnation {
+	if known && entry.Intent.Incarnation == executor.incarnation {
 		reply.Outcome = entry.Outcome
 	}
 	return reply
 }
 
-// State returns the keeper's part of the state dump.
-func (keeper *Keeper) State() State {
-	keeper.mu.Lock()
-	state := State{Running: len(keeper.running), Abandoned: len(keeper.abandoned), Tickets: keeper.tickets.count()}
-	keeper.mu.Unlock()
-	keeper.table.mu.Lock()
-	state.Keys, state.KeyBytes, state.ClaimsLost = len(keeper.table.entries), keeper.table.bytes, keeper.table.lost
-	keeper.table.mu.Unlock()
-	keeper.batcher.mu.Lock()
-	state.Appends, state.Entries, state.AppendsFailed = keeper.batcher.appends, keeper.batcher.entries, keeper.batcher.refused
-	keeper.batcher.mu.Unlock()
-	state.Runs, state.Replays = keeper.runs.Load(), keeper.replays.Load()
-	state.NotRun, state.Unknown, state.Violations = keeper.notRun.Load(), keeper.unknown.Load(), keeper.violations.Load()
+// State returns the executor's part of the state dump.
+func (executor *Executor) State() State {
+	executor.mu.Lock()
+	state := State{Running: len(executor.running), Abandoned: len(executor.abandoned), Tickets: executor.tickets.count()}
+	executor.mu.Unlock()
+	executor.table.mu.Lock()
+	state.Keys, state.KeyBytes, state.ClaimsLost = len(executor.table.entries), executor.table.bytes, executor.table.lostClaims
+	executor.table.mu.Unlock()
+	executor.batcher.mu.Lock()
+	state.Appends, state.Entries, state.AppendsFailed = executor.batcher.appends, executor.batcher.entries, executor.batcher.failedAppends
+	executor.batcher.mu.Unlock()
+	state.Runs, state.Replays = executor.runs.Load(), executor.replays.Load()
+	state.NotRun, state.Unknown, state.Violations = executor.notRun.Load(), executor.unknown.Load(), executor.violations.Load()
 	return state
 }
--- a/internal/state/booking/booking_test.go
+++ b/internal/state/booking/booking_test.go
@@ -28,43 +28,43 @@
 
 const streamName = "Bookings.test"
 
-// node is one node's share in the running of calls.
+// node is the booking part of one node.
 type node struct {
-	*booking.Keeper
+	*booking.Executor
 	table    *booking.Table
 	follower *stream.Follower
 	batcher  *booking.Batcher
 }
 
-// ledger is a log, a service and the nodes before them.
-type ledger struct {
+// cluster holds a log, a service and the nodes that call the service.
+type cluster struct {
 	log   *platform.Log
 	book  *standin.Book
 	nodes []*node
 
-	mu        sync.Mutex
-	byNumber  map[uint64]*node
-	lastGiven uint64
+	mu              sync.Mutex
+	byIncarnation   map[uint64]*node
+	lastIncarnation uint64
 }
 
-func newLedger(nodes int) *ledger {
-	ledger := &ledger{log: platform.NewLog(), book: standin.NewBook(), byNumber: map[uint64]*node{}}
+func newCluster(nodes int) *cluster {
+	cluster := &cluster{log: platform.NewLog(), book: standin.NewBook(), byIncarnation: map[uint64]*node{}}
 	for range nodes {
-		ledger.nodes = append(ledger.nodes, ledger.start())
+		cluster.nodes = append(cluster.nodes, cluster.start())
 	}
-	return ledger
+	return cluster
 }
 
 // start starts a node as a new incarnation.
-func (ledger *ledger) start() *node {
-	ledger.mu.Lock()
-	ledger.lastGiven++
-	incarnation := ledger.lastGiven
-	ledger.mu.Unlock()
-	client := logservice.New("http://log", inprocess.Transport{Handler: ledger.log.Handler()})
+func (cluster *cluster) start() *node {
+	cluster.mu.Lock()
+	cluster.lastIncarnation++
+	incarnation := cluster.lastIncarnation
+	cluster.mu.Unlock()
+	client := logservice.New("http://log", inprocess.Transport{Handler: cluster.log.Handler()})
 	created := &node{table: booking.NewTable(time.Hour)}
 	created.follower = stream.New(
-		streamName, created.table.Fold(), stream.Read(client.Read), stream.Append(client.Append),
+		streamName, created.table.StateMachine(), stream.Read(client.Read), stream.Append(client.Append),
 		stream.Clock(clock.Virtual()), stream.Logger(slog.New(slog.NewTextHandler(io.Discard, nil))),
 	)
 	created.batcher = booking.NewBatcher(func(ctx context.Context, batch *record.BookingBatch) error {
@@ -75,36 +75,36 @@
 		_, err = created.follower.Append(ctx, body)
 		return err
 	})
-	created.Keeper = booking.New(
-		incarnation, created.table, booking.Follower{Ready: created.follower.Ready, Dark: created.follower.Dark},
-		created.batcher, booking.Clock(clock.Virtual()), booking.AskHolder(ledger.askHolder),
+	created.Executor = booking.New(
+		incarnation, created.table, booking.StreamStatus{Ready: created.follower.Ready, LogUnavailable: created.follower.LogUnavailable},
+		created.batcher, booking.Clock(clock.Virtual()), booking.AskHolder(cluster.askHolder),
 	)
 	created.follower.Start()
 	created.batcher.Start()
 	created.Start()
-	ledger.mu.Lock()
-	ledger.byNumber[incarnation] = created
-	ledger.mu.Unlock()
+	cluster.mu.Lock()
+	cluster.byIncarnation[incarnation] = created
+	cluster.mu.Unlock()
 	return created
 }
 
-func (ledger *ledger) askHolder(_ context.Context, incarnation uint64, key string) (booking.HolderReply, bool) {
-	ledger.mu.Lock()
-	defer ledger.mu.Unlock()
-	holder, ok := ledger.byNumber[incarnation]
+func (cluster *cluster) askHolder(_ context.Context, incarnation uint64, key string) (booking.HolderReply, bool) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	holder, ok := cluster.byIncarnation[incarnation]
 	if !ok {
 		return booking.HolderReply{}, false
 	}
-	return holder.Holding(key), true
+	return holder.ClaimStatus(key), true
 }
 
-// forget makes an incarnation one that nobody can ask any more.
-func (ledger *ledger) forget(lost *node) {
-	ledger.mu.Lock()
-	defer ledger.mu.Unlock()
-	for incarnation, running := range ledger.byNumber {
+// makeUnreachable makes askHolder fail for the incarnation of a node.
+func (cluster *cluster) makeUnreachable(lost *node) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	for incarnation, running := range cluster.byIncarnation {
 		if running == lost {
-			delete(ledger.byNumber, incarnation)
+			delete(cluster.byIncarnation, incarnation)
 		}
 	}
 }
@@ -115,128 +115,125 @@
 	node.follower.Stop()
 }
 
-func (ledger *ledger) stop() {
-	for _, running := range ledger.nodes {
+func (cluster *cluster) stop() {
+	for _, running := range cluster.nodes {
 		running.stop()
 	}
 }
 
-// call is a call to the service. It notes whether its own send reached it.
-func (ledger *ledger) call(key string, reached *bool) booking.Call {
-	return booking.Call{Key: key, Digest: []byte(key), Send: func(context.Context) booking.Answer {
+// call returns a call to the service. The call sets reached when its Send runs.
+func (cluster *cluster) call(key string, reached *bool) booking.Call {
+	return booking.Call{Key: key, Digest: []byte(key), Send: func(context.Context) booking.Result {
 		*reached = true
-		serial := ledger.execute(key)
-		return booking.Answer{Outcome: outcome.Run, Status: 200, Body: []byte(fmt.Sprint(serial))}
+		serial := cluster.execute(key)
+		return booking.Result{Outcome: outcome.Run, Status: 200, Body: []byte(fmt.Sprint(serial))}
 	}}
 }
 
-func (ledger *ledger) execute(key string) int {
+func (cluster *cluster) execute(key string) int {
 	time.Sleep(10 * time.Millisecond)
-	return ledger.book.Run(key)
+	return cluster.book.Run(key)
 }
 
-// withLedger runs a test on nodes that have read the log, in virtual time.
-func withLedger(t *testing.T, nodes int, test func(t *testing.T, g *gomega.WithT, ledger *ledger)) {
+// withCluster runs a test in virtual time, on nodes that have read the log.
+func withCluster(t *testing.T, nodes int, test func(t *testing.T, g *gomega.WithT, cluster *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ledger := newLedger(nodes)
-		defer ledger.stop()
+		cluster := newCluster(nodes)
+		defer cluster.stop()
 		time.Sleep(time.Second)
-		test(t, gomega.NewWithT(t), ledger)
+		test(t, gomega.NewWithT(t), cluster)
 	})
 }
 
-// The caller's retry reaches another node while the first call is still
-// running, as from a tablet on a bad line. The call must run once and both
-// must get its answer.
+// A retry reaches another node while the first call is still running, as after a broken connection. The call must run
+// once, and all requests must get its result.
 func TestRetryAtAnotherNodeRunsNothingTwice(t *testing.T) {
-	withLedger(t, 3, func(_ *testing.T, g *gomega.WithT, ledger *ledger) {
-		answers := make([]booking.Answer, 6)
-		callers := conc.NewWaitGroup()
-		for index := range answers {
-			callers.Go(func() {
+	withCluster(t, 3, func(_ *testing.T, g *gomega.WithT, cluster *cluster) {
+		results := make([]booking.Result, 6)
+		requests := conc.NewWaitGroup()
+		for index := range results {
+			requests.Go(func() {
 				var reached bool
-				answers[index] = ledger.nodes[index%3].Run(context.Background(), ledger.call("visit", &reached))
+				results[index] = cluster.nodes[index%3].Run(context.Background(), cluster.call("visit", &reached))
 			})
 		}
-		callers.Wait()
-		for _, answer := range answers {
-			g.Expect(answer.Outcome).To(gomega.Equal(outcome.Run), answer.Cause)
-			g.Expect(string(answer.Body)).To(gomega.Equal("1"))
+		requests.Wait()
+		for _, result := range results {
+			g.Expect(result.Outcome).To(gomega.Equal(outcome.Run), result.Cause)
+			g.Expect(string(result.Body)).To(gomega.Equal("1"))
 		}
-		g.Expect(ledger.book.Executions("visit")).To(gomega.Equal(1))
+		g.Expect(cluster.book.Executions("visit")).To(gomega.Equal(1))
 	})
 }
 
-// The log goes dark. A call under a key is refused and truly was not run; a
-// call under a ticket runs all the same, once.
+// While the log is unavailable, a call with a key must be refused without being run. A call with a ticket must still
+// run, and only once.
 func TestLogOutageRefusesKeysAndRunsTickets(t *testing.T) {
-	withLedger(t, 1, func(_ *testing.T, g *gomega.WithT, ledger *ledger) {
-		ledger.log.SetFaults(platform.LogFaults{Dark: true})
+	withCluster(t, 1, func(_ *testing.T, g *gomega.WithT, cluster *cluster) {
+		cluster.log.SetFaults(platform.LogFaults{Dark: true})
 		time.Sleep(5 * time.Second)
 		var reached bool
-		refused := ledger.nodes[0].Run(context.Background(), ledger.call("visit", &reached))
+		refused := cluster.nodes[0].Run(context.Background(), cluster.call("visit", &reached))
 		g.Expect(refused.Outcome).To(gomega.Equal(outcome.NotRun))
 		g.Expect(refused.RetryAfter).To(gomega.BeNumerically(">", 0))
-		g.Expect(ledger.book.Executions("visit")).To(gomega.BeZero())
+		g.Expect(cluster.book.Executions("visit")).To(gomega.BeZero())
 
-		ticket, err := ledger.nodes[0].Issue()
+		ticket, err := cluster.nodes[0].IssueTicket()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		for range 2 {
-			answer := ledger.nodes[0].RunTicket(context.Background(), ledger.call(ticket, &reached))
-			g.Expect(answer.Outcome).To(gomega.Equal(outcome.Run))
+			result := cluster.nodes[0].RunTicket(context.Background(), cluster.call(ticket, &reached))
+			g.Expect(result.Outcome).To(gomega.Equal(outcome.Run))
 		}
-		g.Expect(ledger.book.Executions(ticket)).To(gomega.Equal(1))
+		g.Expect(cluster.book.Executions(ticket)).To(gomega.Equal(1))
 	})
 }
 
-// A node claims a key, gives the claim up because the log is too slow to show
-// it, and claims the key again; the second claim runs. When the sweep then
-// finds the first claim it must not release the second one: the key would be
-// free and the call would run twice.
-func TestSweepReleasesOnlyWhatWasGivenUp(t *testing.T) {
-	withLedger(t, 2, func(_ *testing.T, g *gomega.WithT, ledger *ledger) {
+// A node claims a key, abandons the claim because the log is too slow to return the intent, and claims the key again.
+// The second claim runs its call. When the sweep finds the first claim, it must not release the second one. Otherwise
+// the key would be free and the call would run twice.
+func TestSweepReleasesOnlyAbandonedClaims(t *testing.T) {
+	withCluster(t, 2, func(_ *testing.T, g *gomega.WithT, cluster *cluster) {
 		var reached bool
-		ledger.log.SetFaults(platform.LogFaults{LatencyMs: 6000})
-		refused := ledger.nodes[0].Run(context.Background(), ledger.call("visit", &reached))
+		cluster.log.SetFaults(platform.LogFaults{LatencyMs: 6000})
+		refused := cluster.nodes[0].Run(context.Background(), cluster.call("visit", &reached))
 		g.Expect(refused.Outcome).To(gomega.Equal(outcome.NotRun))
 		g.Expect(reached).To(gomega.BeFalse())
-		ledger.log.SetFaults(platform.LogFaults{})
+		cluster.log.SetFaults(platform.LogFaults{})
 		time.Sleep(30 * time.Second)
-		answer := ledger.nodes[0].Run(context.Background(), ledger.call("visit", &reached))
-		g.Expect(answer.Outcome).To(gomega.Equal(outcome.Run), answer.Cause)
+		result := cluster.nodes[0].Run(context.Background(), cluster.call("visit", &reached))
+		g.Expect(result.Outcome).To(gomega.Equal(outcome.Run), result.Cause)
 		time.Sleep(30 * time.Second)
-		again := ledger.nodes[1].Run(context.Background(), ledger.call("visit", &reached))
+		again := cluster.nodes[1].Run(context.Background(), cluster.call("visit", &reached))
 		g.Expect(again.Outcome).To(gomega.Equal(outcome.Run), again.Cause)
 		g.Expect(again.Replayed).To(gomega.BeTrue())
-		g.Expect(ledger.book.Executions("visit")).To(gomega.Equal(1))
+		g.Expect(cluster.book.Executions("visit")).To(gomega.Equal(1))
 	})
 }
 
-// A node stops gracefully with tickets issued. The peer that takes its table
-// must replay the calls that ran, and say NotRun of the others; the node itself
-// must run nothing more.
+// A node with issued tickets stops gracefully. The peer that adopts its tickets must replay the calls that ran and
+// return NotRun for the others. The stopped node must not run any more calls.
 func TestTicketsAreHandedOver(t *testing.T) {
-	withLedger(t, 2, func(_ *testing.T, g *gomega.WithT, ledger *ledger) {
-		used, err := ledger.nodes[0].Issue()
+	withCluster(t, 2, func(_ *testing.T, g *gomega.WithT, cluster *cluster) {
+		used, err := cluster.nodes[0].IssueTicket()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		unused, err := ledger.nodes[0].Issue()
+		unused, err := cluster.nodes[0].IssueTicket()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		var reached bool
-		ran := ledger.nodes[0].RunTicket(context.Background(), ledger.call(used, &reached))
-		before := ledger.nodes[1].RunTicket(context.Background(), ledger.call(used, &reached))
+		ran := cluster.nodes[0].RunTicket(context.Background(), cluster.call(used, &reached))
+		before := cluster.nodes[1].RunTicket(context.Background(), cluster.call(used, &reached))
 		g.Expect(before.Outcome).To(gomega.Equal(outcome.Unknown))
-		ledger.nodes[1].Adopt(1, ledger.nodes[0].HandOver())
-		replayed := ledger.nodes[1].RunTicket(context.Background(), ledger.call(used, &reached))
+		cluster.nodes[1].Adopt(1, cluster.nodes[0].HandOver())
+		replayed := cluster.nodes[1].RunTicket(context.Background(), cluster.call(used, &reached))
 		g.Expect(replayed.Body).To(gomega.Equal(ran.Body))
-		g.Expect(ledger.nodes[1].RunTicket(context.Background(), ledger.call(unused, &reached)).Outcome).To(gomega.Equal(outcome.NotRun))
-		g.Expect(ledger.nodes[0].RunTicket(context.Background(), ledger.call(unused, &reached)).Outcome).To(gomega.Equal(outcome.Unknown))
-		g.Expect(ledger.book.Executions(used)).To(gomega.Equal(1))
-		g.Expect(ledger.book.Executions(unused)).To(gomega.BeZero())
+		g.Expect(cluster.nodes[1].RunTicket(context.Background(), cluster.call(unused, &reached)).Outcome).To(gomega.Equal(outcome.NotRun))
+		g.Expect(cluster.nodes[0].RunTicket(context.Background(), cluster.call(unused, &reached)).Outcome).To(gomega.Equal(outcome.Unknown))
+		g.Expect(cluster.book.Executions(used)).To(gomega.Equal(1))
+		g.Expect(cluster.book.Executions(unused)).To(gomega.BeZero())
 	})
 }
 
-// randomFaults are the faults that a random run draws from.
+// randomFaults draws the log faults of one step of a random run.
 func randomFaults(random *rand.Rand) platform.LogFaults {
 	faults := []platform.LogFaults{
 		{}, {}, {Dark: true}, {LoseReplies: true}, {LatencyMs: 300}, {LatencyMs: 5000}, {StaleBy: 3},
@@ -244,51 +241,49 @@
 	return faults[random.IntN(len(faults))]
 }
 
-// A node claims a key and dies before its outcome is on the log. Whether the
-// call ran is not known, and a retry must be told so: NotRun could make the
-// caller book again under another key.
+// A node claims a key and dies before the outcome is on the log, so it is unknown whether the call ran. A retry must
+// return Unknown. NotRun could make the caller book again under another key.
 func TestClaimOfALostNodeIsUnknown(t *testing.T) {
-	withLedger(t, 2, func(_ *testing.T, g *gomega.WithT, ledger *ledger) {
-		lost := ledger.nodes[0]
+	withCluster(t, 2, func(_ *testing.T, g *gomega.WithT, cluster *cluster) {
+		lost := cluster.nodes[0]
 		var reached bool
-		call := ledger.call("visit", &reached)
-		call.Send = func(context.Context) booking.Answer {
-			ledger.execute("visit")
-			ledger.log.SetFaults(platform.LogFaults{Dark: true})
-			return booking.Answer{Outcome: outcome.Run, Status: 200}
+		call := cluster.call("visit", &reached)
+		call.Send = func(context.Context) booking.Result {
+			cluster.execute("visit")
+			cluster.log.SetFaults(platform.LogFaults{Dark: true})
+			return booking.Result{Outcome: outcome.Run, Status: 200}
 		}
 		lost.Run(context.Background(), call)
-		ledger.nodes[0] = ledger.start()
-		ledger.forget(lost)
+		cluster.nodes[0] = cluster.start()
+		cluster.makeUnreachable(lost)
 		lost.stop()
-		ledger.log.SetFaults(platform.LogFaults{})
+		cluster.log.SetFaults(platform.LogFaults{})
 		time.Sleep(5 * time.Second)
-		for _, running := range ledger.nodes {
-			answer := running.Run(context.Background(), ledger.call("visit", &reached))
-			g.Expect(answer.Outcome).To(gomega.Equal(outcome.Unknown), answer.Cause)
+		for _, running := range cluster.nodes {
+			result := running.Run(context.Background(), cluster.call("visit", &reached))
+			g.Expect(result.Outcome).To(gomega.Equal(outcome.Unknown), result.Cause)
 		}
-		g.Expect(ledger.book.Executions("visit")).To(gomega.Equal(1))
+		g.Expect(cluster.book.Executions("visit")).To(gomega.Equal(1))
 	})
 }
 
-// A claim is released between the state of a checkpoint and the checkpoint's
-// record. Nodes that had folded the release took the claim back from the
-// checkpoint, nodes that started from it did not: the first said Unknown of
-// the key for hours while the others could run it.
-func TestCheckpointBringsNoReleasedClaimBack(t *testing.T) {
-	withLedger(t, 1, func(t *testing.T, g *gomega.WithT, ledger *ledger) {
-		appendBatch(t, ledger, &record.BookingBatch{Intents: []*record.Intent{{Key: "visit", Incarnation: 99, Attempt: 1, UnixMs: 1}}})
+// A claim is released after the state of a checkpoint was taken and before the checkpoint record is on the log. Nodes
+// that had applied the release restored the claim from the checkpoint, and nodes that started from the checkpoint did
+// not. The former returned Unknown for the key for hours while the others could run its call.
+func TestCheckpointDoesNotRestoreReleasedClaim(t *testing.T) {
+	withCluster(t, 1, func(t *testing.T, g *gomega.WithT, cluster *cluster) {
+		appendBatch(t, cluster, &record.BookingBatch{Intents: []*record.Intent{{Key: "visit", Incarnation: 99, Attempt: 1, UnixMs: 1}}})
 		time.Sleep(time.Second)
-		checkpoint, err := ledger.nodes[0].table.Fold().Snapshot(ledger.nodes[0].follower.Next())
+		checkpoint, err := cluster.nodes[0].table.StateMachine().Snapshot(cluster.nodes[0].follower.Next())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		appendBatch(t, ledger, &record.BookingBatch{Outcomes: []*record.Outcome{{
+		appendBatch(t, cluster, &record.BookingBatch{Outcomes: []*record.Outcome{{
 			Key: "visit", Incarnation: 99, Attempt: 1, Kind: record.OutcomeKind_OutcomeReleased,
 		}}})
-		ledger.log.Append(streamName, checkpoint)
-		ledger.log.DropBefore(streamName, 1)
-		ledger.nodes = append(ledger.nodes, ledger.start())
+		cluster.log.Append(streamName, checkpoint)
+		cluster.log.DropBefore(streamName, 1)
+		cluster.nodes = append(cluster.nodes, cluster.start())
 		time.Sleep(time.Second)
-		for _, running := range ledger.nodes {
+		for _, running := range cluster.nodes {
 			g.Expect(running.follower.Ready()).To(gomega.BeTrue())
 			_, known := running.table.Lookup("visit")
 			g.Expect(known).To(gomega.BeFalse())
@@ -296,20 +291,20 @@
 	})
 }
 
-func appendBatch(t *testing.T, ledger *ledger, batch *record.BookingBatch) {
+func appendBatch(t *testing.T, cluster *cluster, batch *record.BookingBatch) {
 	t.Helper()
 	body, err := proto.Marshal(&record.BookingRecord{Kind: &record.BookingRecord_Batch{Batch: batch}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ledger.log.Append(streamName, body)
+	cluster.log.Append(streamName, body)
 }
 
-// With some 16,000 keys a checkpoint outgrew what the log takes in one record.
-// It could never be written, and once older records expired a node that started
-// had no history. It goes onto the log in parts, with other records between.
-func TestLargeCheckpointGoesInParts(t *testing.T) {
-	withLedger(t, 1, func(t *testing.T, g *gomega.WithT, ledger *ledger) {
+// With about 16,000 keys a checkpoint exceeded the size limit of a log record. It could never be written, and once older
+// records had expired, a starting node had no history. A large checkpoint must be written in parts, with other records
+// in between.
+func TestLargeCheckpointIsSplit(t *testing.T) {
+	withCluster(t, 1, func(t *testing.T, g *gomega.WithT, cluster *cluster) {
 		const keys, batchKeys = 30_000, 1000
 		for first := 0; first < keys; first += batchKeys {
 			batch := &record.BookingBatch{}
@@ -318,15 +313,15 @@
 					Key: fmt.Sprintf("visit-%d", first+index), Digest: make([]byte, 150), Incarnation: 99, UnixMs: 1,
 				})
 			}
-			appendBatch(t, ledger, batch)
+			appendBatch(t, cluster, batch)
 		}
 		time.Sleep(2 * time.Hour)
-		g.Expect(ledger.nodes[0].follower.MaybeCheckpoint()).To(gomega.Succeed())
-		ledger.log.DropBefore(streamName, keys/batchKeys)
-		ledger.nodes = append(ledger.nodes, ledger.start())
+		g.Expect(cluster.nodes[0].follower.MaybeCheckpoint()).To(gomega.Succeed())
+		cluster.log.DropBefore(streamName, keys/batchKeys)
+		cluster.nodes = append(cluster.nodes, cluster.start())
 		time.Sleep(10 * time.Second)
-		g.Expect(ledger.nodes[1].follower.Ready()).To(gomega.BeTrue())
-		_, known := ledger.nodes[1].table.Lookup("visit-29999")
+		g.Expect(cluster.nodes[1].follower.Ready()).To(gomega.BeTrue())
+		_, known := cluster.nodes[1].table.Lookup("visit-29999")
 		g.Expect(known).To(gomega.BeTrue())
 	})
 }
--- a/internal/state/booking/claim.go
+++ b/internal/state/booking/claim.go
@@ -11,68 +11,68 @@
 	"hazelslip/internal/wire/record"
 )
 
-// claimRef names one claim of this incarnation.
-type claimRef struct {
+// claimID identifies one claim of this incarnation.
+type claimID struct {
 	key     string
 	attempt uint64
 }
 
-// claim decides what this request may do under its key. It returns no outcome
-// when another claim ended without a run and the key deserves another look.
-func (keeper *Keeper) claim(ctx context.Context, call Call, current *run) (answer Answer) {
-	defer func() { keeper.leave(call.Key, current, answer) }()
-	if !keeper.follower.Ready() {
+// claimAndSend claims the key and sends the call, unless the key is already claimed. It returns a result without an
+// outcome if another claim of the key was released, so that the key can be claimed again.
+func (executor *Executor) claimAndSend(ctx context.Context, call Call, current *execution) (result Result) {
+	defer func() { executor.finish(call.Key, current, result) }()
+	if !executor.stream.Ready() {
 		return refuse("the history of booking keys is not known yet on this node")
 	}
-	if entry, known := keeper.table.Lookup(call.Key); known {
-		return keeper.follow(ctx, call, entry)
+	if entry, known := executor.table.Lookup(call.Key); known {
+		return executor.resolveClaimed(ctx, call, entry)
 	}
-	if keeper.follower.Dark() {
+	if executor.stream.LogUnavailable() {
 		return refuse("the log does not answer, so the key cannot be claimed; a ticket can be used instead")
 	}
-	if keeper.table.full() {
+	if executor.table.full() {
 		return refuse("this region keeps as many keys as it can hold")
 	}
-	attempt := keeper.attempts.Add(1)
-	began := keeper.now()
-	won, answer := keeper.win(ctx, call, attempt)
-	if !won {
-		return answer
+	attempt := executor.attempts.Add(1)
+	startedAt := executor.now()
+	claimed, result := executor.acquireClaim(ctx, call, attempt)
+	if !claimed {
+		return result
 	}
-	if keeper.now()-began > claimAge {
-		keeper.end(call.Key, attempt, Answer{Outcome: outcome.NotRun})
+	if executor.now()-startedAt > maxClaimAge {
+		executor.writeOutcome(call.Key, attempt, Result{Outcome: outcome.NotRun})
 		return refuse("the claim was too old when it could be used")
 	}
-	return keeper.send(call, attempt)
+	return executor.send(call, attempt)
 }
 
-func refuse(cause string) Answer {
-	return Answer{Outcome: outcome.NotRun, Cause: cause, RetryAfter: retryAfterDark}
+func refuse(cause string) Result {
+	return Result{Outcome: outcome.NotRun, Cause: cause, RetryAfter: refusalRetryAfter}
 }
 
-func conflict() Answer {
-	return Answer{Outcome: outcome.NotRun, Conflict: true, Cause: "the key was used before with another request"}
+func refuseConflict() Result {
+	return Result{Outcome: outcome.NotRun, Conflict: true, Cause: "the key was used before with another request"}
 }
 
-// win writes the intent and waits to read it back as the first one.
-func (keeper *Keeper) win(ctx context.Context, call Call, attempt uint64) (bool, Answer) {
+// acquireClaim appends an intent and waits until it reads the intent back as the first one for the key.
+func (executor *Executor) acquireClaim(ctx context.Context, call Call, attempt uint64) (bool, Result) {
 	intent := &record.Intent{
-		Key: call.Key, Digest: call.Digest, Incarnation: keeper.incarnation,
+		Key: call.Key, Digest: call.Digest, Incarnation: executor.incarnation,
 		Attempt: attempt, UnixMs: time.Now().UnixMilli(),
 	}
-	written := keeper.batcher.Add(&record.BookingBatch{Intents: []*record.Intent{intent}})
-	timer := time.NewTimer(claimPatience)
+	written := executor.batcher.Add(&record.BookingBatch{Intents: []*record.Intent{intent}})
+	timer := time.NewTimer(claimTimeout)
 	defer timer.Stop()
 	for {
-		entry, known, changed := keeper.table.Watch(call.Key)
-		if known && holds(entry.Intent, keeper.incarnation, attempt) {
-			return true, Answer{}
+		entry, known, changed := executor.table.Watch(call.Key)
+		if known && isClaim(entry.Intent, executor.incarnation, attempt) {
+			return true, Result{}
 		}
 		if known {
-			// Another node's intent is the first. This request sends nothing;
-			// its caller's retry finds the other's outcome.
-			keeper.abandon(call.Key, attempt)
-			return false, keeper.follow(ctx, call, entry)
+			// Another intent is the first for the key, so this request does not send the call. A retry of its caller
+			// finds the outcome of the other claim.
+			executor.abandon(call.Key, attempt)
+			return false, executor.resolveClaimed(ctx, call, entry)
 		}
 		select {
 		case <-changed:
@@ -82,87 +82,88 @@
 				return false, refuse("the log refused the claim of the key")
 			}
 		case <-timer.C:
-			keeper.abandon(call.Key, attempt)
-			keeper.table.Unwatch(call.Key)
+			executor.abandon(call.Key, attempt)
+			executor.table.Unwatch(call.Key)
 			return false, refuse("the claim of the key was not read back in time")
 		}
 	}
 }
 
-// abandon remembers a claim that this node gave up before it sent anything.
-// Its intent may still come to stand on the log and must then be released, or
-// the key would stay claimed for the whole window with nobody to run it.
-func (keeper *Keeper) abandon(key string, attempt uint64) {
-	keeper.mu.Lock()
-	defer keeper.mu.Unlock()
-	if len(keeper.abandoned) < abandonedMost {
-		keeper.abandoned[claimRef{key: key, attempt: attempt}] = keeper.now()
+// abandon records a claim that this node gave up before it sent the call. The intent may still reach the log. The claim
+// must then be released, or the key would stay claimed for the whole window although no node runs its call.
+func (executor *Executor) abandon(key string, attempt uint64) {
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
+	if len(executor.abandoned) < maxAbandonedClaims {
+		executor.abandoned[claimID{key: key, attempt: attempt}] = executor.now()
 	}
 }
 
-// sweep releases abandoned claims that came to stand on the log. A claim is
-// named by its attempt: a later claim of the same key by this incarnation may
-// have run, and releasing that one would let the call run twice.
-func (keeper *Keeper) sweep() {
-	for _, ref := range keeper.releasable() {
-		keeper.end(ref.key, ref.attempt, Answer{Outcome: outcome.NotRun})
+// releaseAbandoned releases abandoned claims whose intents have reached the log. The attempt number identifies the claim
+// to release: a later claim of the same key by this incarnation may have run its call, and releasing that claim would
+// let the call run twice.
+func (executor *Executor) releaseAbandoned() {
+	for _, id := range executor.takeReleasable() {
+		executor.writeOutcome(id.key, id.attempt, Result{Outcome: outcome.NotRun})
 	}
-	keeper.tickets.expire(keeper.now())
+	executor.tickets.expire(executor.now())
 }
 
-func (keeper *Keeper) releasable() []claimRef {
-	keeper.mu.Lock()
-	defer keeper.mu.Unlock()
-	due := []claimRef{}
-	for ref, since := range keeper.abandoned {
-		entry, known := keeper.table.Lookup(ref.key)
-		stands := known && entry.Outcome == nil && holds(entry.Intent, keeper.incarnation, ref.attempt)
-		if stands {
-			due = append(due, ref)
+// takeReleasable removes and returns the abandoned claims that have to be released. It also removes claims that were
+// abandoned longer ago than abandonedClaimTTL.
+func (executor *Executor) takeReleasable() []claimID {
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
+	due := []claimID{}
+	for id, abandonedAt := range executor.abandoned {
+		entry, known := executor.table.Lookup(id.key)
+		onLog := known && entry.Outcome == nil && isClaim(entry.Intent, executor.incarnation, id.attempt)
+		if onLog {
+			due = append(due, id)
 		}
-		if stands || keeper.now()-since > abandonedFor {
-			delete(keeper.abandoned, ref)
+		if onLog || executor.now()-abandonedAt > abandonedClaimTTL {
+			delete(executor.abandoned, id)
 		}
 	}
 	return due
 }
 
-// send makes the call, once, and writes its outcome.
-func (keeper *Keeper) send(call Call, attempt uint64) Answer {
-	keeper.markSent(call.Key)
-	keeper.runs.Add(1)
+// send makes the call once and writes its outcome to the stream.
+func (executor *Executor) send(call Call, attempt uint64) Result {
+	executor.markSent(call.Key)
+	executor.runs.Add(1)
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	answer := call.Send(ctx)
-	keeper.end(call.Key, attempt, answer)
-	return answer
+	result := call.Send(ctx)
+	executor.writeOutcome(call.Key, attempt, result)
+	return result
 }
 
-// markSent asserts that one run sends at most once.
-func (keeper *Keeper) markSent(key string) {
-	keeper.mu.Lock()
-	defer keeper.mu.Unlock()
-	current := keeper.running[key]
+// markSent marks the execution of a key as sent. It counts a violation if the execution is missing or was sent before.
+func (executor *Executor) markSent(key string) {
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
+	current := executor.running[key]
 	if current == nil || current.sent {
-		keeper.violations.Add(1)
+		executor.violations.Add(1)
 		return
 	}
 	current.sent = true
 }
 
-// end writes the outcome of a claim and tries again until the log has it.
-func (keeper *Keeper) end(key string, attempt uint64, answer Answer) {
-	ended := Kept(key, answer)
-	ended.Incarnation, ended.Attempt = keeper.incarnation, attempt
-	batch := &record.BookingBatch{Outcomes: []*record.Outcome{ended}}
-	keeper.Go(func() {
+// writeOutcome appends the outcome of a claim in the background and retries until the log has taken it.
+func (executor *Executor) writeOutcome(key string, attempt uint64, result Result) {
+	stored := OutcomeRecord(key, result)
+	stored.Incarnation, stored.Attempt = executor.incarnation, attempt
+	batch := &record.BookingBatch{Outcomes: []*record.Outcome{stored}}
+	executor.Go(func() {
 		for {
 			select {
-			case err := <-keeper.batcher.Add(batch):
-				if err == nil || !keeper.Sleep(sweepInterval) {
+			case err := <-executor.batcher.Add(batch):
+				if err == nil || !executor.Sleep(sweepInterval) {
 					return
 				}
-			case <-keeper.Stopping:
+			case <-executor.Stopping:
 				return
 			}
 		}
--- a/internal/state/booking/random_test.go
+++ b/internal/state/booking/random_test.go
@@ -18,88 +18,87 @@
 	"hazelslip/internal/testlib/suite"
 )
 
-// request is one caller's request and what became of it.
+// request is one request of a caller and its result.
 type request struct {
 	key        string
-	answer     booking.Answer
+	result     booking.Result
 	reached    bool
-	began, end time.Duration
+	start, end time.Duration
 	caller     int
 }
 
-// Callers send the same keys everywhere at once and retry, while nodes are
-// killed and replaced, and the log is dark, slow, stale or loses its replies.
-// No call may run twice; who was told NotRun must not have run; who was told
-// Run must get the answer of the one run; and the whole history must be that
-// of one register a key (checked by porcupine).
+// Callers send requests with the same keys to all nodes concurrently and retry, while nodes are killed and replaced and
+// the log is unavailable, slow, stale or loses its replies. No call may run twice. The call of a request that got NotRun
+// must not have run, and a request that got Run must get the result of the only run. Porcupine checks that the history
+// is linearizable with one register per key.
 func TestRandomRunsBookOnce(t *testing.T) {
 	totals := map[outcome.Outcome]int{}
 	for round := range suite.Rounds(20) {
 		seed := suite.Seed()*1_000_000 + uint64(round)
 		synctest.Test(t, func(t *testing.T) {
 			for _, request := range randomRun(t, seed) {
-				totals[request.answer.Outcome]++
+				totals[request.result.Outcome]++
 			}
 		})
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
-	t.Logf("answers: %v", totals)
+	t.Logf("outcomes: %v", totals)
 	if totals[outcome.Run] == 0 || totals[outcome.NotRun] == 0 || totals[outcome.Unknown] == 0 {
-		t.Fatalf("the runs did not reach every outcome: %v", totals)
+		t.Fatalf("not every outcome occurred in the random runs: %v", totals)
 	}
 }
 
 const (
-	randomNodes   = 3
-	randomCallers = 12
-	randomKeys    = 20
-	randomTries   = 6
-	faultChanges  = 25
+	randomNodes       = 3
+	randomCallers     = 12
+	randomKeys        = 20
+	requestsPerCaller = 6
+	faultChanges      = 25
 )
 
 func randomRun(t *testing.T, seed uint64) []request {
 	random := rand.New(rand.NewPCG(seed, 1))
-	ledger := newLedger(randomNodes)
+	cluster := newCluster(randomNodes)
 	time.Sleep(time.Second)
-	began := time.Now()
+	epoch := time.Now()
 	history := &history{}
 	work := conc.NewWaitGroup()
 	for caller := range randomCallers {
-		own := rand.New(rand.NewPCG(seed, uint64(caller)+2))
-		work.Go(func() { ledger.callRandomly(caller, own, began, history) })
+		callerRandom := rand.New(rand.NewPCG(seed, uint64(caller)+2))
+		work.Go(func() { cluster.callRandomly(caller, callerRandom, epoch, history) })
 	}
 	for range faultChanges {
 		time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
-		ledger.log.SetFaults(randomFaults(random))
+		cluster.log.SetFaults(randomFaults(random))
 		if random.IntN(4) == 0 {
-			ledger.replace(random.IntN(randomNodes))
+			cluster.replace(random.IntN(randomNodes))
 		}
 	}
-	ledger.log.SetFaults(platform.LogFaults{})
+	cluster.log.SetFaults(platform.LogFaults{})
 	work.Wait()
 	time.Sleep(time.Minute)
-	ledger.check(t, history.requests)
-	ledger.stop()
+	cluster.check(t, history.requests)
+	cluster.stop()
 	return history.requests
 }
 
-// replace kills a node and starts another incarnation in its place.
-func (ledger *ledger) replace(index int) {
-	fresh := ledger.start()
-	ledger.mu.Lock()
-	old := ledger.nodes[index]
-	ledger.nodes[index] = fresh
-	ledger.mu.Unlock()
-	ledger.forget(old)
-	old.stop()
+// replace kills a node and starts a new incarnation in its place.
+func (cluster *cluster) replace(index int) {
+	replacement := cluster.start()
+	cluster.mu.Lock()
+	previous := cluster.nodes[index]
+	cluster.nodes[index] = replacement
+	cluster.mu.Unlock()
+	cluster.makeUnreachable(previous)
+	previous.stop()
 }
 
-func (ledger *ledger) pick(index int) *node {
-	ledger.mu.Lock()
-	defer ledger.mu.Unlock()
-	return ledger.nodes[index]
+func (cluster *cluster) pick(index int) *node {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.nodes[index]
 }
 
 type history struct {
@@ -107,51 +106,51 @@
 	requests []request
 }
 
-func (ledger *ledger) callRandomly(caller int, random *rand.Rand, began time.Time, history *history) {
-	for range randomTries {
+func (cluster *cluster) callRandomly(caller int, random *rand.Rand, epoch time.Time, history *history) {
+	for range requestsPerCaller {
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
-		asked := request{key: fmt.Sprint("key-", random.IntN(randomKeys)), caller: caller, began: time.Since(began)}
+		sent := request{key: fmt.Sprint("key-", random.IntN(randomKeys)), caller: caller, start: time.Since(epoch)}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+random.IntN(20))*time.Second)
-		asked.answer = ledger.pick(random.IntN(randomNodes)).Run(ctx, ledger.call(asked.key, &asked.reached))
+		sent.result = cluster.pick(random.IntN(randomNodes)).Run(ctx, cluster.call(sent.key, &sent.reached))
 		cancel()
-		asked.end = time.Since(began)
+		sent.end = time.Since(epoch)
 		history.mu.Lock()
-		history.requests = append(history.requests, asked)
+		history.requests = append(history.requests, sent)
 		history.mu.Unlock()
 	}
 }
 
-func (ledger *ledger) check(t *testing.T, requests []request) {
+func (cluster *cluster) check(t *testing.T, requests []request) {
 	t.Helper()
-	if doubled := ledger.book.Doubled(); doubled != 0 {
-		t.Errorf("%d calls ran twice", doubled)
+	if duplicates := cluster.book.Doubled(); duplicates != 0 {
+		t.Errorf("%d calls ran twice", duplicates)
 	}
-	accounted := map[string]bool{}
+	reported := map[string]bool{}
 	for _, request := range requests {
-		switch request.answer.Outcome {
+		switch request.result.Outcome {
 		case outcome.NotRun:
 			if request.reached {
-				t.Errorf("%s: NotRun was said of a call that ran", request.key)
+				t.Errorf("%s: a request got NotRun although its call ran", request.key)
 			}
 		case outcome.Run:
-			if ledger.book.Executions(request.key) != 1 {
-				t.Errorf("%s: Run was said of a call that ran %d times", request.key, ledger.book.Executions(request.key))
+			if cluster.book.Executions(request.key) != 1 {
+				t.Errorf("%s: a request got Run although its call ran %d times", request.key, cluster.book.Executions(request.key))
 			}
-			accounted[request.key] = true
+			reported[request.key] = true
 		case outcome.Unknown:
-			accounted[request.key] = true
+			reported[request.key] = true
 		default:
 			t.Errorf("%s: no outcome", request.key)
 		}
 	}
 	for index := range randomKeys {
 		key := fmt.Sprint("key-", index)
-		if ledger.book.Executions(key) > 0 && !accounted[key] {
-			t.Errorf("%s ran, and every caller was told NotRun", key)
+		if cluster.book.Executions(key) > 0 && !reported[key] {
+			t.Errorf("%s: the call ran although every request got NotRun", key)
 		}
 	}
 	if !porcupine.CheckOperations(registerModel(), operations(requests)) {
-		t.Error("the history is not that of one register a key")
+		t.Error("the history is not linearizable with one register per key")
 	}
 }
 
@@ -159,22 +158,21 @@
 	found := []porcupine.Operation{}
 	for _, request := range requests {
 		found = append(found, porcupine.Operation{
-			ClientId: request.caller, Input: request.key, Output: request.answer,
-			Call: request.began.Nanoseconds(), Return: request.end.Nanoseconds(),
+			ClientId: request.caller, Input: request.key, Output: request.result,
+			Call: request.start.Nanoseconds(), Return: request.end.Nanoseconds(),
 		})
 	}
 	return found
 }
 
-// The states of a key's register: never ran, ran with an answer that nobody
-// has seen, or ran with the answer that stands there.
+// States of the register of a key. Any other value is the response body of the only run.
 const (
-	neverRan  = ""
-	ranUnseen = "?"
+	neverRan             = ""
+	ranWithUnknownResult = "?"
 )
 
-// registerModel says what one key may answer. A NotRun changes nothing, an
-// Unknown may or may not have run, and once it ran each Run has one answer.
+// registerModel returns the specification of the register of a key. NotRun changes nothing, a call that got Unknown may
+// or may not have run, and all requests that got Run have the same response body.
 func registerModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
@@ -190,16 +188,16 @@
 		},
 		Init: func() []any { return []any{neverRan} },
 		Step: func(state, _, output any) []any {
-			answer, held := output.(booking.Answer), state.(string)
+			result, current := output.(booking.Result), state.(string)
 			switch {
-			case answer.Outcome == outcome.NotRun:
-				return []any{held}
-			case answer.Outcome == outcome.Unknown && held == neverRan:
-				return []any{neverRan, ranUnseen}
-			case answer.Outcome == outcome.Unknown:
-				return []any{held}
-			case held == neverRan || held == ranUnseen || held == string(answer.Body):
-				return []any{string(answer.Body)}
+			case result.Outcome == outcome.NotRun:
+				return []any{current}
+			case result.Outcome == outcome.Unknown && current == neverRan:
+				return []any{neverRan, ranWithUnknownResult}
+			case result.Outcome == outcome.Unknown:
+				return []any{current}
+			case current == neverRan || current == ranWithUnknownResult || current == string(result.Body):
+				return []any{string(result.Body)}
 			}
 			return nil
 		},
--- a/internal/state/booking/table_test.go
+++ b/internal/state/booking/table_test.go
@@ -13,16 +13,15 @@
 	"hazelslip/internal/wire/record"
 )
 
-// claim is what the naive model knows of a key: who claimed it and how that
-// ended.
+// claim is an entry of the map model: the claim of a key and the kind of its outcome.
 type claim struct {
 	incarnation, attempt uint64
-	ended                record.OutcomeKind
+	outcome              record.OutcomeKind
 }
 
-// Random intents and outcomes, many of them void, with a node that starts from
-// a checkpoint: the table must say what one plain map says.
-func TestTableAgainstOneMap(t *testing.T) {
+// Applies random intents and outcomes, many of them without effect, and restarts the table from a checkpoint. The table
+// must match a model that is a plain map.
+func TestTableMatchesMapModel(t *testing.T) {
 	suite.FixRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		table := booking.NewTable(time.Hour)
@@ -37,8 +36,8 @@
 			incarnation := uint64(rapid.IntRange(1, 3).Draw(t, "node"))
 			attempt := uint64(rapid.IntRange(1, 3).Draw(t, "attempt"))
 			if rapid.Bool().Draw(t, "intent") {
-				fold(t, table, &record.BookingBatch{Intents: []*record.Intent{{Key: key, Incarnation: incarnation, Attempt: attempt, UnixMs: int64(step)}}})
-				if _, taken := model[key]; !taken {
+				apply(t, table, &record.BookingBatch{Intents: []*record.Intent{{Key: key, Incarnation: incarnation, Attempt: attempt, UnixMs: int64(step)}}})
+				if _, claimed := model[key]; !claimed {
 					model[key] = claim{incarnation: incarnation, attempt: attempt}
 				}
 				continue
@@ -46,27 +45,27 @@
 			kind := rapid.SampledFrom([]record.OutcomeKind{
 				record.OutcomeKind_OutcomeRun, record.OutcomeKind_OutcomeReleased, record.OutcomeKind_OutcomeUnknown,
 			}).Draw(t, "kind")
-			fold(t, table, &record.BookingBatch{Outcomes: []*record.Outcome{{Key: key, Incarnation: incarnation, Attempt: attempt, Kind: kind}}})
-			held, ok := model[key]
-			if !ok || held.incarnation != incarnation || held.attempt != attempt || held.ended != 0 {
+			apply(t, table, &record.BookingBatch{Outcomes: []*record.Outcome{{Key: key, Incarnation: incarnation, Attempt: attempt, Kind: kind}}})
+			expected, ok := model[key]
+			if !ok || expected.incarnation != incarnation || expected.attempt != attempt || expected.outcome != 0 {
 				continue
 			}
-			if held.ended = kind; kind == record.OutcomeKind_OutcomeReleased {
+			if expected.outcome = kind; kind == record.OutcomeKind_OutcomeReleased {
 				delete(model, key)
 				continue
 			}
-			model[key] = held
+			model[key] = expected
 		}
 		compare(t, table, model)
 	})
 }
 
-func fold(t *rapid.T, table *booking.Table, batch *record.BookingBatch) {
+func apply(t *rapid.T, table *booking.Table, batch *record.BookingBatch) {
 	body, err := proto.Marshal(&record.BookingRecord{Kind: &record.BookingRecord_Batch{Batch: batch}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	decoded, err := table.Fold().Decode(body)
+	decoded, err := table.StateMachine().Decode(body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,45 +73,44 @@
 }
 
 func restarted(t *rapid.T, table *booking.Table) *booking.Table {
-	body, err := table.Fold().Snapshot(0)
+	body, err := table.StateMachine().Snapshot(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh := booking.NewTable(time.Hour)
-	decoded, err := fresh.Fold().Decode(body)
+	created := booking.NewTable(time.Hour)
+	decoded, err := created.StateMachine().Decode(body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	decoded.Apply(0)
-	return fresh
+	return created
 }
 
 func compare(t *rapid.T, table *booking.Table, model map[string]claim) {
 	for index := range 5 {
 		key := fmt.Sprint("key-", index)
 		entry, known := table.Lookup(key)
-		held, taken := model[key]
-		if known != taken {
-			t.Fatalf("%s: known %t, the map says %t", key, known, taken)
+		expected, claimed := model[key]
+		if known != claimed {
+			t.Fatalf("%s: known to the table: %t, claimed in the model: %t", key, known, claimed)
 		}
-		if known && (entry.Intent.Incarnation != held.incarnation || entry.Intent.Attempt != held.attempt || entry.Outcome.GetKind() != held.ended) {
-			t.Fatalf("%s: %v, the map says %v", key, entry, held)
+		if known && (entry.Intent.Incarnation != expected.incarnation || entry.Intent.Attempt != expected.attempt || entry.Outcome.GetKind() != expected.outcome) {
+			t.Fatalf("%s: the table has %v, the model has %v", key, entry, expected)
 		}
 	}
 }
 
-// A node with a wrong clock writes an intent that seems to come from next
-// year. The keys of everybody else must not expire over it: their calls could
-// run twice.
+// A node whose clock is a year ahead writes an intent. The keys of other nodes must not expire because of it, or their
+// calls could run twice.
 func TestWrongClockExpiresNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := booking.NewTable(10 * time.Minute)
 		now := time.Now().UnixMilli()
-		fold(t, table, &record.BookingBatch{Intents: []*record.Intent{{Key: "ours", Incarnation: 1, UnixMs: now}}})
+		apply(t, table, &record.BookingBatch{Intents: []*record.Intent{{Key: "ours", Incarnation: 1, UnixMs: now}}})
 		year := (365 * 24 * time.Hour).Milliseconds()
-		fold(t, table, &record.BookingBatch{Intents: []*record.Intent{{Key: "theirs", Incarnation: 2, UnixMs: now + year}}})
+		apply(t, table, &record.BookingBatch{Intents: []*record.Intent{{Key: "theirs", Incarnation: 2, UnixMs: now + year}}})
 		if _, known := table.Lookup("ours"); !known {
-			t.Fatal("the key expired")
+			t.Fatal("the key of another node expired")
 		}
 	})
 }
--- a/internal/state/booking/ticket.go
+++ b/internal/state/booking/ticket.go
@@ -18,28 +18,29 @@
 
 const (
 	ticketPrefix = "ticket-"
-	ticketsMost  = 50_000
-	// TicketWindow is how long a ticket can be used, and its answer replayed.
+	maxTickets   = 50_000
+	// TicketWindow is how long a ticket can be used and its result replayed.
 	TicketWindow = time.Hour
 )
 
-// ErrTooManyTickets means that this node keeps as many tickets as it may.
+// ErrTooManyTickets means that this node has reached its limit of issued tickets, or no longer issues any.
 var ErrTooManyTickets = errors.New("this node has issued as many tickets as it keeps; try another node")
 
-// tickets is one incarnation's memory of the keys that it alone may run. It
-// needs no agreement and no log: when the process dies, nobody may run them.
+// tickets holds the keys that only this incarnation may run, in memory. Tickets need neither consensus nor the log: once
+// the process has died, no node may run them.
 type tickets struct {
 	mu sync.Mutex
-	// closed is set once the table was handed over: a call that ran after that
-	// would be missing from what the peer answers by.
-	closed  bool
-	issued  map[string]*ticket
+	// closed is set once the tickets were handed over. A call that ran afterwards would be missing from the outcomes
+	// that the peer replays.
+	closed bool
+	issued map[string]*ticket
+	// adopted holds the outcomes that other incarnations handed over, by incarnation and key.
 	adopted map[uint64]map[string]*record.Outcome
 }
 
 type ticket struct {
-	issuedAt time.Duration
-	used     *run
+	issuedAt  time.Duration
+	execution *execution
 }
 
 func newTickets() *tickets {
@@ -62,8 +63,7 @@
 	}
 }
 
-// TicketIssuer returns the incarnation that a key is bound to, if it is a
-// ticket.
+// TicketIssuer returns the incarnation that issued a ticket. It returns false if the key is not a ticket.
 func TicketIssuer(key string) (uint64, bool) {
 	rest, ok := strings.CutPrefix(key, ticketPrefix)
 	if !ok {
@@ -77,114 +77,113 @@
 	return incarnation, err == nil
 }
 
-// Issue returns a key that only this incarnation may run.
-func (keeper *Keeper) Issue() (string, error) {
+// IssueTicket returns a new key that only this incarnation may run.
+func (executor *Executor) IssueTicket() (string, error) {
 	random := make([]byte, 12)
 	if _, err := rand.Read(random); err != nil {
-		return "", errors.Wrap(err, "draw a ticket")
+		return "", errors.Wrap(err, "generate ticket key")
 	}
-	key := fmt.Sprintf("%s%016x-%s", ticketPrefix, keeper.incarnation, hex.EncodeToString(random))
-	keeper.tickets.mu.Lock()
-	defer keeper.tickets.mu.Unlock()
-	if keeper.tickets.closed || len(keeper.tickets.issued) >= ticketsMost {
+	key := fmt.Sprintf("%s%016x-%s", ticketPrefix, executor.incarnation, hex.EncodeToString(random))
+	executor.tickets.mu.Lock()
+	defer executor.tickets.mu.Unlock()
+	if executor.tickets.closed || len(executor.tickets.issued) >= maxTickets {
 		return "", ErrTooManyTickets
 	}
-	keeper.tickets.issued[key] = &ticket{issuedAt: keeper.now()}
+	executor.tickets.issued[key] = &ticket{issuedAt: executor.now()}
 	return key, nil
 }
 
-// RunTicket runs a call under a ticket of this incarnation, or answers for a
-// closed incarnation whose table this node has taken over.
-func (keeper *Keeper) RunTicket(ctx context.Context, call Call) Answer {
+// RunTicket runs the call of a ticket of this incarnation at most once. For a ticket of an incarnation that has handed
+// its tickets over to this node, RunTicket replays the stored outcome.
+func (executor *Executor) RunTicket(ctx context.Context, call Call) Result {
 	issuer, _ := TicketIssuer(call.Key)
-	if issuer != keeper.incarnation {
-		return keeper.answerAdopted(issuer, call.Key)
+	if issuer != executor.incarnation {
+		return executor.resolveAdopted(issuer, call.Key)
 	}
-	current, mine, known := keeper.useTicket(call)
+	current, started, known := executor.useTicket(call)
 	switch {
 	case !known:
-		return Answer{Outcome: outcome.Unknown, Cause: "the ticket is past its window or was never issued"}
-	case !mine:
-		return keeper.await(ctx, call, current)
+		return Result{Outcome: outcome.Unknown, Cause: "the ticket is past its window or was never issued"}
+	case !started:
+		return executor.awaitExecution(ctx, call, current)
 	}
-	keeper.runs.Add(1)
+	executor.runs.Add(1)
 	sendCtx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	answer := call.Send(sendCtx)
-	keeper.endTicket(call.Key, current, answer)
-	return answer
+	result := call.Send(sendCtx)
+	executor.finishTicket(call.Key, current, result)
+	return result
 }
 
-func (keeper *Keeper) useTicket(call Call) (current *run, mine, known bool) {
-	keeper.tickets.mu.Lock()
-	defer keeper.tickets.mu.Unlock()
-	ticket, ok := keeper.tickets.issued[call.Key]
-	if !ok || keeper.tickets.closed || keeper.now()-ticket.issuedAt > TicketWindow {
+func (executor *Executor) useTicket(call Call) (current *execution, started, known bool) {
+	executor.tickets.mu.Lock()
+	defer executor.tickets.mu.Unlock()
+	ticket, ok := executor.tickets.issued[call.Key]
+	if !ok || executor.tickets.closed || executor.now()-ticket.issuedAt > TicketWindow {
 		return nil, false, false
 	}
-	if ticket.used != nil {
-		return ticket.used, false, true
+	if ticket.execution != nil {
+		return ticket.execution, false, true
 	}
-	ticket.used = &run{done: make(chan struct{}), digest: call.Digest}
-	return ticket.used, true, true
+	ticket.execution = &execution{done: make(chan struct{}), digest: call.Digest}
+	return ticket.execution, true, true
 }
 
-// endTicket keeps the answer. A call that provably did not run leaves the
-// ticket unused.
-func (keeper *Keeper) endTicket(key string, current *run, answer Answer) {
-	keeper.tickets.mu.Lock()
-	defer keeper.tickets.mu.Unlock()
-	current.answer = answer
+// finishTicket stores the result of the call of a ticket. If the call provably did not run, the ticket can be used again.
+func (executor *Executor) finishTicket(key string, current *execution, result Result) {
+	executor.tickets.mu.Lock()
+	defer executor.tickets.mu.Unlock()
+	current.result = result
 	close(current.done)
-	if ticket, ok := keeper.tickets.issued[key]; ok && answer.Outcome == outcome.NotRun {
-		ticket.used = nil
+	if ticket, ok := executor.tickets.issued[key]; ok && result.Outcome == outcome.NotRun {
+		ticket.execution = nil
 	}
 }
 
-// HandOver returns the ended calls of this incarnation's tickets. A node that
-// stops gracefully gives them to a peer after its last request has ended; a
-// ticket that is not among them never ran.
-func (keeper *Keeper) HandOver() []*record.Outcome {
-	keeper.tickets.mu.Lock()
-	defer keeper.tickets.mu.Unlock()
-	keeper.tickets.closed = true
+// HandOver closes the tickets of this incarnation and returns the outcomes of their calls. A node that stops gracefully
+// sends the outcomes to a peer after its last request has ended. The call of a ticket that is not among them never ran.
+func (executor *Executor) HandOver() []*record.Outcome {
+	executor.tickets.mu.Lock()
+	defer executor.tickets.mu.Unlock()
+	executor.tickets.closed = true
 	ended := []*record.Outcome{}
-	for key, ticket := range keeper.tickets.issued {
-		if ticket.used != nil {
-			ended = append(ended, Kept(key, ticket.used.answer))
+	for key, ticket := range executor.tickets.issued {
+		if ticket.execution != nil {
+			ended = append(ended, OutcomeRecord(key, ticket.execution.result))
 		}
 	}
 	return ended
 }
 
-// Adopt answers from now on for the tickets of a closed incarnation.
-func (keeper *Keeper) Adopt(incarnation uint64, ended []*record.Outcome) {
-	keeper.tickets.mu.Lock()
-	defer keeper.tickets.mu.Unlock()
+// Adopt stores the outcomes that an incarnation handed over, so that this node replays them.
+func (executor *Executor) Adopt(incarnation uint64, ended []*record.Outcome) {
+	executor.tickets.mu.Lock()
+	defer executor.tickets.mu.Unlock()
 	outcomes := map[string]*record.Outcome{}
-	for _, kept := range ended {
-		outcomes[kept.Key] = kept
+	for _, stored := range ended {
+		outcomes[stored.Key] = stored
 	}
-	keeper.tickets.adopted[incarnation] = outcomes
+	executor.tickets.adopted[incarnation] = outcomes
 }
 
-// Adopted reports whether this node answers for a closed incarnation.
-func (keeper *Keeper) Adopted(incarnation uint64) bool {
-	keeper.tickets.mu.Lock()
-	defer keeper.tickets.mu.Unlock()
-	_, ok := keeper.tickets.adopted[incarnation]
+// Adopted reports whether this node holds the outcomes of another incarnation's tickets.
+func (executor *Executor) Adopted(incarnation uint64) bool {
+	executor.tickets.mu.Lock()
+	defer executor.tickets.mu.Unlock()
+	_, ok := executor.tickets.adopted[incarnation]
 	return ok
 }
 
-func (keeper *Keeper) answerAdopted(issuer uint64, key string) Answer {
-	keeper.tickets.mu.Lock()
-	defer keeper.tickets.mu.Unlock()
-	outcomes, ok := keeper.tickets.adopted[issuer]
+// resolveAdopted returns the result of a ticket that another incarnation issued.
+func (executor *Executor) resolveAdopted(issuer uint64, key string) Result {
+	executor.tickets.mu.Lock()
+	defer executor.tickets.mu.Unlock()
+	outcomes, ok := executor.tickets.adopted[issuer]
 	if !ok {
-		return Answer{Outcome: outcome.Unknown, Cause: "the node that issued this ticket cannot be asked"}
+		return Result{Outcome: outcome.Unknown, Cause: "the node that issued this ticket cannot be asked"}
 	}
-	if kept, ok := outcomes[key]; ok {
-		return Replay(kept)
+	if stored, ok := outcomes[key]; ok {
+		return Replay(stored)
 	}
-	return Answer{Outcome: outcome.NotRun, Cause: "the node that issued this ticket has stopped; the call never ran under it"}
+	return Result{Outcome: outcome.NotRun, Cause: "the node that issued this ticket has stopped; the call never ran under it"}
 }
--- a/internal/state/class/check.go
+++ b/internal/state/class/check.go
@@ -13,15 +13,14 @@
 	maxPriority     = 1000
 )
 
-var nameFormat = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
 
-// Check reports the first thing that is wrong with a change, and what would be
-// accepted.
+// Check validates a change. The error names the first invalid field and the values that are accepted.
 func Check(change *record.ConfigChange) error {
 	if change.ChangeID == "" || len(change.ChangeID) > 64 {
 		return errors.New("ChangeID must have 1 to 64 characters")
 	}
-	if !nameFormat.MatchString(change.Name) {
+	if !namePattern.MatchString(change.Name) {
 		return errors.Newf("the class name %q must be 1 to 64 letters, digits, dots, dashes or underscores", change.Name)
 	}
 	if change.GetTarget().GetName() != change.Name {
@@ -35,7 +34,7 @@
 
 func checkTarget(target *record.ClassTarget) error {
 	switch {
-	case !nameFormat.MatchString(target.Model):
+	case !namePattern.MatchString(target.Model):
 		return errors.Newf("Model %q must be 1 to 64 letters, digits, dots, dashes or underscores", target.Model)
 	case target.FirstTokenMs == 0 || target.FirstTokenMs > maxMilliseconds:
 		return errors.Newf("FirstTokenMs must be 1 to %d, not %d", maxMilliseconds, target.FirstTokenMs)
--- a/internal/state/class/class.go
+++ b/internal/state/class/class.go
@@ -1,18 +1,16 @@
-// Package class holds what operators state: a target for each class of work.
+// Package class holds the operators' targets for the classes of work.
 //
-// A Table is the fold of the stream Config. A change names its class, the
-// revision it was made from and a change ID; the first valid change over a
-// revision wins, and the loser's verdict carries the change that beat it. A
-// class's revision only grows, also over a deletion, so a change made from a
-// state that is no longer in force can never be taken for a new one.
+// A Table is the state machine of the stream Config. A change names its class, the revision that it was made from (the
+// base revision) and a change ID. The first valid change to a base revision is accepted. A later change to the same base
+// revision is refused, and its verdict carries the entry in force. The revision of a class only grows, also when the class
+// is deleted. A change that was made from an outdated state is therefore always detected as stale.
 //
-// Readers on the request path take Table.Snapshot, which is replaced whole and
-// never changed.
+// Readers on the request path call Table.Snapshot, which returns an immutable Snapshot without taking a lock.
 //
 // # Usage
 //
 //	table := class.New()
-//	follower := stream.New("Config", table.Fold(), ...)
+//	follower := stream.New("Config", table.StateMachine(), ...)
 //	entry, ok := table.Snapshot().Entries["urgent"]
 //	verdict, err := submitter.Submit(ctx, change)
 package class
@@ -31,23 +29,22 @@
 	"hazelslip/internal/wire/record"
 )
 
-// StreamName is the stream of the platform's log that holds the classes.
+// StreamName is the stream of the platform's log that holds the changes to classes.
 const StreamName = "Config"
 
 const (
-	verdictsKept = 4096
-	historyKept  = 256
+	maxVerdicts      = 4096
+	maxHistoryEvents = 256
 )
 
-// ReasonStale is the reason of a change that was made from a revision that is
-// no longer, or not yet, in force.
+// ReasonStale is the reason of a verdict that refuses a change because its base revision is not the revision in force.
 const ReasonStale = "another change came first"
 
-// Snapshot is the configuration in force. It never changes.
+// Snapshot holds the classes in force. It is immutable.
 type Snapshot struct {
 	// Sequence counts the accepted changes.
 	Sequence uint64
-	// Entries holds each class ever stated, the deleted ones too.
+	// Entries holds all classes that were ever set, including deleted ones, by name.
 	Entries map[string]*record.ConfigEntry
 }
 
@@ -60,7 +57,7 @@
 	return entry.Target, true
 }
 
-// Names returns the classes in force, in order.
+// Names returns the sorted names of the classes in force.
 func (snapshot *Snapshot) Names() []string {
 	names := []string{}
 	for name, entry := range snapshot.Entries {
@@ -72,24 +69,24 @@
 	return names
 }
 
-// Verdict is what the fold decided about one change.
+// Verdict is the decision of the state machine about one change.
 type Verdict struct {
 	Accepted bool
 	Revision uint64
-	// Beaten is the entry in force that a stale change lost against.
-	Beaten *record.ConfigEntry
-	// Reason says why an invalid change was refused.
+	// InForce is the entry in force whose revision made the change stale.
+	InForce *record.ConfigEntry
+	// Reason says why the change was refused.
 	Reason string
 }
 
-// Event is one line of a class's history.
+// Event is one change in the history of a class.
 type Event struct {
 	Offset  uint64
 	Change  *record.ConfigChange
 	Verdict Verdict
 }
 
-// State is what a Table shows in the state dump.
+// State is the part of a Table in the state dump.
 type State struct {
 	Sequence uint64
 	Classes  int
@@ -97,16 +94,16 @@
 	Reverts  uint64
 }
 
-// Table folds the stream Config.
+// Table applies the stream Config.
 type Table struct {
 	snapshot atomic.Pointer[Snapshot]
 
-	mu       sync.Mutex
-	verdicts map[string]Verdict
-	order    []string
-	history  []Event
-	refused  uint64
-	reverts  uint64
+	mu           sync.Mutex
+	verdicts     map[string]Verdict
+	verdictOrder []string
+	history      []Event
+	refused      uint64
+	reverts      uint64
 }
 
 // New returns an empty table.
@@ -116,34 +113,34 @@
 	return table
 }
 
-// Snapshot returns the configuration in force.
+// Snapshot returns the classes in force.
 func (table *Table) Snapshot() *Snapshot {
 	return table.snapshot.Load()
 }
 
-// Fold returns the table as the fold of a stream.
-func (table *Table) Fold() stream.Fold {
-	return stream.Fold{Decode: table.decode, Snapshot: table.checkpoint}
+// StateMachine returns the functions that apply the records of the stream to the table.
+func (table *Table) StateMachine() stream.StateMachine {
+	return stream.StateMachine{Decode: table.decode, Snapshot: table.encodeCheckpoint}
 }
 
 func (table *Table) decode(body []byte) (stream.Decoded, error) {
 	var decoded record.ConfigRecord
 	if err := proto.Unmarshal(body, &decoded); err != nil {
-		return stream.Decoded{}, errors.Wrap(err, "decode a record of Config")
+		return stream.Decoded{}, errors.Wrap(err, "decode record of stream Config")
 	}
 	switch kind := decoded.Kind.(type) {
 	case *record.ConfigRecord_Change:
 		return stream.Decoded{Apply: func(offset uint64) { table.apply(offset, kind.Change) }}, nil
 	case *record.ConfigRecord_Checkpoint:
 		if slices.ContainsFunc(kind.Checkpoint.Entries, func(entry *record.ConfigEntry) bool { return entry.GetTarget().GetName() == "" }) {
-			return stream.Decoded{}, errors.New("a checkpoint of Config with a class without a name")
+			return stream.Decoded{}, errors.New("decode checkpoint of stream Config: class without name")
 		}
 		return stream.Decoded{
 			Checkpoint: true, Through: kind.Checkpoint.Through,
-			Apply: func(uint64) { table.restore(kind.Checkpoint) },
+			Apply: func(uint64) { table.applyCheckpoint(kind.Checkpoint) },
 		}, nil
 	}
-	return stream.Decoded{}, errors.New("a record of Config of an unknown kind")
+	return stream.Decoded{}, errors.New("decode record of stream Config: unknown kind")
 }
 
 func (table *Table) apply(offset uint64, change *record.ConfigChange) {
@@ -152,87 +149,86 @@
 	if _, seen := table.verdicts[change.ChangeID]; seen {
 		return
 	}
-	before := table.snapshot.Load()
-	verdict := judge(before, change)
-	table.rememberLocked(offset, change, verdict)
+	current := table.snapshot.Load()
+	verdict := evaluate(current, change)
+	table.recordVerdictLocked(offset, change, verdict)
 	if !verdict.Accepted {
 		table.refused++
 		return
 	}
-	table.replaceLocked(before, change, verdict.Revision)
+	table.applyAcceptedLocked(current, change, verdict.Revision)
 }
 
-// judge is the whole rule of what is accepted. It depends on nothing but the
-// records, so every node comes to the same verdict.
-func judge(before *Snapshot, change *record.ConfigChange) Verdict {
+// evaluate decides whether a change is accepted. It depends only on the records, so every node reaches the same verdict.
+func evaluate(current *Snapshot, change *record.ConfigChange) Verdict {
 	if err := Check(change); err != nil {
 		return Verdict{Reason: err.Error()}
 	}
-	entry := before.Entries[change.Name]
+	entry := current.Entries[change.Name]
 	if entry.GetChangeID() == change.ChangeID {
 		return Verdict{Accepted: true, Revision: entry.GetRevision()}
 	}
 	if entry.GetRevision() != change.BaseRevision {
-		return Verdict{Beaten: entry, Reason: ReasonStale}
+		return Verdict{InForce: entry, Reason: ReasonStale}
 	}
 	return Verdict{Accepted: true, Revision: change.BaseRevision + 1}
 }
 
-func (table *Table) replaceLocked(before *Snapshot, change *record.ConfigChange, revision uint64) {
-	if before.Entries[change.Name].GetRevision() >= revision {
+// applyAcceptedLocked puts an accepted change in force, unless its revision already is.
+func (table *Table) applyAcceptedLocked(current *Snapshot, change *record.ConfigChange, revision uint64) {
+	if current.Entries[change.Name].GetRevision() >= revision {
 		return
 	}
-	entries := maps.Clone(before.Entries)
+	entries := maps.Clone(current.Entries)
 	entries[change.Name] = &record.ConfigEntry{
 		Target: change.Target, Revision: revision, ChangeID: change.ChangeID,
 		Deleted: change.Delete, Operator: change.Operator, SubmittedUnixMs: change.SubmittedUnixMs,
 	}
-	table.snapshot.Store(&Snapshot{Sequence: before.Sequence + 1, Entries: entries})
+	table.snapshot.Store(&Snapshot{Sequence: current.Sequence + 1, Entries: entries})
 }
 
-func (table *Table) rememberLocked(offset uint64, change *record.ConfigChange, verdict Verdict) {
+// recordVerdictLocked stores the verdict about a change and adds the change to the history. It drops the oldest ones.
+func (table *Table) recordVerdictLocked(offset uint64, change *record.ConfigChange, verdict Verdict) {
 	table.verdicts[change.ChangeID] = verdict
-	table.order = append(table.order, change.ChangeID)
-	if len(table.order) > verdictsKept {
-		delete(table.verdicts, table.order[0])
-		table.order = table.order[1:]
+	table.verdictOrder = append(table.verdictOrder, change.ChangeID)
+	if len(table.verdictOrder) > maxVerdicts {
+		delete(table.verdicts, table.verdictOrder[0])
+		table.verdictOrder = table.verdictOrder[1:]
 	}
 	table.history = append(table.history, Event{Offset: offset, Change: change, Verdict: verdict})
-	if len(table.history) > historyKept {
+	if len(table.history) > maxHistoryEvents {
 		table.history = table.history[1:]
 	}
 }
 
-// restore takes a checkpoint's entries, class by class, where they are ahead
-// of what is in force. An older checkpoint, from a peer or from a log that was
-// restored from an old copy, therefore changes nothing.
-func (table *Table) restore(checkpoint *record.ConfigCheckpoint) {
+// applyCheckpoint takes those entries of a checkpoint that have a higher revision than the entry in force. An older
+// checkpoint, from a peer or from a log that was restored from an older backup, therefore changes nothing.
+func (table *Table) applyCheckpoint(checkpoint *record.ConfigCheckpoint) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	before := table.snapshot.Load()
-	entries := maps.Clone(before.Entries)
+	current := table.snapshot.Load()
+	entries := maps.Clone(current.Entries)
 	for _, entry := range checkpoint.Entries {
 		name := entry.GetTarget().GetName()
 		if entry.Revision > entries[name].GetRevision() {
 			entries[name] = entry
 		}
 	}
-	table.assertForwardLocked(before.Entries, entries)
-	table.snapshot.Store(&Snapshot{Sequence: max(before.Sequence, checkpoint.Sequence), Entries: entries})
+	table.countRevertsLocked(current.Entries, entries)
+	table.snapshot.Store(&Snapshot{Sequence: max(current.Sequence, checkpoint.Sequence), Entries: entries})
 }
 
-// assertForwardLocked counts a revision that would go back, which the rules
-// above rule out; the counter is asserted to be 0 in tests and shown in the
-// state dump.
-func (table *Table) assertForwardLocked(before, after map[string]*record.ConfigEntry) {
-	for name, entry := range before {
-		if after[name].GetRevision() < entry.GetRevision() {
+// countRevertsLocked counts entries whose revision decreases. applyCheckpoint rules that out. Tests assert that the
+// counter is 0, and the state dump contains it.
+func (table *Table) countRevertsLocked(current, updated map[string]*record.ConfigEntry) {
+	for name, entry := range current {
+		if updated[name].GetRevision() < entry.GetRevision() {
 			table.reverts++
 		}
 	}
 }
 
-func (table *Table) checkpoint(through uint64) ([]byte, error) {
+func (table *Table) encodeCheckpoint(through uint64) ([]byte, error) {
 	snapshot := table.snapshot.Load()
 	checkpoint := &record.ConfigCheckpoint{Sequence: snapshot.Sequence, Through: through}
 	for _, entry := range snapshot.Entries {
@@ -244,7 +240,7 @@
 	return proto.Marshal(&record.ConfigRecord{Kind: &record.ConfigRecord_Checkpoint{Checkpoint: checkpoint}})
 }
 
-// Verdict returns what was decided about a change.
+// Verdict returns the verdict about a change.
 func (table *Table) Verdict(changeID string) (Verdict, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
--- a/internal/state/class/class_test.go
+++ b/internal/state/class/class_test.go
@@ -26,7 +26,7 @@
 	"hazelslip/internal/wire/record"
 )
 
-// follower is a node's copy of the configuration.
+// follower is a stream.Follower with the table that it applies the stream Config to.
 type follower struct {
 	*stream.Follower
 	table *class.Table
@@ -36,7 +36,7 @@
 	client := logservice.New("http://log", inprocess.Transport{Handler: log.Handler()})
 	table := class.New()
 	return follower{table: table, Follower: stream.New(
-		class.StreamName, table.Fold(), stream.Read(client.Read), stream.Append(client.Append),
+		class.StreamName, table.StateMachine(), stream.Read(client.Read), stream.Append(client.Append),
 		stream.Clock(clock.Virtual()), stream.Logger(slog.New(slog.NewTextHandler(io.Discard, nil))),
 	)}
 }
@@ -51,10 +51,9 @@
 	return &record.ConfigChange{ChangeID: id, Name: name, BaseRevision: base, Target: target, Operator: id}
 }
 
-// Two operators change the same class at the same moment on two nodes. One
-// must win, and the other must be told whose change beat theirs; "accepted" to
-// both would mean that one of them reverts without a word.
-func TestRacingOperatorsGetOneWinner(t *testing.T) {
+// Two operators change the same class at the same time on two nodes. One change must be accepted. The verdict about the
+// other must name the accepted change. If both were accepted, one of them would be reverted silently.
+func TestOneOfTwoConcurrentChangesIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		log := platform.NewLog()
@@ -74,7 +73,7 @@
 		g.Expect(verdicts[0].Accepted).NotTo(gomega.Equal(verdicts[1].Accepted))
 		for index, verdict := range verdicts {
 			if !verdict.Accepted {
-				g.Expect(verdict.Beaten.Operator).To(gomega.Equal(fmt.Sprintf("operator-%d", 1-index)))
+				g.Expect(verdict.InForce.Operator).To(gomega.Equal(fmt.Sprintf("operator-%d", 1-index)))
 			}
 		}
 		for _, node := range nodes {
@@ -83,9 +82,9 @@
 	})
 }
 
-// The log takes an operator's change and its reply is lost. The change must
-// not be made twice, and the operator must hear that it is in force.
-func TestLostReplyIsOneChange(t *testing.T) {
+// The log appends a change and its reply is lost. The change must be made only once, and its verdict must be that it is
+// accepted.
+func TestChangeIsMadeOnceAfterLostReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		log := platform.NewLog()
@@ -99,42 +98,40 @@
 	})
 }
 
-// A node takes the state for a checkpoint; before the checkpoint is on the log
-// another change is accepted. The change stands before the checkpoint and is
-// not in it. A node that starts later must have it all the same.
+// A node takes the state for a checkpoint, and another change is accepted before the checkpoint is on the log. The change
+// is before the checkpoint on the log but not part of it. A node that starts later must still have it.
 func TestChangeBetweenSnapshotAndCheckpointIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		log := platform.NewLog()
-		old := class.New()
-		apply(t, old, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
+		early := class.New()
+		apply(t, early, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
 		log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
-		checkpoint, err := old.Fold().Snapshot(1)
+		checkpoint, err := early.StateMachine().Snapshot(1)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.7), 1, "second"))
 		log.Append(class.StreamName, checkpoint)
 		log.DropBefore(class.StreamName, 1)
 
-		late := follow(log)
-		late.Start()
-		defer late.Stop()
+		newcomer := follow(log)
+		newcomer.Start()
+		defer newcomer.Stop()
 		time.Sleep(time.Second)
-		g.Expect(late.Ready()).To(gomega.BeTrue())
-		g.Expect(late.table.Snapshot().Entries["urgent"].ChangeID).To(gomega.Equal("second"))
+		g.Expect(newcomer.Ready()).To(gomega.BeTrue())
+		g.Expect(newcomer.table.Snapshot().Entries["urgent"].ChangeID).To(gomega.Equal("second"))
 	})
 }
 
 func apply(t *testing.T, table *class.Table, offset uint64, body []byte) {
 	t.Helper()
-	decoded, err := table.Fold().Decode(body)
+	decoded, err := table.StateMachine().Decode(body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	decoded.Apply(offset)
 }
 
-// Records expired before a checkpoint stood for them. A node that starts then
-// must not take the rest for everything: it is not ready, and says so.
+// Records expired before a checkpoint covered them. A node that starts then lacks their changes and must not be ready.
 func TestNodeWithoutHistoryIsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -143,32 +140,31 @@
 			log.Append(class.StreamName, fleet.ChangeBody(fleet.Target(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)))
 		}
 		log.DropBefore(class.StreamName, 2)
-		late, peer := follow(log), follow(platform.NewLog())
-		late.Start()
-		defer late.Stop()
+		newcomer, peer := follow(log), follow(platform.NewLog())
+		newcomer.Start()
+		defer newcomer.Stop()
 		time.Sleep(5 * time.Second)
-		g.Expect(late.Ready()).To(gomega.BeFalse())
-		g.Expect(late.table.Snapshot().Entries).To(gomega.BeEmpty())
+		g.Expect(newcomer.Ready()).To(gomega.BeFalse())
+		g.Expect(newcomer.table.Snapshot().Entries).To(gomega.BeEmpty())
 
-		// A peer that still holds the state helps it on.
+		// The node fetches the state from a peer that still has it.
 		for index := range 3 {
-			peer.Offer(stream.Relayed{Records: []logservice.Record{{
+			peer.ApplyFetched(stream.FetchReply{Records: []logservice.Record{{
 				Offset: uint64(index),
 				Body:   fleet.ChangeBody(fleet.Target(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)),
 			}}})
 		}
-		relayed, err := peer.Fetch(late.Want(), 10)
+		relayed, err := peer.Fetch(newcomer.NextFetch(), 10)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		late.Offer(relayed)
-		g.Expect(late.Ready()).To(gomega.BeTrue())
-		g.Expect(late.table.Snapshot().Names()).To(gomega.HaveLen(3))
+		newcomer.ApplyFetched(relayed)
+		g.Expect(newcomer.Ready()).To(gomega.BeTrue())
+		g.Expect(newcomer.table.Snapshot().Names()).To(gomega.HaveLen(3))
 	})
 }
 
-// The log comes back empty after an outage, or a replica of it lags. What an
-// operator was told is accepted must stay in force on every node, and a node
-// that starts afterwards must have it too.
-func TestLogThatLosesItsRecordsRevertsNothing(t *testing.T) {
+// The log comes back empty after an outage, or one of its replicas lags. A change that was reported as accepted must
+// stay in force on every node, including a node that starts afterwards.
+func TestLogThatLosesRecordsRevertsNothing(t *testing.T) {
 	cases := map[string]func(log *platform.Log){
 		"comes back empty": func(log *platform.Log) { log.Wipe() },
 		"a replica lags":   func(log *platform.Log) { log.SetFaults(platform.LogFaults{StaleBy: 2}) },
@@ -196,18 +192,18 @@
 				g.Expect(node.table.Snapshot().Entries["urgent"].ChangeID).To(gomega.Equal("change-3"))
 				g.Expect(node.table.State().Reverts).To(gomega.BeZero())
 				log.SetFaults(platform.LogFaults{})
-				late := follow(log)
-				late.Start()
-				defer late.Stop()
+				newcomer := follow(log)
+				newcomer.Start()
+				defer newcomer.Stop()
 				time.Sleep(10 * time.Second)
-				g.Expect(late.table.Snapshot().Entries["urgent"].ChangeID).To(gomega.Equal("change-3"))
+				g.Expect(newcomer.table.Snapshot().Entries["urgent"].ChangeID).To(gomega.Equal("change-3"))
 			})
 		})
 	}
 }
 
-// A newer node wrote a field that this one does not know. Its checkpoint must
-// carry the field on, or a rolling upgrade would lose it.
+// A newer node wrote a field that this node does not know. The checkpoint of this node must keep the field, or a rolling
+// upgrade would lose it.
 func TestUnknownFieldIsKept(t *testing.T) {
 	g := gomega.NewWithT(t)
 	body := fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "newer")
@@ -219,17 +215,17 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	table := class.New()
 	apply(t, table, 0, body)
-	checkpoint, err := table.Fold().Snapshot(1)
+	checkpoint, err := table.StateMachine().Snapshot(1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	restarted := class.New()
 	apply(t, restarted, 1, checkpoint)
 	g.Expect(string(restarted.Snapshot().Entries["urgent"].Target.ProtoReflect().GetUnknown())).To(gomega.Equal(unknownField))
 }
 
-// naive is the plainest fold: one map of revisions.
-type naive map[string]uint64
+// revisionModel is a plain map of class names to revisions that TestTableMatchesModel compares the table with.
+type revisionModel map[string]uint64
 
-func (model naive) apply(change *record.ConfigChange) bool {
+func (model revisionModel) apply(change *record.ConfigChange) bool {
 	if class.Check(change) != nil || model[change.Name] != change.BaseRevision {
 		return false
 	}
@@ -237,19 +233,18 @@
 	return true
 }
 
-// Random changes, some stale, some repeated, some invalid, with checkpoints in
-// between and nodes that start from one: every node must come to the state of
-// the naive model.
-func TestFoldAgainstNaiveModel(t *testing.T) {
+// Applies random changes, some of them stale, repeated or invalid, with checkpoints in between, and starts a reader at a
+// random offset. The reader must reach the same revisions as the model.
+func TestTableMatchesModel(t *testing.T) {
 	suite.FixRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		log := [][]byte{}
-		model := naive{}
+		model := revisionModel{}
 		seen := map[string]bool{}
 		writer := class.New()
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.IntRange(0, 9).Draw(t, "kind") == 0 {
-				body, err := writer.Fold().Snapshot(uint64(len(log)))
+				body, err := writer.StateMachine().Snapshot(uint64(len(log)))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -272,7 +267,7 @@
 			model.apply(drawn)
 			seen[drawn.ChangeID] = true
 			log = append(log, body)
-			decoded, err := writer.Fold().Decode(body)
+			decoded, err := writer.StateMachine().Decode(body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -282,7 +277,7 @@
 		reader := class.New()
 		started := from == 0
 		for offset, body := range log[from:] {
-			decoded, err := reader.Fold().Decode(body)
+			decoded, err := reader.StateMachine().Decode(body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -293,30 +288,29 @@
 		if !started {
 			return
 		}
-		revisions := naive{}
+		revisions := revisionModel{}
 		for name, entry := range reader.Snapshot().Entries {
 			revisions[name] = entry.Revision
 		}
 		if !maps.Equal(revisions, model) {
-			t.Fatalf("folded %v, the naive model has %v", revisions, model)
+			t.Fatalf("the table has revisions %v, the model has %v", revisions, model)
 		}
 		if reader.State().Reverts != 0 {
-			t.Fatal("a revision went back")
+			t.Fatal("the revision of a class decreased")
 		}
 	})
 }
 
-// A peer that was away offers an old checkpoint, as does a log that was
-// restored from an old copy. What an operator was told is accepted must not go
-// back to it.
+// A peer that was unreachable for a while, or a log that was restored from an older backup, offers an old checkpoint. It
+// must not revert a change that was reported as accepted.
 func TestOldCheckpointChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := class.New()
 	apply(t, table, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
-	old, err := table.Fold().Snapshot(1)
+	early, err := table.StateMachine().Snapshot(1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	apply(t, table, 1, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.2), 1, "second"))
-	apply(t, table, 2, old)
+	apply(t, table, 2, early)
 	g.Expect(table.Snapshot().Entries["urgent"].ChangeID).To(gomega.Equal("second"))
 	g.Expect(table.State().Reverts).To(gomega.BeZero())
 }
--- a/internal/state/class/submit.go
+++ b/internal/state/class/submit.go
@@ -12,24 +12,23 @@
 	"hazelslip/internal/wire/record"
 )
 
-// ErrUndecided means that the change was not read back in time. It may still
-// come into force; sending it again under the same change ID is safe.
+// ErrUndecided means that the verdict about a change was not read from the log in time. The change may still come into
+// force. Submitting it again with the same change ID is safe.
 var ErrUndecided = errors.New("the change was not read back from the log in time")
 
-// retryAppend is how long Submit waits for its record before it appends the
-// same change once more; the fold takes a change ID only once.
-const retryAppend = 2 * time.Second
+// appendRetryInterval is how long Submit waits for the verdict before it appends the change again. The state machine
+// applies each change ID only once.
+const appendRetryInterval = 2 * time.Second
 
-// Submitter writes changes to the log and reads back what became of them.
+// Submitter appends changes to the log and waits for their verdicts.
 type Submitter struct {
 	Table    *Table
 	Follower *stream.Follower
 }
 
-// Submit appends the change and waits until the fold has judged it. "Accepted"
-// is said only then: an append alone proves nothing, since an earlier record
-// can have taken the same revision. A lost reply is followed by the same
-// append under the same change ID.
+// Submit appends a change and returns its verdict after the follower has applied it. An append alone does not prove that
+// the change is accepted, because an earlier record may have taken the same revision. If the reply to the append is lost,
+// Submit appends the change again with the same change ID.
 func (submitter *Submitter) Submit(ctx context.Context, change *record.ConfigChange) (Verdict, error) {
 	if err := Check(change); err != nil {
 		return Verdict{Reason: err.Error()}, nil
@@ -43,25 +42,27 @@
 			return verdict, nil
 		}
 		_, err := submitter.Follower.Append(ctx, body)
-		verdict, ok := submitter.await(ctx, change.ChangeID)
+		verdict, ok := submitter.awaitVerdict(ctx, change.ChangeID)
 		if ok {
 			return verdict, nil
 		}
 		if ctx.Err() != nil {
-			return Verdict{}, undecided(err)
+			return Verdict{}, undecidedError(err)
 		}
 	}
 }
 
-func undecided(err error) error {
+// undecidedError says whether a change without a verdict may still come into force.
+func undecidedError(err error) error {
 	if errors.Is(err, logservice.ErrNotWritten) {
 		return errors.Wrap(err, "the change was not written; try again when the log answers")
 	}
 	return errors.Mark(errors.Wrap(err, "the change may or may not be in force; look with `class show`"), ErrUndecided)
 }
 
-func (submitter *Submitter) await(ctx context.Context, changeID string) (Verdict, bool) {
-	timer := time.NewTimer(retryAppend)
+// awaitVerdict waits up to appendRetryInterval for the verdict about a change.
+func (submitter *Submitter) awaitVerdict(ctx context.Context, changeID string) (Verdict, bool) {
+	timer := time.NewTimer(appendRetryInterval)
 	defer timer.Stop()
 	for {
 		advanced := submitter.Follower.Advanced()
--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -1,21 +1,20 @@
-// Package lease decides who may give orders to backend servers that ignore
-// fencing numbers, and keeps what was done to replica groups and why.
+// Package lease decides which node may give orders to backend servers that ignore fencing tokens, and keeps a
+// history of what was done to replica groups and why.
 //
-// A Table is the fold of a data centre's Groups stream. A lease record names
-// the term it was written over; the first one over a term wins. Time enters
-// only outside the fold, and no clock is shared: the holder counts its lease
-// from before it sent the record, everybody else from after they read it, so
-// the holder always stops first. Both count on boot time, which goes on while
-// a machine sleeps.
+// A Table is the state machine of a data centre's Groups stream. A lease record names the term that it follows (the base
+// term). The first lease record for a base term is accepted and starts the next term. The state machine itself uses no
+// time, and nodes share no clock: the holder counts its lease from before it sent the record, and all other nodes count
+// from after they read it. The holder therefore always stops first. All nodes count boot time, which continues while a
+// machine sleeps.
 //
-// A lease is taken only when an order has to be given and is not renewed while
-// nothing happens, so a quiet domain costs no appends.
+// A node acquires a lease only when it has to give an order, and does not renew it while there are no orders. An idle
+// domain therefore causes no appends.
 //
 // # Usage
 //
 //	table := lease.New(clock.Boot)
-//	keeper := lease.Keeper{Incarnation: incarnation, Table: table, Append: follower.Append, ...}
-//	if err := keeper.Acquire(ctx, "domain-1"); err == nil && keeper.Holds("domain-1") { ... }
+//	manager := lease.Manager{Incarnation: incarnation, Table: table, Append: follower.Append, ...}
+//	if err := manager.Acquire(ctx, "domain-1"); err == nil && manager.Holds("domain-1") { ... }
 package lease
 
 import (
@@ -32,16 +31,15 @@
 	"hazelslip/internal/wire/record"
 )
 
-const eventsKept = 512
+const maxEvents = 512
 
-// Entry is the latest accepted lease of a domain. ReadAt is when this node
-// folded it.
+// Entry is the latest accepted lease of a domain. ReadAt is when this node applied it.
 type Entry struct {
 	Lease  *record.LeaseEntry
 	ReadAt time.Duration
 }
 
-// State is what a Table shows in the state dump.
+// State is the part of a Table in the state dump.
 type State struct {
 	Sequence uint64
 	Leases   []*record.LeaseEntry
@@ -49,7 +47,7 @@
 	Events   int
 }
 
-// Table folds a data centre's Groups stream.
+// Table applies a data centre's Groups stream.
 type Table struct {
 	now clock.Now
 
@@ -57,7 +55,7 @@
 	leases   map[string]Entry
 	events   []*record.GroupEvent
 	sequence uint64
-	void     uint64
+	rejected uint64
 }
 
 // New returns an empty table.
@@ -65,15 +63,15 @@
 	return &Table{now: now, leases: map[string]Entry{}}
 }
 
-// Fold returns the table as the fold of a stream.
-func (table *Table) Fold() stream.Fold {
-	return stream.Fold{Decode: table.decode, Snapshot: table.checkpoint}
+// StateMachine returns the functions that apply the records of the stream to the table.
+func (table *Table) StateMachine() stream.StateMachine {
+	return stream.StateMachine{Decode: table.decode, Snapshot: table.encodeCheckpoint}
 }
 
 func (table *Table) decode(body []byte) (stream.Decoded, error) {
 	var decoded record.GroupRecord
 	if err := proto.Unmarshal(body, &decoded); err != nil {
-		return stream.Decoded{}, errors.Wrap(err, "decode a record of Groups")
+		return stream.Decoded{}, errors.Wrap(err, "decode record of stream Groups")
 	}
 	switch kind := decoded.Kind.(type) {
 	case *record.GroupRecord_Lease:
@@ -83,18 +81,19 @@
 	case *record.GroupRecord_Checkpoint:
 		return stream.Decoded{
 			Checkpoint: true, Through: kind.Checkpoint.Through,
-			Apply: func(uint64) { table.restore(kind.Checkpoint) },
+			Apply: func(uint64) { table.applyCheckpoint(kind.Checkpoint) },
 		}, nil
 	}
-	return stream.Decoded{}, errors.New("a record of Groups of an unknown kind")
+	return stream.Decoded{}, errors.New("decode record of stream Groups: unknown kind")
 }
 
+// applyLease accepts a lease if its base term is the current term, and rejects it otherwise.
 func (table *Table) applyLease(lease *record.Lease) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	table.sequence++
 	if table.leases[lease.FabricDomain].Lease.GetTerm() != lease.BaseTerm {
-		table.void++
+		table.rejected++
 		return
 	}
 	table.leases[lease.FabricDomain] = Entry{
@@ -111,14 +110,14 @@
 	defer table.mu.Unlock()
 	table.sequence++
 	table.events = append(table.events, event)
-	if len(table.events) > eventsKept {
+	if len(table.events) > maxEvents {
 		table.events = table.events[1:]
 	}
 }
 
-// restore takes leases of a higher term. A lease from a checkpoint counts from
-// now for this node, however old it is: that errs on the side of waiting.
-func (table *Table) restore(checkpoint *record.GroupCheckpoint) {
+// applyCheckpoint takes the leases that have a higher term than the ones in the table. This node counts a lease from a
+// checkpoint from now, however old the lease is. The node may wait too long, but never gives orders too early.
+func (table *Table) applyCheckpoint(checkpoint *record.GroupCheckpoint) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for _, lease := range checkpoint.Leases {
@@ -132,14 +131,14 @@
 	}
 }
 
-func (table *Table) checkpoint(through uint64) ([]byte, error) {
+func (table *Table) encodeCheckpoint(through uint64) ([]byte, error) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	checkpoint := &record.GroupCheckpoint{Sequence: table.sequence, Through: through, Events: table.events, Leases: table.sortedLocked()}
+	checkpoint := &record.GroupCheckpoint{Sequence: table.sequence, Through: through, Events: table.events, Leases: table.sortedLeasesLocked()}
 	return proto.Marshal(&record.GroupRecord{Kind: &record.GroupRecord_Checkpoint{Checkpoint: checkpoint}})
 }
 
-func (table *Table) sortedLocked() []*record.LeaseEntry {
+func (table *Table) sortedLeasesLocked() []*record.LeaseEntry {
 	leases := []*record.LeaseEntry{}
 	for _, entry := range table.leases {
 		leases = append(leases, entry.Lease)
@@ -156,7 +155,7 @@
 	return entry, ok
 }
 
-// Events returns what was done to groups, oldest first.
+// Events returns the events of groups, oldest first.
 func (table *Table) Events() []*record.GroupEvent {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -167,5 +166,5 @@
 func (table *Table) State() State {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	return State{Sequence: table.sequence, Leases: table.sortedLocked(), Void: table.void, Events: len(table.events)}
+	return State{Sequence: table.sequence, Leases: table.sortedLeasesLocked(), Void: table.rejected, Events: len(table.events)}
 }
--- a/internal/state/lease/lease_test.go
+++ b/internal/state/lease/lease_test.go
@@ -24,25 +24,24 @@
 
 const domain = "fabric"
 
-// node is one node's view of the leases. Its clock can be moved ahead, as boot
-// time does while a machine sleeps.
+// node is a lease.Manager with its follower. clockAdvance moves its clock ahead, as boot time does while a machine sleeps.
 type node struct {
-	*lease.Keeper
-	follower *stream.Follower
-	slept    time.Duration
+	*lease.Manager
+	follower     *stream.Follower
+	clockAdvance time.Duration
 }
 
-func start(log *platform.Log, incarnation uint64) *node {
+func startNode(log *platform.Log, incarnation uint64) *node {
 	client := logservice.New("http://log", inprocess.Transport{Handler: log.Handler()})
 	virtual := clock.Virtual()
 	created := &node{}
-	now := func() time.Duration { return virtual() + created.slept }
+	now := func() time.Duration { return virtual() + created.clockAdvance }
 	table := lease.New(now)
 	created.follower = stream.New(
-		"Groups.test", table.Fold(), stream.Read(client.Read), stream.Append(client.Append), stream.Clock(now),
+		"Groups.test", table.StateMachine(), stream.Read(client.Read), stream.Append(client.Append), stream.Clock(now),
 		stream.Logger(slog.New(slog.NewTextHandler(io.Discard, nil))),
 	)
-	created.Keeper = &lease.Keeper{
+	created.Manager = &lease.Manager{
 		Incarnation: incarnation, Table: table, Now: now, Append: created.follower.Append, Ready: created.follower.Ready,
 	}
 	created.follower.Start()
@@ -53,7 +52,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		log := platform.NewLog()
-		first, second := start(log, 1), start(log, 2)
+		first, second := startNode(log, 1), startNode(log, 2)
 		defer first.follower.Stop()
 		defer second.follower.Stop()
 		time.Sleep(time.Second)
@@ -61,38 +60,37 @@
 	})
 }
 
-// Two nodes both think that a domain is theirs and take its lease at the same
-// moment. At no time may both believe that they hold it.
+// Two nodes acquire the lease of a domain at the same time. They must never both hold it.
 func TestLeaseHasOneHolder(t *testing.T) {
 	withNodes(t, func(g *gomega.WithT, _ *platform.Log, first, second *node) {
 		for range 40 {
-			races := conc.NewWaitGroup()
-			for _, racer := range []*node{first, second} {
-				races.Go(func() {
-					err := racer.Acquire(context.Background(), domain)
+			attempts := conc.NewWaitGroup()
+			for _, contender := range []*node{first, second} {
+				attempts.Go(func() {
+					err := contender.Acquire(context.Background(), domain)
 					g.Expect(err == nil || errors.Is(err, lease.ErrHeld)).To(gomega.BeTrue(), "%v", err)
 				})
 			}
-			races.Wait()
+			attempts.Wait()
 			g.Expect(first.Holds(domain) && second.Holds(domain)).To(gomega.BeFalse())
 			time.Sleep(700 * time.Millisecond)
 		}
 	})
 }
 
-// The log is slow: the lease's append takes most of its time. The holder counts
-// from before it sent the append, the other from after it read it, so the
-// holder has stopped when the other may begin.
+// The log is slow, and appending the lease record takes most of the lease. The holder counts from before the append, and
+// the other node counts from after it read the record. The lease must have expired at the holder when the other node
+// acquires it.
 func TestSlowAppendShortensTheHoldersLease(t *testing.T) {
 	withNodes(t, func(g *gomega.WithT, log *platform.Log, first, second *node) {
 		log.SetFaults(platform.LogFaults{LatencyMs: 2500})
-		began := time.Now()
+		start := time.Now()
 		err := first.Acquire(context.Background(), domain)
 		log.SetFaults(platform.LogFaults{})
 		if err == nil {
 			g.Expect(first.Holds(domain)).To(gomega.BeTrue())
 		}
-		for time.Since(began) < 25*time.Second {
+		for time.Since(start) < 25*time.Second {
 			if second.Acquire(context.Background(), domain) == nil {
 				break
 			}
@@ -100,24 +98,23 @@
 		}
 		g.Expect(second.Holds(domain)).To(gomega.BeTrue())
 		g.Expect(first.Holds(domain)).To(gomega.BeFalse())
-		g.Expect(time.Since(began)).To(gomega.BeNumerically(">", lease.Duration))
+		g.Expect(time.Since(start)).To(gomega.BeNumerically(">", lease.Duration))
 	})
 }
 
-// The holder's machine sleeps past the lease's end. On waking it must not act
-// as if it still held it, although little time has passed for the process.
-func TestHolderThatSleptHasLostItsLease(t *testing.T) {
+// The holder's machine sleeps until after the lease has expired. When it wakes, the holder must not give orders, although
+// little time has passed for its process.
+func TestLeaseExpiresWhileMachineSleeps(t *testing.T) {
 	withNodes(t, func(g *gomega.WithT, _ *platform.Log, first, _ *node) {
 		g.Expect(first.Acquire(context.Background(), domain)).To(gomega.Succeed())
 		g.Expect(first.Holds(domain)).To(gomega.BeTrue())
-		first.slept += lease.Duration
+		first.clockAdvance += lease.Duration
 		g.Expect(first.Holds(domain)).To(gomega.BeFalse())
 	})
 }
 
-// The log is dark. Nobody can take or renew a lease, and the one that was held
-// ends.
-func TestDarkLogEndsLeases(t *testing.T) {
+// While the log is unavailable, no node can acquire or renew a lease, and a held lease expires.
+func TestLeaseExpiresWhileLogIsUnavailable(t *testing.T) {
 	withNodes(t, func(g *gomega.WithT, log *platform.Log, first, second *node) {
 		g.Expect(first.Acquire(context.Background(), domain)).To(gomega.Succeed())
 		log.SetFaults(platform.LogFaults{Dark: true})
@@ -128,10 +125,9 @@
 	})
 }
 
-// A node was paused between deciding to take a lease and its append. Meanwhile
-// another took it. The late record was written over a term that is no longer
-// the latest and must be void, or both would hold the lease.
-func TestLateClaimIsVoid(t *testing.T) {
+// A node is paused between deciding to acquire a lease and appending its record, and another node acquires the lease
+// meanwhile. The late record names an outdated base term and must be rejected, or both nodes would hold the lease.
+func TestLateLeaseRecordIsRejected(t *testing.T) {
 	withNodes(t, func(g *gomega.WithT, log *platform.Log, first, second *node) {
 		g.Expect(first.Acquire(context.Background(), domain)).To(gomega.Succeed())
 		late, err := proto.Marshal(&record.GroupRecord{Kind: &record.GroupRecord_Lease{Lease: &record.Lease{
@@ -140,11 +136,11 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		log.Append("Groups.test", late)
 		time.Sleep(time.Second)
-		for _, reader := range []*node{first, second} {
-			entry, known := reader.Table.Lookup(domain)
+		for _, node := range []*node{first, second} {
+			entry, known := node.Table.Lookup(domain)
 			g.Expect(known).To(gomega.BeTrue())
 			g.Expect(entry.Lease.Holder).To(gomega.Equal(uint64(1)))
-			g.Expect(reader.Table.State().Void).To(gomega.Equal(uint64(1)))
+			g.Expect(node.Table.State().Void).To(gomega.Equal(uint64(1)))
 		}
 	})
 }
--- a/internal/state/stream/checkpoint.go
+++ b/internal/state/stream/checkpoint.go
@@ -1,12 +1,11 @@
 package stream
 
-// MaybeCheckpoint writes a checkpoint when enough was folded, or enough time
-// has passed, since the last one. The node whose duty it is calls it now and
-// then; two nodes that both do so write two checkpoints, which is harmless.
+// MaybeCheckpoint writes a checkpoint if enough records were applied, or enough time has passed, since the last one. The
+// node that is responsible for checkpoints calls it periodically. If two nodes do, they write two checkpoints, which is
+// harmless.
 //
-// A record expires unread if no checkpoint stands for it by then, and a node
-// that starts would miss an accepted change; a checkpoint an hour, against a
-// retention of many hours, keeps well ahead of that.
+// If records expire before a checkpoint covers them, a node that starts later misses accepted changes. The log retains
+// records for many hours, so one checkpoint an hour is well in time.
 func (follower *Follower) MaybeCheckpoint() error {
 	if !follower.checkpointDue() {
 		return nil
@@ -15,7 +14,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := follower.Context(checkpointBudget)
+	ctx, cancel := follower.Context(checkpointTimeout)
 	defer cancel()
 	if err := follower.appendParts(ctx, body); err != nil {
 		return err
@@ -29,14 +28,14 @@
 func (follower *Follower) snapshot() ([]byte, error) {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
-	return follower.fold.Snapshot(follower.next)
+	return follower.stateMachine.Snapshot(follower.next)
 }
 
 func (follower *Follower) checkpointDue() bool {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
-	if !follower.complete || !follower.caughtUp || follower.dark || follower.sinceMark == 0 {
+	if !follower.complete || !follower.caughtUp || follower.logUnavailable || follower.sinceCheckpoint == 0 {
 		return false
 	}
-	return follower.sinceMark >= checkpointEvery || follower.now()-follower.lastMark >= checkpointAfter
+	return follower.sinceCheckpoint >= checkpointRecords || follower.now()-follower.lastCheckpoint >= checkpointInterval
 }
--- a/internal/state/stream/fuzz_test.go
+++ b/internal/state/stream/fuzz_test.go
@@ -13,12 +13,11 @@
 	"hazelslip/internal/state/stream"
 )
 
-// FuzzFolds feeds a record of any bytes to every fold, as a log or a peer could
-// hand it over. Whatever it is, the follower must go on to the next offset, and
-// what it says must be fit for use.
+// FuzzFolds applies a record with arbitrary bytes to every state machine, as the log or a peer could deliver it. The
+// follower must go on to the next offset, and the resulting state must be valid.
 //
-// The fuzzer found a checkpoint with an entry that nobody had claimed: a record
-// that is valid protobuf and ended every node that read it.
+// The fuzzer found a checkpoint with an entry without an intent: a record that is valid protobuf and crashed every node
+// that read it.
 func FuzzFolds(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{0})
@@ -28,15 +27,15 @@
 		quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 		now := func() time.Duration { return time.Hour }
 		classes := class.New()
-		for _, fold := range []stream.Fold{classes.Fold(), booking.NewTable(time.Hour).Fold(), lease.New(now).Fold()} {
-			follower := stream.New("any", fold, stream.Logger(quiet), stream.Clock(now))
-			follower.Offer(stream.Relayed{Records: []logservice.Record{{Offset: 0, Body: body}, {Offset: 1, Body: body}}})
+		for _, stateMachine := range []stream.StateMachine{classes.StateMachine(), booking.NewTable(time.Hour).StateMachine(), lease.New(now).StateMachine()} {
+			follower := stream.New("any", stateMachine, stream.Logger(quiet), stream.Clock(now))
+			follower.ApplyFetched(stream.FetchReply{Records: []logservice.Record{{Offset: 0, Body: body}, {Offset: 1, Body: body}}})
 			if follower.Next() != 2 {
-				t.Fatalf("stopped at %d", follower.Next())
+				t.Fatalf("the follower stopped at offset %d", follower.Next())
 			}
-			follower.Offer(stream.Relayed{Snapshot: body, SnapshotNext: 5})
-			if _, err := fold.Snapshot(5); err != nil {
-				t.Fatalf("what was folded cannot be written back: %v", err)
+			follower.ApplyFetched(stream.FetchReply{Snapshot: body, SnapshotNext: 5})
+			if _, err := stateMachine.Snapshot(5); err != nil {
+				t.Fatalf("the state cannot be encoded as a checkpoint: %v", err)
 			}
 		}
 		for _, name := range classes.Snapshot().Names() {
--- a/internal/state/stream/parts.go
+++ b/internal/state/stream/parts.go
@@ -10,29 +10,27 @@
 )
 
 const (
-	// partMarker begins the record of a part. A protobuf message cannot begin
-	// with it: there is no field 0.
+	// partMarker is the first byte of a record that holds a part of a checkpoint. A protobuf message cannot begin with it,
+	// because there is no field 0.
 	partMarker = 0x00
-	// partBytes is how much of a checkpoint goes into one record. The log
-	// refuses records over its limit, and a checkpoint that could never be
-	// written would leave nodes that start without history once the older
-	// records have expired.
-	partBytes    = 1 << 20
-	partsPending = 4
+	// maxPartBytes is the largest part of a checkpoint in one record. The log refuses records above its size limit. If a
+	// checkpoint could never be written, starting nodes would have no history once older records have expired.
+	maxPartBytes          = 1 << 20
+	maxPendingCheckpoints = 4
 )
 
-// appendParts writes a checkpoint in as many records as it needs.
+// appendParts appends a checkpoint in as many records as it needs.
 func (follower *Follower) appendParts(ctx context.Context, body []byte) error {
-	if len(body) <= partBytes {
+	if len(body) <= maxPartBytes {
 		_, err := follower.append(ctx, follower.Name, body)
 		return err
 	}
-	count := (len(body) + partBytes - 1) / partBytes
+	count := (len(body) + maxPartBytes - 1) / maxPartBytes
 	id := rand.Uint64()
 	for index := range count {
 		part, err := proto.Marshal(&record.CheckpointPart{
 			ID: id, Index: uint32(index), Count: uint32(count),
-			Body: body[index*partBytes : min(len(body), (index+1)*partBytes)],
+			Body: body[index*maxPartBytes : min(len(body), (index+1)*maxPartBytes)],
 		})
 		if err != nil {
 			return err
@@ -44,16 +42,16 @@
 	return nil
 }
 
-// parts collects checkpoints that come in pieces. Pieces of a checkpoint whose
-// writer died half way are dropped when enough others have begun.
-type parts struct {
+// partAssembler reassembles checkpoints from their parts. If the writer of a checkpoint dies before the last part, the
+// parts are dropped when maxPendingCheckpoints others have begun after it.
+type partAssembler struct {
 	pending map[uint64][][]byte
 	order   []uint64
 }
 
-// join returns a record as it is or, with the last piece of a checkpoint, the
-// whole of it. Whole is false while pieces are missing.
-func (parts *parts) join(body []byte) (joined []byte, whole bool) {
+// add returns the body of a record that is not a part of a checkpoint unchanged. With the last missing part of a
+// checkpoint it returns the whole checkpoint. Otherwise it returns complete as false.
+func (assembler *partAssembler) add(body []byte) (checkpoint []byte, complete bool) {
 	if len(body) == 0 || body[0] != partMarker {
 		return body, true
 	}
@@ -61,33 +59,35 @@
 	if err := proto.Unmarshal(body[1:], part); err != nil || part.Count == 0 || part.Index >= part.Count || part.Count > maxParts {
 		return body, true
 	}
-	pieces := parts.begin(part)
-	pieces[part.Index] = part.Body
-	for _, piece := range pieces {
-		if piece == nil {
+	parts := assembler.partsOf(part)
+	parts[part.Index] = part.Body
+	for _, partBody := range parts {
+		if partBody == nil {
 			return nil, false
 		}
-		joined = append(joined, piece...)
+		checkpoint = append(checkpoint, partBody...)
 	}
-	delete(parts.pending, part.ID)
-	return joined, true
+	delete(assembler.pending, part.ID)
+	return checkpoint, true
 }
 
+// maxParts bounds the number of parts of a checkpoint that is read.
 const maxParts = 1024
 
-func (parts *parts) begin(part *record.CheckpointPart) [][]byte {
-	if parts.pending == nil {
-		parts.pending = map[uint64][][]byte{}
+// partsOf returns the slice that collects the parts of a checkpoint.
+func (assembler *partAssembler) partsOf(part *record.CheckpointPart) [][]byte {
+	if assembler.pending == nil {
+		assembler.pending = map[uint64][][]byte{}
 	}
-	if pieces, ok := parts.pending[part.ID]; ok && len(pieces) == int(part.Count) {
-		return pieces
+	if parts, ok := assembler.pending[part.ID]; ok && len(parts) == int(part.Count) {
+		return parts
 	}
-	pieces := make([][]byte, part.Count)
-	parts.pending[part.ID] = pieces
-	parts.order = append(parts.order, part.ID)
-	if len(parts.order) > partsPending {
-		delete(parts.pending, parts.order[0])
-		parts.order = parts.order[1:]
+	parts := make([][]byte, part.Count)
+	assembler.pending[part.ID] = parts
+	assembler.order = append(assembler.order, part.ID)
+	if len(assembler.order) > maxPendingCheckpoints {
+		delete(assembler.pending, assembler.order[0])
+		assembler.order = assembler.order[1:]
 	}
-	return pieces
+	return parts
 }
--- a/internal/state/stream/stream.go
+++ b/internal/state/stream/stream.go
@@ -1,16 +1,13 @@
-// Package stream follows one stream of the platform's log and folds its
-// records, in the order of their offsets, into state.
+// Package stream follows one stream of the platform's log and applies its records to a state machine in offset order.
 //
-// Every node folds the same records to the same state, so the log alone
-// decides; a Follower only decides how the records reach the fold. It reads
-// from the log, takes relayed records from peers when the log is out of reach,
-// starts from a checkpoint where older records have expired, and never steps
-// back: not for a stale replica of the log, not for a peer that lags, and not
-// for a log that comes back empty.
+// All nodes apply the same records and reach the same state, so only the log decides. A Follower decides how the records
+// get to the state machine. It reads them from the log, fetches them from peers while the log is unavailable, and starts
+// from a checkpoint if older records have expired. It never returns to an older state, even if a replica of the log is
+// stale, a peer lags or the log comes back empty.
 //
 // # Usage
 //
-//	follower := stream.New("Config", fold, stream.Read(client.Read), stream.Append(client.Append))
+//	follower := stream.New("Config", stateMachine, stream.Read(client.Read), stream.Append(client.Append))
 //	follower.Start()
 //	offset, err := follower.Append(ctx, body)
 //	<-follower.Advanced()
@@ -31,41 +28,39 @@
 )
 
 const (
-	pageRecords      = 512
-	readWait         = 2 * time.Second
-	retryFirst       = 100 * time.Millisecond
-	retryMost        = 2 * time.Second
-	recentRecords    = 4096
-	recentBytes      = 1 << 20
-	resetAfter       = 5 * time.Second
-	checkpointEvery  = 1000
-	checkpointAfter  = time.Hour
-	checkpointBudget = 5 * time.Second
+	maxPageRecords     = 512
+	longPollWait       = 2 * time.Second
+	minRetryDelay      = 100 * time.Millisecond
+	maxRetryDelay      = 2 * time.Second
+	maxRecentRecords   = 4096
+	maxRecentBytes     = 1 << 20
+	resetDelay         = 5 * time.Second
+	checkpointRecords  = 1000
+	checkpointInterval = time.Hour
+	checkpointTimeout  = 5 * time.Second
 )
 
-// ErrNotReady means that the stream's history is not known yet.
+// ErrNotReady means that the history of the stream is not known yet.
 var ErrNotReady = errors.New("the stream's history is not known yet")
 
-// Decoded is one record that a fold has understood.
+// Decoded is a decoded record.
 type Decoded struct {
-	// Checkpoint marks a record that stands for everything before Through.
+	// Checkpoint marks a record that replaces all records before the offset Through.
 	Checkpoint bool
 	Through    uint64
-	// Apply folds the record. It is called once, in the order of offsets.
+	// Apply applies the record to the state. It is called at most once per record, in offset order.
 	Apply func(offset uint64)
 }
 
-// Fold is the state that a stream's records are folded into.
-type Fold struct {
-	// Decode understands a record without changing anything. A record that
-	// cannot be decoded is skipped by every node alike.
+// StateMachine is the state that the records of a stream are applied to.
+type StateMachine struct {
+	// Decode decodes a record without changing the state. All nodes skip a record that cannot be decoded.
 	Decode func(body []byte) (Decoded, error)
-	// Snapshot returns a checkpoint record of the state, which holds every
-	// record before the offset through.
+	// Snapshot returns a checkpoint record of the state, which covers all records before the offset through.
 	Snapshot func(through uint64) ([]byte, error)
 }
 
-// State is what a Follower shows in the state dump.
+// State is the part of a Follower in the state dump.
 type State struct {
 	Stream      string
 	Next        uint64
@@ -81,48 +76,47 @@
 	QuietSince  time.Duration
 }
 
-// Follower folds one stream.
+// Follower applies one stream to a state machine.
 type Follower struct {
 	*lifecycle.Part
-	// Name is the stream's.
-	Name   string
-	fold   Fold
-	read   func(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (logservice.Page, error)
-	append func(ctx context.Context, stream string, body []byte) (uint64, error)
-	now    clock.Now
-	logger *slog.Logger
-
-	mu       sync.Mutex
-	next     uint64
-	complete bool
-	caughtUp bool
-	dark     bool
-	lastRead time.Duration
-	behindAt time.Duration
-	recent   []logservice.Record
-	held     int
-	advanced chan struct{}
-	// gathered holds what was read since gatheredFrom, while no checkpoint
-	// tells what came before it.
-	gathered     []gatheredRecord
-	gatheredFrom uint64
-	// folded is set once this follower's state holds every record before next.
-	folded     bool
-	parts      parts
-	sinceMark  int
-	lastMark   time.Duration
-	statistics State
+	// Name is the name of the stream.
+	Name         string
+	stateMachine StateMachine
+	read         func(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (logservice.Page, error)
+	append       func(ctx context.Context, stream string, body []byte) (uint64, error)
+	now          clock.Now
+	logger       *slog.Logger
+
+	mu             sync.Mutex
+	next           uint64
+	complete       bool
+	caughtUp       bool
+	logUnavailable bool
+	lastRead       time.Duration
+	behindSince    time.Duration
+	recent         []logservice.Record
+	recentSize     int
+	advanced       chan struct{}
+	// buffered holds the records that were read from bufferedFrom on, until a checkpoint covers the records before it.
+	buffered     []bufferedRecord
+	bufferedFrom uint64
+	// hasState is set once the state includes all records before next.
+	hasState        bool
+	assembler       partAssembler
+	sinceCheckpoint int
+	lastCheckpoint  time.Duration
+	statistics      State
 }
 
-// Option changes how a Follower is built.
+// Option configures a Follower.
 type Option func(*Follower)
 
-// Read sets how the log is read. Without it the follower lives on its peers.
+// Read sets the function that reads the log. Without it, the follower gets records only from peers.
 func Read(read func(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (logservice.Page, error)) Option {
 	return func(follower *Follower) { follower.read = read }
 }
 
-// Append sets how records are appended.
+// Append sets the function that appends records to the log.
 func Append(write func(ctx context.Context, stream string, body []byte) (uint64, error)) Option {
 	return func(follower *Follower) { follower.append = write }
 }
@@ -137,28 +131,29 @@
 	return func(follower *Follower) { follower.logger = logger }
 }
 
-// New returns a follower that has read nothing.
-func New(name string, fold Fold, options ...Option) *Follower {
+// New returns a follower that has read no record.
+func New(name string, stateMachine StateMachine, options ...Option) *Follower {
 	follower := &Follower{
-		Part: lifecycle.New("stream"), Name: name, fold: fold, now: clock.Boot,
+		Part: lifecycle.New("stream"), Name: name, stateMachine: stateMachine, now: clock.Boot,
 		logger: slog.Default(), advanced: make(chan struct{}),
 	}
 	for _, option := range options {
 		option(follower)
 	}
-	follower.lastMark = follower.now()
+	follower.lastCheckpoint = follower.now()
 	return follower
 }
 
-// Start begins to follow the log.
+// Start starts to follow the log.
 func (follower *Follower) Start() {
 	if follower.read != nil {
 		follower.Go(follower.follow)
 	}
 }
 
+// follow reads the log until the follower stops. After a failed read it waits, up to maxRetryDelay.
 func (follower *Follower) follow() {
-	retry := retryFirst
+	retryDelay := minRetryDelay
 	for {
 		select {
 		case <-follower.Stopping:
@@ -166,96 +161,98 @@
 		default:
 		}
 		if err := follower.readOnce(); err != nil {
-			follower.goDark(err)
-			if !follower.Sleep(retry) {
+			follower.markLogUnavailable(err)
+			if !follower.Sleep(retryDelay) {
 				return
 			}
-			retry = min(2*retry, retryMost)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 			continue
 		}
-		retry = retryFirst
+		retryDelay = minRetryDelay
 	}
 }
 
+// readOnce reads and applies one page of the log.
 func (follower *Follower) readOnce() error {
 	follower.mu.Lock()
-	from, wait := follower.next, readWait
+	from, wait := follower.next, longPollWait
 	if follower.lastRead == 0 {
-		// The first read tells whether the stream is empty; a node that starts
-		// should not wait for a record to find that out.
+		// The first read only tells whether the stream is empty. A starting node must not wait for a new record to learn
+		// that.
 		wait = 0
 	}
 	follower.mu.Unlock()
 	ctx, cancel := follower.Context(wait + 5*time.Second)
 	defer cancel()
-	page, err := follower.read(ctx, follower.Name, from, pageRecords, wait)
+	page, err := follower.read(ctx, follower.Name, from, maxPageRecords, wait)
 	if err != nil {
 		select {
 		case <-follower.Stopping:
-			// The read was ended by the shutdown; the log is not to blame.
+			// The read was cancelled by the shutdown, so the log is not unavailable.
 			return nil
 		default:
 			return err
 		}
 	}
 	if page.Next < from {
-		return follower.behind(ctx, page)
+		return follower.handleLogBehind(ctx, page)
 	}
-	follower.take(page)
+	follower.applyPage(page)
 	return nil
 }
 
-func (follower *Follower) goDark(err error) {
+func (follower *Follower) markLogUnavailable(err error) {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
-	if !follower.dark {
-		follower.logger.Warn("stream: the log does not answer.", "Stream", follower.Name, "Error", err.Error())
+	if !follower.logUnavailable {
+		follower.logger.Warn("stream: the log cannot be read.", "Stream", follower.Name, "Error", err.Error())
 	}
-	follower.dark = true
+	follower.logUnavailable = true
 }
 
-// take folds a page that reaches at least as far as what was folded before.
-func (follower *Follower) take(page logservice.Page) {
+// applyPage applies a page of records that ends at or after the last applied record.
+func (follower *Follower) applyPage(page logservice.Page) {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
-	follower.behindAt = 0
-	follower.dark = false
+	follower.behindSince = 0
+	follower.logUnavailable = false
 	follower.lastRead = follower.now()
 	if page.Earliest > follower.next {
-		// The records in between have expired unread. Only a checkpoint can
-		// stand for them, so what follows waits for one.
+		// The records in between have expired unread. Only a checkpoint can replace them, so later records are buffered
+		// until there is one.
 		follower.next, follower.complete = page.Earliest, false
-		follower.gathered, follower.gatheredFrom = nil, page.Earliest
-		follower.recent, follower.held = nil, 0
+		follower.buffered, follower.bufferedFrom = nil, page.Earliest
+		follower.recent, follower.recentSize = nil, 0
 	} else if follower.next == 0 {
 		follower.complete = true
 	}
 	for _, record := range page.Records {
-		follower.applyLocked(record)
+		follower.processLocked(record)
 	}
 	if follower.complete && follower.next >= page.Next {
 		follower.caughtUp = true
 	}
-	follower.announceLocked()
+	follower.notifyLocked()
 }
 
-func (follower *Follower) announceLocked() {
+// notifyLocked closes the channel that Advanced returned.
+func (follower *Follower) notifyLocked() {
 	close(follower.advanced)
 	follower.advanced = make(chan struct{})
 }
 
-// applyLocked folds one record if it is the next one.
-func (follower *Follower) applyLocked(record logservice.Record) {
+// processLocked decodes a record if it is the next one, and applies or buffers it.
+func (follower *Follower) processLocked(record logservice.Record) {
 	if record.Offset != follower.next {
 		return
 	}
 	follower.next++
-	follower.keepLocked(record)
-	body, whole := follower.parts.join(record.Body)
-	if !whole {
+	follower.retainRecentLocked(record)
+	body, complete := follower.assembler.add(record.Body)
+	if !complete {
 		return
 	}
-	decoded, err := follower.fold.Decode(body)
+	decoded, err := follower.stateMachine.Decode(body)
 	if err != nil {
 		follower.statistics.Undecodable++
 		follower.logger.Warn("stream: a record cannot be decoded and is skipped.",
@@ -263,100 +260,97 @@
 		return
 	}
 	if !follower.complete {
-		follower.gatherLocked(record.Offset, decoded)
+		follower.bufferLocked(record.Offset, decoded)
 		return
 	}
-	follower.foldLocked(record.Offset, decoded)
+	follower.applyDecodedLocked(record.Offset, decoded)
 }
 
-// foldLocked folds one record. A follower that has folded everything before a
-// checkpoint learns nothing from it and passes it over: what ended between the
-// checkpoint's state and its record would come back with it, on this node and
-// not on those that start from it. Only a checkpoint that was written to a log
-// that lost its records (through 0) can bring news.
-func (follower *Follower) foldLocked(offset uint64, decoded Decoded) {
-	follower.sinceMark++
+// applyDecodedLocked applies one record. A follower that has applied all records before a checkpoint skips the checkpoint.
+// If an entry ended between the snapshot and the record of the checkpoint, applying it would bring the entry back on this
+// node, but not on nodes that start from the checkpoint. Only a checkpoint that was appended to a log that lost its
+// records (with Through 0) can hold new state.
+func (follower *Follower) applyDecodedLocked(offset uint64, decoded Decoded) {
+	follower.sinceCheckpoint++
 	if decoded.Checkpoint {
-		follower.sinceMark, follower.lastMark = 0, follower.now()
+		follower.sinceCheckpoint, follower.lastCheckpoint = 0, follower.now()
 	}
-	if decoded.Checkpoint && decoded.Through > 0 && follower.folded {
+	if decoded.Checkpoint && decoded.Through > 0 && follower.hasState {
 		return
 	}
-	follower.folded = true
+	follower.hasState = true
 	decoded.Apply(offset)
 	follower.statistics.Applied++
 }
 
-// gatherLocked holds records until a checkpoint tells what came before them.
+// bufferLocked buffers records until a checkpoint covers the records before them.
 //
-// A checkpoint's state is taken a moment before it is appended, so a record
-// can come to stand between the two. It is before the checkpoint on the log
-// and yet not in it; a node that took the checkpoint as standing for all
-// before its own offset would miss an accepted change for good. The checkpoint
-// therefore says through which offset it was taken, and what was gathered from
-// there on is folded after it.
-func (follower *Follower) gatherLocked(offset uint64, decoded Decoded) {
+// The snapshot of a checkpoint is taken shortly before the checkpoint is appended, so another record can get between them.
+// That record is before the checkpoint on the log but not part of its state. A node that treated the checkpoint as
+// covering everything before its own offset would miss an accepted change forever. The checkpoint therefore contains the
+// offset Through up to which its state goes, and buffered records from that offset on are applied after it.
+func (follower *Follower) bufferLocked(offset uint64, decoded Decoded) {
 	if !decoded.Checkpoint {
-		follower.gathered = append(follower.gathered, gatheredRecord{offset: offset, decoded: decoded})
+		follower.buffered = append(follower.buffered, bufferedRecord{offset: offset, decoded: decoded})
 		return
 	}
-	if decoded.Through < follower.gatheredFrom {
+	if decoded.Through < follower.bufferedFrom {
 		return
 	}
-	follower.complete, follower.folded = true, false
-	follower.foldLocked(offset, decoded)
-	for _, earlier := range follower.gathered {
-		if earlier.offset >= decoded.Through {
-			follower.foldLocked(earlier.offset, earlier.decoded)
+	follower.complete, follower.hasState = true, false
+	follower.applyDecodedLocked(offset, decoded)
+	for _, record := range follower.buffered {
+		if record.offset >= decoded.Through {
+			follower.applyDecodedLocked(record.offset, record.decoded)
 		}
 	}
-	follower.gathered = nil
+	follower.buffered = nil
 }
 
-type gatheredRecord struct {
+type bufferedRecord struct {
 	offset  uint64
 	decoded Decoded
 }
 
-// keepLocked holds recent records for peers that cannot read the log.
-func (follower *Follower) keepLocked(record logservice.Record) {
+// retainRecentLocked keeps recent records for peers that cannot read the log.
+func (follower *Follower) retainRecentLocked(record logservice.Record) {
 	follower.recent = append(follower.recent, record)
-	follower.held += len(record.Body)
+	follower.recentSize += len(record.Body)
 	drop := 0
-	for len(follower.recent)-drop > recentRecords || (follower.held > recentBytes && len(follower.recent)-drop > 1) {
-		follower.held -= len(follower.recent[drop].Body)
+	for len(follower.recent)-drop > maxRecentRecords || (follower.recentSize > maxRecentBytes && len(follower.recent)-drop > 1) {
+		follower.recentSize -= len(follower.recent[drop].Body)
 		drop++
 	}
 	follower.recent = follower.recent[drop:]
 }
 
-// Append adds a record to the stream and returns its offset.
+// Append appends a record to the stream and returns its offset.
 func (follower *Follower) Append(ctx context.Context, body []byte) (uint64, error) {
 	return follower.append(ctx, follower.Name, body)
 }
 
-// Advanced returns a channel that closes when more was folded.
+// Advanced returns a channel that is closed when more records have been applied.
 func (follower *Follower) Advanced() <-chan struct{} {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
 	return follower.advanced
 }
 
-// Ready reports whether the stream's history is known.
+// Ready reports whether the history of the stream is known and was applied.
 func (follower *Follower) Ready() bool {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
 	return follower.complete && follower.caughtUp
 }
 
-// Dark reports whether the log failed to answer the last read.
-func (follower *Follower) Dark() bool {
+// LogUnavailable reports whether the last read of the log failed.
+func (follower *Follower) LogUnavailable() bool {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
-	return follower.dark
+	return follower.logUnavailable
 }
 
-// Next is the offset that would be folded next.
+// Next returns the offset of the next record to apply.
 func (follower *Follower) Next() uint64 {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
@@ -369,7 +363,7 @@
 	defer follower.mu.Unlock()
 	state := follower.statistics
 	state.Stream, state.Next, state.Complete = follower.Name, follower.next, follower.complete
-	state.CaughtUp, state.LogDark = follower.caughtUp, follower.dark
+	state.CaughtUp, state.LogDark = follower.caughtUp, follower.logUnavailable
 	state.QuietSince = follower.now() - follower.lastRead
 	return state
 }
