--- a/internal/fleet/follower/era_test.go
+++ b/internal/fleet/follower/era_test.go
@@ -43,5 +43,5 @@
 	next := storelog.Position{Era: 1, Offset: 9}
 	expect.Expect(sameEra(storelog.Position{Offset: 7}, next)).To(gomega.MatchError(store.ErrExpired))
 	expect.Expect(sameEra(storelog.Position{Era: 1, Offset: 7}, next)).To(gomega.Succeed())
-	expect.Expect(sameEra(storelog.Nowhere, next)).To(gomega.Succeed())
+	expect.Expect(sameEra(storelog.Unknown, next)).To(gomega.Succeed())
 }
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -176,7 +176,7 @@
 
 // followConfiguration keeps the configuration up to date from the store.
 func (follower *Follower) followConfiguration() {
-	position := storelog.Nowhere
+	position := storelog.Unknown
 	checked := time.Duration(0)
 	for {
 		if !follower.asks(checked) && !follower.hinted.Swap(false) {
@@ -191,7 +191,7 @@
 		next, err := follower.readConfiguration(position)
 		switch {
 		case errors.Is(err, store.ErrExpired) && position.Known():
-			next = storelog.Nowhere
+			next = storelog.Unknown
 		case err != nil:
 			if !rest.Wait(follower.Part) {
 				return
@@ -236,7 +236,7 @@
 	standing := follower.Standing()
 	if standing.Role == overlay.Starting {
 		// Requests may come before a node that starts again is ready.
-		return !follower.FirstStart && !follower.Configuration.Load().Known() && now-follower.startedAt > startPatience
+		return !follower.FirstStart && !follower.Configuration.Load().HasVersion() && now-follower.startedAt > startPatience
 	}
 	sinceChecked := time.Duration(0)
 	if checked > 0 {
@@ -248,7 +248,7 @@
 // lookPause is how long it takes until the node looks again: short while it has no
 // configuration and refuses its callers.
 func (follower *Follower) lookPause() time.Duration {
-	if follower.Configuration.Load().Known() {
+	if follower.Configuration.Load().HasVersion() {
 		return informedLook
 	}
 	return startLook
@@ -308,7 +308,7 @@
 		follower.Logger.Error("gateway: a configuration can't be read.", "Source", source, "Error", err.Error())
 		return
 	}
-	if !follower.Configuration.Offer(decoded) {
+	if !follower.Configuration.StoreIfNewer(decoded) {
 		return
 	}
 	follower.Logger.Info("gateway: a configuration is in force.", "ConfigurationVersion", decoded.Version, "Source", source,
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -100,7 +100,7 @@
 func (follower *Follower) listFrom(settling bool) storelog.Position {
 	snapshot := follower.Servers.Load()
 	if !snapshot.Known() || follower.listExpired.Load() || settling {
-		return storelog.Nowhere
+		return storelog.Unknown
 	}
 	return snapshot.End
 }
--- a/internal/fleet/formation/form.go
+++ b/internal/fleet/formation/form.go
@@ -217,7 +217,7 @@
 func (former *Former) formTime(name string) time.Duration {
 	for _, service := range former.Services() {
 		if service.Name == name {
-			return service.Engine.FormTime
+			return service.Engine.FormationTime
 		}
 	}
 	return 0
--- a/internal/fleet/formation/formation_test.go
+++ b/internal/fleet/formation/formation_test.go
@@ -28,7 +28,7 @@
 
 func engine() *configuration.Engine {
 	return &configuration.Engine{
-		Slots: 16, LoadsPerSecond: 5, LoadsAtOnce: 7, FormTime: 300 * time.Millisecond,
+		Slots: 16, LoadsPerSecond: 5, LoadsAtOnce: 7, FormationTime: 300 * time.Millisecond,
 		Models: []configuration.Model{
 			{Name: "large", Size: 4, Share: 0.5, Pace: 1, LoadTime: 16 * time.Second, WarmupTime: 1600 * time.Millisecond},
 			{Name: "small", Size: 2, Share: 0.5, Pace: 0.6, LoadTime: 12 * time.Second, WarmupTime: 1100 * time.Millisecond},
--- a/internal/fleet/formation/schedules_test.go
+++ b/internal/fleet/formation/schedules_test.go
@@ -60,7 +60,7 @@
 	claims.mu.Lock()
 	defer claims.mu.Unlock()
 	if claims.away {
-		return storelog.Nowhere, errNoStore
+		return storelog.Unknown, errNoStore
 	}
 	claims.held = append(claims.held, holder)
 	return storelog.Position{Era: claims.era, Offset: int64(len(claims.held)) - 1}, nil
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -178,7 +178,7 @@
 	for _, option := range options {
 		option(list)
 	}
-	list.snapshot.Store(&Snapshot{End: storelog.Nowhere, ReadAt: -1, Servers: map[string]*Server{}, ByService: map[string][]*Server{}})
+	list.snapshot.Store(&Snapshot{End: storelog.Unknown, ReadAt: -1, Servers: map[string]*Server{}, ByService: map[string][]*Server{}})
 	return list
 }
 
@@ -222,7 +222,7 @@
 	}
 	held := list.snapshot.Load()
 	next := &Snapshot{
-		End: storelog.Furthest(held.End, reading.End), ReadAt: max(reading.ReadAt, held.ReadAt),
+		End: storelog.Latest(held.End, reading.End), ReadAt: max(reading.ReadAt, held.ReadAt),
 		Servers: held.Servers, ByService: held.ByService,
 	}
 	if changed {
--- a/internal/fleet/tenure/tenure_test.go
+++ b/internal/fleet/tenure/tenure_test.go
@@ -44,7 +44,7 @@
 		var keeper *tenure.Keeper
 		keeper = tenure.New(7, func() (storelog.Position, error) {
 			keeper.Heard(9000)
-			return storelog.Nowhere, errAway
+			return storelog.Unknown, errAway
 		}, clock.Virtual())
 		keeper.Heard(100)
 		look(keeper, nil, 500*time.Millisecond)
@@ -65,7 +65,7 @@
 func TestHolderStandsDownForAHigherTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		keeper := tenure.New(7, func() (storelog.Position, error) { return storelog.Nowhere, errAway }, clock.Virtual())
+		keeper := tenure.New(7, func() (storelog.Position, error) { return storelog.Unknown, errAway }, clock.Virtual())
 		expect.Expect(look(keeper, nil, time.Second)).To(gomega.BeTrue())
 		keeper.Heard(keeper.Term() + 1)
 		expect.Expect(keeper.Term()).To(gomega.BeZero())
@@ -77,7 +77,7 @@
 func TestRefusedTermIsGivenUpForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		keeper := tenure.New(7, func() (storelog.Position, error) { return storelog.Nowhere, errAway }, clock.Virtual())
+		keeper := tenure.New(7, func() (storelog.Position, error) { return storelog.Unknown, errAway }, clock.Virtual())
 		expect.Expect(look(keeper, nil, time.Second)).To(gomega.BeTrue())
 		first := keeper.Term()
 		keeper.Outdated(first)
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -333,7 +333,7 @@
 	switch {
 	case node.stopping.Load():
 		return errors.New("the node is shutting down")
-	case !node.configuration.Load().Known():
+	case !node.configuration.Load().HasVersion():
 		return errors.New("no configuration is known yet")
 	case !node.servers.Load().Known() && node.peers.rows.Load() == nil:
 		return errors.New("no list of servers is known yet")
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -122,7 +122,7 @@
 	if servers.Known() {
 		metrics.Ages["ServerList"] = node.follower.ListAge().Milliseconds()
 	}
-	if node.configuration.Load().Known() {
+	if node.configuration.Load().HasVersion() {
 		metrics.Ages["Configuration"] = node.follower.ConfigurationAge().Milliseconds()
 	}
 	for pool, targets := range node.board.State() {
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -229,7 +229,7 @@
 
 // fit says whether this node knows what its leaves need.
 func (peers *peers) fit() bool {
-	return peers.node.servers.Load().Known() && peers.node.configuration.Load().Known()
+	return peers.node.servers.Load().Known() && peers.node.configuration.Load().HasVersion()
 }
 
 // changed is told of the node's new role. A leaf doesn't know the servers, and can
--- a/internal/run/gateway/start_test.go
+++ b/internal/run/gateway/start_test.go
@@ -19,7 +19,7 @@
 	node.peers.rows.Store(&rows)
 	node.updateTargets()
 	expect.Expect(node.known).NotTo(gomega.BeClosed())
-	node.configuration.Offer(&configuration.Configuration{Version: 1})
+	node.configuration.StoreIfNewer(&configuration.Configuration{Version: 1})
 	node.updateTargets()
 	expect.Expect(node.known).To(gomega.BeClosed())
 }
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -84,9 +84,9 @@
 // claim gets this node a place in the store's order of terms.
 func (node *Node) claim() (storelog.Position, error) {
 	if node.storeCalls.FailuresInRow() >= awayAfter {
-		return storelog.Nowhere, errStoreAway
+		return storelog.Unknown, errStoreAway
 	}
-	place := storelog.Nowhere
+	place := storelog.Unknown
 	err := node.callStore(node.storeCalls.BeginWrite("claim"), storeTimeout, func(ctx context.Context) (err error) {
 		if place, err = node.platform.Store.Claim(ctx, node.settings.Name); err != nil {
 			return err
--- a/internal/run/gateway/work.go
+++ b/internal/run/gateway/work.go
@@ -82,7 +82,7 @@
 	}
 	node.board.Update(pools)
 	// A leaf may be told of the servers before it has the configuration.
-	if len(pools) > 0 && node.configuration.Load().Known() {
+	if len(pools) > 0 && node.configuration.Load().HasVersion() {
 		node.knownOnce.Do(func() { close(node.known) })
 	}
 }
@@ -165,7 +165,7 @@
 		spec.Slots, spec.Pass = service.Engine.Slots, passTime(service.Engine, model)
 		spec.PerToken, spec.PerCall = perToken(service.Engine, model), perCall(service.Engine, model)
 		spec.Turnover = turnover(service.Engine, model)
-		spec.PerPrompt = time.Duration(service.Engine.UsualPrompt) * spec.PerToken
+		spec.PerPrompt = time.Duration(service.Engine.MeanPromptTokens) * spec.PerToken
 		return spec, true
 	}
 	return spec, false
@@ -193,7 +193,7 @@
 
 // turnover is how long it takes a full group until a place comes free.
 func turnover(engine *configuration.Engine, model configuration.Model) time.Duration {
-	passes := float64(engine.UsualAnswer) / float64(max(1, engine.StepsPerPass))
+	passes := float64(engine.MeanCompletionTokens) / float64(max(1, engine.StepsPerPass))
 	return time.Duration(passes * float64(passTime(engine, model)) / float64(max(1, engine.Slots)))
 }
 
--- a/internal/serve/forward/demand_test.go
+++ b/internal/serve/forward/demand_test.go
@@ -16,7 +16,7 @@
 	now := clock.Virtual()
 	held := demand.New(demand.Clock(now))
 	table := configuration.NewTable()
-	table.Offer(&configuration.Configuration{Version: 1, Services: []configuration.Service{
+	table.StoreIfNewer(&configuration.Configuration{Version: 1, Services: []configuration.Service{
 		{Name: "drafts", Engine: &configuration.Engine{Models: []configuration.Model{{Name: "large"}}}},
 	}})
 	return &exchange{
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	now := clock.Virtual()
 	made := &pair{rig: newRig(t, 0, handler), ways: reach.New(reach.Clock(now)), table: configuration.NewTable()}
-	made.table.Offer(rigConfiguration())
+	made.table.StoreIfNewer(rigConfiguration())
 	second := made.handler.(*forward.Forwarder)
 	made.serve(t, inwardAddress, second.Inward())
 	made.own = dispatch.New(dispatch.Clock(now), dispatch.Ways(made.ways))
@@ -105,7 +105,7 @@
 	made := rigConfiguration()
 	made.Version = number
 	change(made)
-	table.Offer(made)
+	table.StoreIfNewer(made)
 }
 
 // through asks the first node.
--- a/internal/serve/forward/exchange.go
+++ b/internal/serve/forward/exchange.go
@@ -100,7 +100,7 @@
 	request := exchange.request
 	exchange.awaitReady()
 	exchange.snapshot = exchange.forwarder.Configuration.Load()
-	if !exchange.snapshot.Known() {
+	if !exchange.snapshot.HasVersion() {
 		exchange.refuse(NoConfiguration, retryUnknown, "no configuration is known yet")
 		return false
 	}
--- a/internal/serve/forward/pick_test.go
+++ b/internal/serve/forward/pick_test.go
@@ -24,7 +24,7 @@
 	board.Update(map[string][]dispatch.Spec{PoolName("drafts", "large"): {{ID: "a", Group: "g", Slots: 8, Pass: 40 * time.Millisecond}}})
 	board.PeerLoads(map[string]dispatch.Share{"a": {Calls: 8 + streamBeyond}})
 	table := configuration.NewTable()
-	table.Offer(&configuration.Configuration{Version: 1, Services: []configuration.Service{{Name: "drafts", Engine: &configuration.Engine{}}}})
+	table.StoreIfNewer(&configuration.Configuration{Version: 1, Services: []configuration.Service{{Name: "drafts", Engine: &configuration.Engine{}}}})
 	return &exchange{
 		forwarder: &Forwarder{Parts: Parts{Board: board, Quarantine: quarantine.New(), Now: now}}, inbound: httptest.NewRequest(http.MethodPost, "/", nil),
 		request: &Request{Model: "large"}, snapshot: table.Load(), service: "drafts",
--- a/internal/serve/forward/rig_test.go
+++ b/internal/serve/forward/rig_test.go
@@ -64,7 +64,7 @@
 		forward.PoolName("writers", "m"): {{ID: "s", Group: "g", Address: serverAddress, Slots: 1000, Pass: 40 * time.Millisecond}},
 	})
 	table := configuration.NewTable()
-	table.Offer(rigConfiguration())
+	table.StoreIfNewer(rigConfiguration())
 	dial := rig.wires.Dialer("node")
 	rig.pool = backendserver.New(backendserver.Codec{
 		Encode: func(call *backendserver.Call) http.Header { return call.Header },
--- a/internal/serve/forward/stream.go
+++ b/internal/serve/forward/stream.go
@@ -95,7 +95,7 @@
 		exchange.asked = true
 		defer board.Asked(pool, rank)
 	}
-	if !exchange.snapshot.Ranked(exchange.service) || exchange.request.Continues {
+	if !exchange.snapshot.PrioritizesStreams(exchange.service) || exchange.request.Continues {
 		return dispatch.Overload{}, false
 	}
 	return board.Sheds(pool, rank, dispatch.Wish{Regions: exchange.regions})
--- a/internal/standin/backends/backends.go
+++ b/internal/standin/backends/backends.go
@@ -296,7 +296,7 @@
 	switch {
 	case group.rank != 0 || group.state != roster.Open:
 		return Shut
-	case world.now() < group.openAt+world.engine.FormTime:
+	case world.now() < group.openAt+world.engine.FormationTime:
 		return Shut
 	case !world.whole(group):
 		return Still
--- a/internal/state/configuration/configuration.go
+++ b/internal/state/configuration/configuration.go
@@ -1,15 +1,14 @@
-// Package configuration holds what the operator has put in force: routes,
-// services with the models that they run, workspaces with their keys, limits.
+// Package configuration holds the configuration that the operator put in force: routes, services with their models,
+// workspaces with their keys, and limits.
 //
-// A Configuration is immutable once it was offered to a Table. A request reads
-// the Table's Snapshot, an index over one Configuration behind an atomic
-// pointer, and takes no lock. A Table never goes back to an older version in
-// one run of the process, however late or out of order versions arrive.
+// A Configuration must not be changed once it was passed to a Table. Requests read the Table's Snapshot, an index of one
+// Configuration behind an atomic pointer, without taking a lock. While the process runs, a Table never returns to an older
+// version, even if versions arrive late or out of order.
 //
 // # Usage
 //
 //	table := configuration.NewTable()
-//	table.Offer(newest)
+//	table.StoreIfNewer(newest)
 //	route, ok := table.Load().Match("example.org", "/drafts/7")
 package configuration
 
@@ -17,54 +16,50 @@
 	"time"
 )
 
-// Kind says whether a request may be sent to a second backend server after the
-// first may have run it.
+// Kind decides whether a request may be sent to a second backend server after the first may have run it.
 type Kind int
 
-// The kinds of a route.
+// Kinds of routes.
 const (
-	// NonIdempotent requests run at most once. It is the zero value, so that a
-	// route whose kind is not understood is never repeated.
+	// NonIdempotent requests run at most once. It is the zero value, so that requests of a route with an unknown kind are
+	// never sent twice.
 	NonIdempotent Kind = iota
 	Idempotent
-	// Streaming answers are series of events. Whether one may be taken up by
-	// another server is told by Route.Resumable.
+	// Streaming responses are series of events. Route.Resumable says whether another server may continue a stream.
 	Streaming
 )
 
-// Route leads requests of one host and path prefix to services.
+// Route maps the requests of one host and path prefix to services.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest that a request may be kept waiting; 0 is no limit.
+	// Timeout is the longest time that a request may be kept waiting, or 0 for no limit.
 	Timeout time.Duration
-	// Target is the time to the answer, or to a stream's first event, within
-	// which the answer is worth most.
+	// Target is the time in which the response, or the first event of a stream, should arrive.
 	Target time.Duration
-	// PauseTarget is the longest pause between two events of a stream that is
-	// still on time.
+	// PauseTarget is the longest time between two events of a stream that still meets the target.
 	PauseTarget time.Duration
-	// Priority is the rank among routes, 0 the most urgent.
+	// Priority is the rank among routes. 0 is the most urgent.
 	Priority int
 	Services []WeightedService
-	// MaxAttempts bounds the backend servers that one request may be sent to.
+	// MaxAttempts is the largest number of backend servers that one request may be sent to.
 	MaxAttempts int
-	// Anonymous routes ask for no key.
+	// Anonymous routes accept requests without a key.
 	Anonymous bool
 	// Resumable streams may be continued by another server.
 	Resumable bool
-	// Regions are those to whose servers its requests may go; none bind nothing.
+	// Regions are the regions whose servers may run the requests. If empty, servers of all regions may.
 	Regions []string
 }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (route *Route) Repeatable() bool {
 	return route.Kind == Idempotent || (route.Kind == Streaming && route.Resumable)
 }
 
-// WeightedService is one of the services of a route, with its share.
+// WeightedService is a service of a route and its weight among the services of the route.
 type WeightedService struct {
 	Name   string
 	Weight int
@@ -75,58 +70,56 @@
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// ColdTime is for how long a server is cold after its start, and ColdPerSecond how many
-	// requests a second one bears meanwhile; 0 where servers are never cold.
+	// ColdTime is how long a server is cold after its start. ColdPerSecond is the number of requests a second that a cold
+	// server can take. Both are 0 if servers are never cold.
 	ColdTime      time.Duration
 	ColdPerSecond float64
-	// Engine is nil for a plain service.
+	// Engine is nil for a service without model engines.
 	Engine *Engine
 }
 
-// Engine is the timing and the limits of a service's model engines. Times are
-// those of a group whose model has the pace 1.
+// Engine holds the timing and the limits of the model engines of a service. Times apply to a group whose model has a Pace
+// of 1.
 type Engine struct {
-	// Slots is how many requests a group runs at once.
+	// Slots is the number of requests that a group runs concurrently.
 	Slots      int
 	KVCapacity int
 	Models     []Model
-	// StepTime is what one token step takes, plus SequenceTime for each
-	// request that is writing.
+	// StepTime is the base time of a token step. Each request that is generating tokens adds SequenceTime.
 	StepTime     time.Duration
 	SequenceTime time.Duration
-	// StepsPerPass is how many token steps are done between two looks at what
-	// waits.
+	// StepsPerPass is the number of token steps of a forward pass. Waiting requests are admitted between passes.
 	StepsPerPass int
-	// PrefillPerSecond is how many prompt tokens are read in a second.
+	// PrefillPerSecond is the number of prompt tokens that are prefilled per second.
 	PrefillPerSecond float64
-	// ReportLag is how old the figures of a server's report are.
+	// ReportLag is the age of the figures in a server's report.
 	ReportLag time.Duration
-	// LoadsPerSecond and LoadsAtOnce bound loads from the weight store.
+	// LoadsPerSecond and LoadsAtOnce limit the rate and the concurrency of model loads from the weight store.
 	LoadsPerSecond float64
 	LoadsAtOnce    int
-	// FormTime passes between the order to serve and the first request taken.
-	FormTime time.Duration
-	// UsualPrompt and UsualAnswer are mean token counts.
-	UsualPrompt int
-	UsualAnswer int
+	// FormationTime is the time from the order to serve until a group accepts its first request.
+	FormationTime time.Duration
+	// MeanPromptTokens and MeanCompletionTokens are the mean token counts of a prompt and of a completion.
+	MeanPromptTokens     int
+	MeanCompletionTokens int
 }
 
-// Model is one model that a service's engines can run.
+// Model is one model that the engines of a service can run.
 type Model struct {
 	Name string
-	// Size is how many backend servers one replica spans.
+	// Size is the number of backend servers of one replica.
 	Size int
-	// Share is the model's part of the work when the deployment starts.
+	// Share is the model's share of the requests when the deployment starts.
 	Share float64
-	// Pace multiplies all times of a group with this model.
+	// Pace is the pace factor: it multiplies all times of a group that runs this model.
 	Pace float64
-	// LoadTime is what loading from the weight store takes, WarmupTime what
-	// starting from the host takes.
+	// LoadTime is the time to load the model from the weight store. WarmupTime is the time to start a model that is staged
+	// on the host.
 	LoadTime   time.Duration
 	WarmupTime time.Duration
 }
 
-// Model returns the model of that name.
+// Model returns the model with a name.
 func (engine *Engine) Model(name string) (Model, bool) {
 	for _, model := range engine.Models {
 		if model.Name == name {
@@ -136,18 +129,18 @@
 	return Model{}, false
 }
 
-// Workspace is a customer with the keys that stand for it.
+// Workspace is a customer and its API keys.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority goes before a route's where HasPriority is set.
+	// Priority overrides the priority of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Regions are those to whose servers its requests may go; none bind nothing.
+	// Regions are the regions whose servers may run the requests. If empty, servers of all regions may.
 	Regions []string
 }
 
-// Limits bounds what a caller may send.
+// Limits holds the limits on what a caller may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -155,7 +148,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Configuration is one version of everything that the operator states.
+// Configuration is one version of the configuration that the operator sets.
 type Configuration struct {
 	Version    int64
 	Routes     []Route
--- a/internal/state/configuration/table.go
+++ b/internal/state/configuration/table.go
@@ -9,49 +9,51 @@
 	"sync/atomic"
 )
 
-// Snapshot is an index over one Configuration. It is never changed.
+// Snapshot is an index of one Configuration. It is immutable.
 type Snapshot struct {
 	Configuration *Configuration
 
 	byHost     map[string][]*Route
 	services   map[string]*Service
 	workspaces map[string]*Workspace
-	// digests are the workspaces by the digests of their keys, worked out when one is first asked for.
-	digests func() map[string]*Workspace
-	// ranked are the services whose streaming routes the operator gave different priorities.
-	ranked map[string]bool
+	// byDigest returns the workspaces by the digests of their keys, which are computed on the first call.
+	byDigest func() map[string]*Workspace
+	// prioritizesStreams holds the services whose streaming routes have different priorities.
+	prioritizesStreams map[string]bool
 }
 
-func index(configuration *Configuration) *Snapshot {
+// newSnapshot builds the index of a configuration. Routes of a host are sorted by the length of their path prefix,
+// longest first.
+func newSnapshot(configuration *Configuration) *Snapshot {
 	snapshot := &Snapshot{
-		Configuration: configuration,
-		byHost:        map[string][]*Route{},
-		services:      make(map[string]*Service, len(configuration.Services)),
-		workspaces:    make(map[string]*Workspace, len(configuration.Workspaces)),
-		ranked:        ranked(configuration),
+		Configuration:      configuration,
+		byHost:             map[string][]*Route{},
+		services:           make(map[string]*Service, len(configuration.Services)),
+		workspaces:         make(map[string]*Workspace, len(configuration.Workspaces)),
+		prioritizesStreams: servicesWithStreamPriorities(configuration),
 	}
-	for number := range configuration.Routes {
-		route := &configuration.Routes[number]
+	for index := range configuration.Routes {
+		route := &configuration.Routes[index]
 		snapshot.byHost[route.Host] = append(snapshot.byHost[route.Host], route)
 	}
 	for _, routes := range snapshot.byHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].PathPrefix) > len(routes[j].PathPrefix) })
 	}
-	for number := range configuration.Services {
-		snapshot.services[configuration.Services[number].Name] = &configuration.Services[number]
+	for index := range configuration.Services {
+		snapshot.services[configuration.Services[index].Name] = &configuration.Services[index]
 	}
-	for number := range configuration.Workspaces {
-		workspace := &configuration.Workspaces[number]
+	for index := range configuration.Workspaces {
+		workspace := &configuration.Workspaces[index]
 		for _, key := range workspace.Keys {
 			snapshot.workspaces[key] = workspace
 		}
 	}
-	snapshot.digests = sync.OnceValue(snapshot.digest)
+	snapshot.byDigest = sync.OnceValue(snapshot.indexByDigest)
 	return snapshot
 }
 
-// digest works out the digests of all keys.
-func (snapshot *Snapshot) digest() map[string]*Workspace {
+// indexByDigest computes the digests of all keys.
+func (snapshot *Snapshot) indexByDigest() map[string]*Workspace {
 	digests := make(map[string]*Workspace, len(snapshot.workspaces))
 	for key, workspace := range snapshot.workspaces {
 		digests[KeyDigest(key)] = workspace
@@ -59,25 +61,25 @@
 	return digests
 }
 
-// KeyDigest is what nodes name a key by to each other: its SHA-256 in hexadecimal.
+// KeyDigest returns the SHA-256 digest of a key in hexadecimal. Nodes identify keys to each other by this digest.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// WorkspaceByDigest returns the workspace that holds the key with a digest.
+// WorkspaceByDigest returns the workspace of the key with a digest.
 func (snapshot *Snapshot) WorkspaceByDigest(digest string) (*Workspace, bool) {
-	workspace, ok := snapshot.digests()[digest]
+	workspace, ok := snapshot.byDigest()[digest]
 	return workspace, ok
 }
 
-// Known says whether any version was ever taken.
-func (snapshot *Snapshot) Known() bool {
+// HasVersion reports whether the snapshot holds a version that was put in force.
+func (snapshot *Snapshot) HasVersion() bool {
 	return snapshot.Configuration.Version > 0
 }
 
-// Match returns the route of a request: the longest prefix of its path among
-// the routes of its host. The path is without the query.
+// Match returns the route of a request: among the routes of the host, the one with the longest prefix of the path. The
+// path must not contain the query.
 func (snapshot *Snapshot) Match(host, path string) (*Route, bool) {
 	for _, route := range snapshot.byHost[host] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -87,65 +89,64 @@
 	return nil, false
 }
 
-// Service returns the service of that name.
+// Service returns the service with a name.
 func (snapshot *Snapshot) Service(name string) (*Service, bool) {
 	service, ok := snapshot.services[name]
 	return service, ok
 }
 
-// Workspace returns the workspace that holds the key.
+// Workspace returns the workspace of a key.
 func (snapshot *Snapshot) Workspace(key string) (*Workspace, bool) {
 	workspace, ok := snapshot.workspaces[key]
 	return workspace, ok
 }
 
-// Table holds the newest version that this process has seen.
+// Table holds the newest version of the configuration that this process has read.
 type Table struct {
 	snapshot atomic.Pointer[Snapshot]
 }
 
-// NewTable returns a table that knows no version.
+// NewTable returns a table without a version.
 func NewTable() *Table {
 	table := &Table{}
-	table.snapshot.Store(index(&Configuration{}))
+	table.snapshot.Store(newSnapshot(&Configuration{}))
 	return table
 }
 
-// Load returns the newest version.
+// Load returns the snapshot of the newest version.
 func (table *Table) Load() *Snapshot {
 	return table.snapshot.Load()
 }
 
-// Offer puts a version in force if it is newer than what the table holds, and
-// says whether it did. A version from a stale read of the store or from a peer
-// that lags must not undo a newer one: a caller whose key was taken away would
-// be let in again.
-func (table *Table) Offer(configuration *Configuration) bool {
-	offered := index(configuration)
+// StoreIfNewer puts a version in force if it is newer than the current one, and reports whether it did. A version from a
+// stale read of the store or from a lagging peer must not replace a newer one. Otherwise, a caller whose key was revoked
+// would be admitted again.
+func (table *Table) StoreIfNewer(configuration *Configuration) bool {
+	candidate := newSnapshot(configuration)
 	for {
-		held := table.snapshot.Load()
-		if configuration.Version <= held.Configuration.Version {
+		current := table.snapshot.Load()
+		if configuration.Version <= current.Configuration.Version {
 			return false
 		}
-		if table.snapshot.CompareAndSwap(held, offered) {
+		if table.snapshot.CompareAndSwap(current, candidate) {
 			return true
 		}
 	}
 }
 
-// ranked returns the services whose streaming routes have different priorities. Priorities of workspaces rank callers
-// of one kind of stream among each other, at the servers.
-func ranked(configuration *Configuration) map[string]bool {
-	first, found := map[string]int{}, map[string]bool{}
-	for number := range configuration.Routes {
-		route := &configuration.Routes[number]
+// servicesWithStreamPriorities returns the services whose streaming routes have different priorities. It ignores the
+// priorities of workspaces, which rank the callers of one kind of stream at the servers.
+func servicesWithStreamPriorities(configuration *Configuration) map[string]bool {
+	priorities, found := map[string]int{}, map[string]bool{}
+	for index := range configuration.Routes {
+		route := &configuration.Routes[index]
 		if route.Kind != Streaming {
 			continue
 		}
 		for _, service := range route.Services {
-			priority, known := first[service.Name]
+			priority, known := priorities[service.Name]
 			if !known {
-				first[service.Name] = route.Priority
+				priorities[service.Name] = route.Priority
 			}
 			found[service.Name] = found[service.Name] || (known && priority != route.Priority)
 		}
@@ -153,7 +154,7 @@
 	return found
 }
 
-// Ranked says whether the operator gave streaming routes of a service different priorities.
-func (snapshot *Snapshot) Ranked(service string) bool {
-	return snapshot.ranked[service]
+// PrioritizesStreams reports whether the streaming routes of a service have different priorities.
+func (snapshot *Snapshot) PrioritizesStreams(service string) bool {
+	return snapshot.prioritizesStreams[service]
 }
--- a/internal/state/storelog/storelog.go
+++ b/internal/state/storelog/storelog.go
@@ -1,44 +1,43 @@
-// Package storelog names places in the logs of the platform's store.
+// Package storelog identifies positions in the logs of the platform's store.
 //
-// The store may come back from an older copy. What was written since the copy is
-// gone, and its offsets are given out again, to other records. An offset alone then
-// names two records, so a place is an offset in an era: the store's eras count how
-// often it came back, and every answer says which one it is of.
+// The store may be restored from an older backup. Records that were written after the backup are then lost, and their
+// offsets are assigned again to other records, so an offset alone is ambiguous. A Position therefore combines an offset
+// with an era. The era counts the restores of the store, and every response of the store contains it.
 //
 // # Usage
 //
-//	from := storelog.Nowhere
+//	from := storelog.Unknown
 //	listing := read(from)
-//	if listing.Next.Era != from.Era { /* what was read before may be gone */ }
+//	if listing.Next.Era != from.Era { /* records that were read before may be lost */ }
 package storelog
 
 import "cmp"
 
-// Position is a place in one log of the store. Two of different eras say nothing of
-// which record was written first; Compare orders them for cursors.
+// Position is a position in one log of the store. Positions of different eras do not tell which record was written
+// first. Compare orders them for use as cursors.
 type Position struct {
-	// Era counts how often the store has come back from an older copy, from 0.
+	// Era counts how often the store was restored from an older backup, starting at 0.
 	Era int64
-	// Offset numbers the records of the log from 0; -1 stands for knowing none.
+	// Offset is the offset of a record, starting at 0, or -1 if no record is known.
 	Offset int64
 }
 
-// Nowhere is the position of a reader that knows nothing.
-var Nowhere = Position{Offset: -1}
+// Unknown is the position of a reader that has read no record.
+var Unknown = Position{Offset: -1}
 
-// Known says whether it is a place.
+// Known reports whether the position has the offset of a record.
 func (position Position) Known() bool {
 	return position.Offset >= 0
 }
 
-// Compare orders positions up to which a log is known: that of a later era is
-// further, whatever its offset.
+// Compare orders the positions up to which readers have read a log. A position of a later era is greater, whatever its
+// offset.
 func Compare(left, right Position) int {
 	return cmp.Or(cmp.Compare(left.Era, right.Era), cmp.Compare(left.Offset, right.Offset))
 }
 
-// Furthest returns the position up to which more is known.
-func Furthest(left, right Position) Position {
+// Latest returns the greater of two positions.
+func Latest(left, right Position) Position {
 	if Compare(left, right) < 0 {
 		return right
 	}
