--- a/internal/state/booking/booking.go
+++ b/internal/state/booking/booking.go
@@ -100,12 +100,14 @@
 	Appends       uint64
 	Entries       uint64
 	AppendsFailed uint64
-	ClaimsLost    uint64
-	Runs          uint64
-	Replays       uint64
-	NotRun        uint64
-	Unknown       uint64
-	Violations    uint64
+	// ClaimsLost counts intents for keys that were already claimed.
+	ClaimsLost uint64
+	Runs       uint64
+	Replays    uint64
+	NotRun     uint64
+	Unknown    uint64
+	// Violations counts calls that were sent twice or without an execution. It must be 0.
+	Violations uint64
 }
 
 // Executor runs the non-idempotent calls of one node.
@@ -181,7 +183,8 @@
 	return result
 }
 
-// execute claims the key of the call, or waits for the execution of this node that does, until there is an outcome.
+// execute runs the call, or waits for the request of this node that already runs a call with the same key. It starts
+// over until there is an outcome.
 func (executor *Executor) execute(ctx context.Context, call Call) Result {
 	for {
 		current, started := executor.startOrJoin(call)
--- a/internal/state/booking/booking_test.go
+++ b/internal/state/booking/booking_test.go
@@ -300,9 +300,9 @@
 	cluster.log.Append(streamName, body)
 }
 
-// With about 16,000 keys a checkpoint exceeded the size limit of a log record. It could never be written, and once older
-// records had expired, a starting node had no history. A large checkpoint must be written in parts, with other records
-// in between.
+// With about 16,000 keys a checkpoint exceeded the size limit of a log record. It could never be written, and once
+// older records had expired, a starting node had no history. A large checkpoint must be written in parts, with other
+// records in between.
 func TestLargeCheckpointIsSplit(t *testing.T) {
 	withCluster(t, 1, func(t *testing.T, g *gomega.WithT, cluster *cluster) {
 		const keys, batchKeys = 30_000, 1000
--- a/internal/state/booking/claim.go
+++ b/internal/state/booking/claim.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// releaseAbandoned releases abandoned claims whose intents have reached the log. The attempt number identifies the claim
-// to release: a later claim of the same key by this incarnation may have run its call, and releasing that claim would
-// let the call run twice.
+// releaseAbandoned releases abandoned claims whose intents have reached the log. The attempt number identifies the
+// claim to release: a later claim of the same key by this incarnation may have run its call, and releasing that claim
+// would let the call run twice.
 func (executor *Executor) releaseAbandoned() {
 	for _, id := range executor.takeReleasable() {
 		executor.writeOutcome(id.key, id.attempt, Result{Outcome: outcome.NotRun})
--- a/internal/state/booking/random_test.go
+++ b/internal/state/booking/random_test.go
@@ -28,9 +28,9 @@
 }
 
 // Callers send requests with the same keys to all nodes concurrently and retry, while nodes are killed and replaced and
-// the log is unavailable, slow, stale or loses its replies. No call may run twice. The call of a request that got NotRun
-// must not have run, and a request that got Run must get the result of the only run. Porcupine checks that the history
-// is linearizable with one register per key.
+// the log is unavailable, slow, stale or loses its replies. No call may run twice. The call of a request that got
+// NotRun must not have run, and a request that got Run must get the result of the only run. Porcupine checks that the
+// history is linearizable with one register per key.
 func TestRandomRunsBookOnce(t *testing.T) {
 	totals := map[outcome.Outcome]int{}
 	for round := range suite.Rounds(20) {
--- a/internal/state/booking/ticket.go
+++ b/internal/state/booking/ticket.go
@@ -26,8 +26,8 @@
 // ErrTooManyTickets means that this node has reached its limit of issued tickets, or no longer issues any.
 var ErrTooManyTickets = errors.New("this node has issued as many tickets as it keeps; try another node")
 
-// tickets holds the keys that only this incarnation may run, in memory. Tickets need neither consensus nor the log: once
-// the process has died, no node may run them.
+// tickets holds the keys that only this incarnation may run, in memory. Tickets need neither consensus nor the log:
+// once the process has died, no node may run them.
 type tickets struct {
 	mu sync.Mutex
 	// closed is set once the tickets were handed over. A call that ran afterwards would be missing from the outcomes
@@ -129,7 +129,8 @@
 	return ticket.execution, true, true
 }
 
-// finishTicket stores the result of the call of a ticket. If the call provably did not run, the ticket can be used again.
+// finishTicket stores the result of the call of a ticket. If the call provably did not run, the ticket can be used
+// again.
 func (executor *Executor) finishTicket(key string, current *execution, result Result) {
 	executor.tickets.mu.Lock()
 	defer executor.tickets.mu.Unlock()
--- a/internal/state/class/class.go
+++ b/internal/state/class/class.go
@@ -1,9 +1,9 @@
 // Package class holds the operators' targets for the classes of work.
 //
 // A Table is the state machine of the stream Config. A change names its class, the revision that it was made from (the
-// base revision) and a change ID. The first valid change to a base revision is accepted. A later change to the same base
-// revision is refused, and its verdict carries the entry in force. The revision of a class only grows, also when the class
-// is deleted. A change that was made from an outdated state is therefore always detected as stale.
+// base revision) and a change ID. The first valid change to a base revision is accepted. A later change to the same
+// base revision is refused, and its verdict carries the entry in force. The revision of a class only grows, also when
+// the class is deleted. A change that was made from an outdated state is therefore always detected as stale.
 //
 // Readers on the request path call Table.Snapshot, which returns an immutable Snapshot without taking a lock.
 //
@@ -72,8 +72,9 @@
 // Verdict is the decision of the state machine about one change.
 type Verdict struct {
 	Accepted bool
+	// Revision is the revision of the class after an accepted change.
 	Revision uint64
-	// InForce is the entry in force whose revision made the change stale.
+	// InForce is the entry in force whose revision made the change stale, or nil if the class was never set.
 	InForce *record.ConfigEntry
 	// Reason says why the change was refused.
 	Reason string
@@ -91,7 +92,8 @@
 	Sequence uint64
 	Classes  int
 	Refused  uint64
-	Reverts  uint64
+	// Reverts counts decreased revisions. It must be 0.
+	Reverts uint64
 }
 
 // Table applies the stream Config.
@@ -159,7 +161,8 @@
 	table.applyAcceptedLocked(current, change, verdict.Revision)
 }
 
-// evaluate decides whether a change is accepted. It depends only on the records, so every node reaches the same verdict.
+// evaluate decides whether a change is accepted. It depends only on the records, so every node reaches the same
+// verdict.
 func evaluate(current *Snapshot, change *record.ConfigChange) Verdict {
 	if err := Check(change); err != nil {
 		return Verdict{Reason: err.Error()}
@@ -187,7 +190,8 @@
 	table.snapshot.Store(&Snapshot{Sequence: current.Sequence + 1, Entries: entries})
 }
 
-// recordVerdictLocked stores the verdict about a change and adds the change to the history. It drops the oldest ones.
+// recordVerdictLocked stores the verdict about a change and adds the change to the history. It drops the oldest
+// verdicts above maxVerdicts and the oldest changes above maxHistoryEvents.
 func (table *Table) recordVerdictLocked(offset uint64, change *record.ConfigChange, verdict Verdict) {
 	table.verdicts[change.ChangeID] = verdict
 	table.verdictOrder = append(table.verdictOrder, change.ChangeID)
--- a/internal/state/class/class_test.go
+++ b/internal/state/class/class_test.go
@@ -98,16 +98,16 @@
 	})
 }
 
-// A node takes the state for a checkpoint, and another change is accepted before the checkpoint is on the log. The change
-// is before the checkpoint on the log but not part of it. A node that starts later must still have it.
+// A node takes the state for a checkpoint, and another change is accepted before the checkpoint is on the log. The
+// change is before the checkpoint on the log but not part of it. A node that starts later must still have it.
 func TestChangeBetweenSnapshotAndCheckpointIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		log := platform.NewLog()
-		early := class.New()
-		apply(t, early, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
+		table := class.New()
+		apply(t, table, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
 		log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
-		checkpoint, err := early.StateMachine().Snapshot(1)
+		checkpoint, err := table.StateMachine().Snapshot(1)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.7), 1, "second"))
 		log.Append(class.StreamName, checkpoint)
@@ -154,9 +154,9 @@
 				Body:   fleet.ChangeBody(fleet.Target(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)),
 			}}})
 		}
-		relayed, err := peer.Fetch(newcomer.NextFetch(), 10)
+		reply, err := peer.Fetch(newcomer.NextFetch(), 10)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		newcomer.ApplyFetched(relayed)
+		newcomer.ApplyFetched(reply)
 		g.Expect(newcomer.Ready()).To(gomega.BeTrue())
 		g.Expect(newcomer.table.Snapshot().Names()).To(gomega.HaveLen(3))
 	})
@@ -202,8 +202,8 @@
 	}
 }
 
-// A newer node wrote a field that this node does not know. The checkpoint of this node must keep the field, or a rolling
-// upgrade would lose it.
+// A newer node wrote a field that this node does not know. The checkpoint of this node must keep the field, or a
+// rolling upgrade would lose it.
 func TestUnknownFieldIsKept(t *testing.T) {
 	g := gomega.NewWithT(t)
 	body := fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "newer")
@@ -233,8 +233,8 @@
 	return true
 }
 
-// Applies random changes, some of them stale, repeated or invalid, with checkpoints in between, and starts a reader at a
-// random offset. The reader must reach the same revisions as the model.
+// Applies random changes, some of them stale, repeated or invalid, with checkpoints in between, and starts a reader at
+// a random offset. The reader must reach the same revisions as the model.
 func TestTableMatchesModel(t *testing.T) {
 	suite.FixRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -301,16 +301,16 @@
 	})
 }
 
-// A peer that was unreachable for a while, or a log that was restored from an older backup, offers an old checkpoint. It
-// must not revert a change that was reported as accepted.
+// A peer that was unreachable for a while, or a log that was restored from an older backup, offers an old checkpoint.
+// It must not revert a change that was reported as accepted.
 func TestOldCheckpointChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := class.New()
 	apply(t, table, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
-	early, err := table.StateMachine().Snapshot(1)
+	oldCheckpoint, err := table.StateMachine().Snapshot(1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	apply(t, table, 1, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.2), 1, "second"))
-	apply(t, table, 2, early)
+	apply(t, table, 2, oldCheckpoint)
 	g.Expect(table.Snapshot().Entries["urgent"].ChangeID).To(gomega.Equal("second"))
 	g.Expect(table.State().Reverts).To(gomega.BeZero())
 }
--- a/internal/state/class/submit.go
+++ b/internal/state/class/submit.go
@@ -26,9 +26,9 @@
 	Follower *stream.Follower
 }
 
-// Submit appends a change and returns its verdict after the follower has applied it. An append alone does not prove that
-// the change is accepted, because an earlier record may have taken the same revision. If the reply to the append is lost,
-// Submit appends the change again with the same change ID.
+// Submit appends a change and returns its verdict after the follower has applied it. An append alone does not prove
+// that the change is accepted, because an earlier record may have taken the same revision. If the reply to the append
+// is lost, Submit appends the change again with the same change ID.
 func (submitter *Submitter) Submit(ctx context.Context, change *record.ConfigChange) (Verdict, error) {
 	if err := Check(change); err != nil {
 		return Verdict{Reason: err.Error()}, nil
--- a/internal/state/configuration/configuration.go
+++ b/internal/state/configuration/configuration.go
@@ -1,9 +1,9 @@
 // Package configuration holds the configuration that the operator put in force: routes, services with their models,
 // workspaces with their keys, and limits.
 //
-// A Configuration must not be changed once it was passed to a Table. Requests read the Table's Snapshot, an index of one
-// Configuration behind an atomic pointer, without taking a lock. While the process runs, a Table never returns to an older
-// version, even if versions arrive late or out of order.
+// A Configuration must not be changed once it was passed to a Table. Requests read the Table's Snapshot, an index of
+// one Configuration behind an atomic pointer, without taking a lock. While the process runs, a Table never returns to
+// an older version, even if versions arrive late or out of order.
 //
 // # Usage
 //
@@ -21,8 +21,8 @@
 
 // Kinds of routes.
 const (
-	// NonIdempotent requests run at most once. It is the zero value, so that requests of a route with an unknown kind are
-	// never sent twice.
+	// NonIdempotent requests run at most once. It is the zero value, so that requests of a route with an unknown kind
+	// are never sent twice.
 	NonIdempotent Kind = iota
 	Idempotent
 	// Streaming responses are series of events. Route.Resumable says whether another server may continue a stream.
@@ -70,16 +70,16 @@
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// ColdTime is how long a server is cold after its start. ColdPerSecond is the number of requests a second that a cold
-	// server can take. Both are 0 if servers are never cold.
+	// ColdTime is how long a server is cold after its start. ColdPerSecond is the number of requests a second that a
+	// cold server can take. Both are 0 if servers are never cold.
 	ColdTime      time.Duration
 	ColdPerSecond float64
 	// Engine is nil for a service without model engines.
 	Engine *Engine
 }
 
-// Engine holds the timing and the limits of the model engines of a service. Times apply to a group whose model has a Pace
-// of 1.
+// Engine holds the timing and the limits of the model engines of a service. Times apply to a group whose model has a
+// Pace of 1.
 type Engine struct {
 	// Slots is the number of requests that a group runs concurrently.
 	Slots      int
@@ -113,8 +113,8 @@
 	Share float64
 	// Pace is the pace factor: it multiplies all times of a group that runs this model.
 	Pace float64
-	// LoadTime is the time to load the model from the weight store. WarmupTime is the time to start a model that is staged
-	// on the host.
+	// LoadTime is the time to load the model from the weight store. WarmupTime is the time to start a model that is
+	// staged on the host.
 	LoadTime   time.Duration
 	WarmupTime time.Duration
 }
--- a/internal/state/configuration/stream_priorities_test.go
+++ b/internal/state/configuration/stream_priorities_test.go
@@ -6,8 +6,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Streams must not be shed by priority if the operator gave them all the same priority, and different priorities must be
-// detected. Only streaming routes of the service itself count.
+// Streams must not be shed by priority if the operator gave them all the same priority, and different priorities must
+// be detected. Only streaming routes of the service itself count.
 func TestStreamPrioritiesOfServices(t *testing.T) {
 	route := func(name string, kind Kind, priority int, service string) Route {
 		return Route{Name: name, Host: "h", PathPrefix: "/" + name + "/", Kind: kind, Priority: priority, Services: []WeightedService{{Name: service, Weight: 1}}}
--- a/internal/state/configuration/table.go
+++ b/internal/state/configuration/table.go
@@ -118,9 +118,9 @@
 	return table.snapshot.Load()
 }
 
-// StoreIfNewer puts a version in force if it is newer than the current one, and reports whether it did. A version from a
-// stale read of the store or from a lagging peer must not replace a newer one. Otherwise, a caller whose key was revoked
-// would be admitted again.
+// StoreIfNewer puts a version in force if it is newer than the current one, and reports whether it did. A version from
+// a stale read of the store or from a lagging peer must not replace a newer one. Otherwise, a caller whose key was
+// revoked would be admitted again.
 func (table *Table) StoreIfNewer(configuration *Configuration) bool {
 	candidate := newSnapshot(configuration)
 	for {
--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -1,11 +1,11 @@
 // Package lease decides which node may give orders to backend servers that ignore fencing tokens, and keeps a
 // history of what was done to replica groups and why.
 //
-// A Table is the state machine of a data centre's Groups stream. A lease record names the term that it follows (the base
-// term). The first lease record for a base term is accepted and starts the next term. The state machine itself uses no
-// time, and nodes share no clock: the holder counts its lease from before it sent the record, and all other nodes count
-// from after they read it. The holder therefore always stops first. All nodes count boot time, which continues while a
-// machine sleeps.
+// A Table is the state machine of a data centre's Groups stream. A lease record names the term that it follows (the
+// base term). The first lease record for a base term is accepted and starts the next term. The state machine itself
+// uses no time, and nodes share no clock: the holder counts its lease from before it sent the record, and all other
+// nodes count from after they read it. The holder therefore always stops first. All nodes count boot time, which
+// continues while a machine sleeps.
 //
 // A node acquires a lease only when it has to give an order, and does not renew it while there are no orders. An idle
 // domain therefore causes no appends.
@@ -43,8 +43,9 @@
 type State struct {
 	Sequence uint64
 	Leases   []*record.LeaseEntry
-	Void     uint64
-	Events   int
+	// Void counts the lease records that were rejected.
+	Void   uint64
+	Events int
 }
 
 // Table applies a data centre's Groups stream.
--- a/internal/state/lease/lease_test.go
+++ b/internal/state/lease/lease_test.go
@@ -24,7 +24,8 @@
 
 const domain = "fabric"
 
-// node is a lease.Manager with its follower. clockAdvance moves its clock ahead, as boot time does while a machine sleeps.
+// node is a lease.Manager with its follower. clockAdvance moves its clock ahead, as boot time does while a machine
+// sleeps.
 type node struct {
 	*lease.Manager
 	follower     *stream.Follower
@@ -78,9 +79,9 @@
 	})
 }
 
-// The log is slow, and appending the lease record takes most of the lease. The holder counts from before the append, and
-// the other node counts from after it read the record. The lease must have expired at the holder when the other node
-// acquires it.
+// The log is slow, and appending the lease record takes most of the lease. The holder counts from before the append,
+// and the other node counts from after it read the record. The lease must have expired at the holder when the other
+// node acquires it.
 func TestSlowAppendShortensTheHoldersLease(t *testing.T) {
 	withNodes(t, func(g *gomega.WithT, log *platform.Log, first, second *node) {
 		log.SetFaults(platform.LogFaults{LatencyMs: 2500})
@@ -102,8 +103,8 @@
 	})
 }
 
-// The holder's machine sleeps until after the lease has expired. When it wakes, the holder must not give orders, although
-// little time has passed for its process.
+// The holder's machine sleeps until after the lease has expired. When it wakes, the holder must not give orders,
+// although little time has passed for its process.
 func TestLeaseExpiresWhileMachineSleeps(t *testing.T) {
 	withNodes(t, func(g *gomega.WithT, _ *platform.Log, first, _ *node) {
 		g.Expect(first.Acquire(context.Background(), domain)).To(gomega.Succeed())
--- a/internal/state/lease/manager.go
+++ b/internal/state/lease/manager.go
@@ -15,8 +15,8 @@
 const (
 	// Duration is how long a lease lasts.
 	Duration = 10 * time.Second
-	// expiryMargin is the last part of a lease, in which its holder gives no more orders. An order that the holder sends
-	// just before that arrives before another node may give orders.
+	// expiryMargin is the last part of a lease, in which its holder gives no more orders. An order that the holder
+	// sends just before that arrives before another node may give orders.
 	expiryMargin = 3 * time.Second
 	// readBackTimeout is how long Acquire waits to read its own record back from the stream.
 	readBackTimeout      = 3 * time.Second
--- a/internal/state/storelog/storelog.go
+++ b/internal/state/storelog/storelog.go
@@ -36,7 +36,7 @@
 	return cmp.Or(cmp.Compare(left.Era, right.Era), cmp.Compare(left.Offset, right.Offset))
 }
 
-// Latest returns the greater of two positions.
+// Latest returns the later of two positions, in the order of Compare.
 func Latest(left, right Position) Position {
 	if Compare(left, right) < 0 {
 		return right
--- a/internal/state/stream/checkpoint.go
+++ b/internal/state/stream/checkpoint.go
@@ -1,8 +1,8 @@
 package stream
 
-// MaybeCheckpoint writes a checkpoint if enough records were applied, or enough time has passed, since the last one. The
-// node that is responsible for checkpoints calls it periodically. If two nodes do, they write two checkpoints, which is
-// harmless.
+// MaybeCheckpoint writes a checkpoint if enough records were applied, or enough time has passed, since the last one.
+// The node that is responsible for checkpoints calls it periodically. If two nodes do, they write two checkpoints,
+// which is harmless.
 //
 // If records expire before a checkpoint covers them, a node that starts later misses accepted changes. The log retains
 // records for many hours, so one checkpoint an hour is well in time.
--- a/internal/state/stream/fetch.go
+++ b/internal/state/stream/fetch.go
@@ -4,8 +4,8 @@
 	"hazelslip/internal/peer/logservice"
 )
 
-// FetchReply is the reply of a node to a peer that fetches a part of a stream. The records are contiguous. If the node no
-// longer holds the requested record, Snapshot is a checkpoint that covers all records before SnapshotNext.
+// FetchReply is the reply of a node to a peer that fetches a part of a stream. The records are contiguous. If the node
+// no longer holds the requested record, Snapshot is a checkpoint that covers all records before SnapshotNext.
 type FetchReply struct {
 	Records      []logservice.Record
 	Snapshot     []byte
@@ -105,8 +105,8 @@
 	}
 }
 
-// MarkEmpty marks the stream as known to be empty. Callers use it if a peer that follows the stream has applied no record
-// either.
+// MarkEmpty marks the stream as known to be empty. Callers use it if a peer that follows the stream has applied no
+// record either.
 func (follower *Follower) MarkEmpty() {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
--- a/internal/state/stream/logreset.go
+++ b/internal/state/stream/logreset.go
@@ -32,7 +32,8 @@
 	return follower.rewriteLog(ctx, page)
 }
 
-// isStaleReplica reports whether the last record of a log that ends too early is the one that was applied at its offset.
+// isStaleReplica reports whether the last record of a log that ends too early is the one that was applied at its
+// offset.
 func (follower *Follower) isStaleReplica(ctx context.Context, page logservice.Page) (bool, error) {
 	if page.Next == 0 || page.Next == page.Earliest {
 		return false, nil
@@ -58,8 +59,8 @@
 	complete := follower.complete
 	follower.mu.Unlock()
 	if complete {
-		// The offsets of the old log do not apply to this one. A checkpoint with offset 0 makes nodes also apply the records
-		// that others have already appended to it.
+		// The offsets of the old log do not apply to this one. A checkpoint with offset 0 makes nodes also apply the
+		// records that others have already appended to it.
 		body, err := follower.stateMachine.Snapshot(0)
 		if err != nil {
 			return errors.Wrap(err, "take a snapshot for a log that lost its records")
--- a/internal/state/stream/parts.go
+++ b/internal/state/stream/parts.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// partMarker is the first byte of a record that holds a part of a checkpoint. A protobuf message cannot begin with it,
-	// because there is no field 0.
+	// partMarker is the first byte of a record that holds a part of a checkpoint. A protobuf message cannot begin with
+	// it, because there is no field 0.
 	partMarker = 0x00
-	// maxPartBytes is the largest part of a checkpoint in one record. The log refuses records above its size limit. If a
-	// checkpoint could never be written, starting nodes would have no history once older records have expired.
+	// maxPartBytes is the largest part of a checkpoint in one record. The log refuses records above its size limit. If
+	// a checkpoint could never be written, starting nodes would have no history once older records have expired.
 	maxPartBytes          = 1 << 20
 	maxPendingCheckpoints = 4
 )
--- a/internal/state/stream/stream.go
+++ b/internal/state/stream/stream.go
@@ -1,9 +1,9 @@
 // Package stream follows one stream of the platform's log and applies its records to a state machine in offset order.
 //
-// All nodes apply the same records and reach the same state, so only the log decides. A Follower decides how the records
-// get to the state machine. It reads them from the log, fetches them from peers while the log is unavailable, and starts
-// from a checkpoint if older records have expired. It never returns to an older state, even if a replica of the log is
-// stale, a peer lags or the log comes back empty.
+// All nodes apply the same records and reach the same state, so only the log decides. A Follower decides how the
+// records get to the state machine. It reads them from the log, fetches them from peers while the log is unavailable,
+// and starts from a checkpoint if older records have expired. It never returns to an older state, even if a replica of
+// the log is stale, a peer lags or the log comes back empty.
 //
 // # Usage
 //
@@ -28,12 +28,14 @@
 )
 
 const (
-	maxPageRecords     = 512
-	longPollWait       = 2 * time.Second
-	minRetryDelay      = 100 * time.Millisecond
-	maxRetryDelay      = 2 * time.Second
-	maxRecentRecords   = 4096
-	maxRecentBytes     = 1 << 20
+	maxPageRecords = 512
+	longPollWait   = 2 * time.Second
+	minRetryDelay  = 100 * time.Millisecond
+	maxRetryDelay  = 2 * time.Second
+	// maxRecentRecords and maxRecentBytes bound the records that are retained for peers.
+	maxRecentRecords = 4096
+	maxRecentBytes   = 1 << 20
+	// resetDelay is how long a log may be behind before it is considered to have lost its records.
 	resetDelay         = 5 * time.Second
 	checkpointRecords  = 1000
 	checkpointInterval = time.Hour
@@ -62,18 +64,23 @@
 
 // State is the part of a Follower in the state dump.
 type State struct {
-	Stream      string
-	Next        uint64
-	Complete    bool
-	CaughtUp    bool
+	Stream   string
+	Next     uint64
+	Complete bool
+	CaughtUp bool
+	// LogDark is set while the log is unavailable.
 	LogDark     bool
 	Applied     uint64
 	Undecodable uint64
-	Relayed     uint64
-	Resets      uint64
+	// Relayed counts the records that were fetched from peers.
+	Relayed uint64
+	// Resets counts how often the log lost its records.
+	Resets uint64
+	// SteppedBack counts the reads of a log that ended before the records that were already read.
 	SteppedBack uint64
 	Checkpoints uint64
-	QuietSince  time.Duration
+	// QuietSince is the time since the last successful read of the log.
+	QuietSince time.Duration
 }
 
 // Follower applies one stream to a state machine.
@@ -87,16 +94,21 @@
 	now          clock.Now
 	logger       *slog.Logger
 
-	mu             sync.Mutex
-	next           uint64
-	complete       bool
+	mu sync.Mutex
+	// next is the offset of the next record to process.
+	next uint64
+	// complete is set while no record before next is missing.
+	complete bool
+	// caughtUp is set once the follower has reached the end of the log.
 	caughtUp       bool
 	logUnavailable bool
 	lastRead       time.Duration
-	behindSince    time.Duration
-	recent         []logservice.Record
-	recentSize     int
-	advanced       chan struct{}
+	// behindSince is the time of the first read that found the log behind, or 0.
+	behindSince time.Duration
+	// recent holds the latest records for peers, and recentSize their size in bytes.
+	recent     []logservice.Record
+	recentSize int
+	advanced   chan struct{}
 	// buffered holds the records that were read from bufferedFrom on, until a checkpoint covers the records before it.
 	buffered     []bufferedRecord
 	bufferedFrom uint64
@@ -151,7 +163,8 @@
 	}
 }
 
-// follow reads the log until the follower stops. After a failed read it waits, up to maxRetryDelay.
+// follow reads the log until the follower stops. It waits after each failed read, twice as long each time up to
+// maxRetryDelay.
 func (follower *Follower) follow() {
 	retryDelay := minRetryDelay
 	for {
@@ -177,8 +190,8 @@
 	follower.mu.Lock()
 	from, wait := follower.next, longPollWait
 	if follower.lastRead == 0 {
-		// The first read only tells whether the stream is empty. A starting node must not wait for a new record to learn
-		// that.
+		// The first read only tells whether the stream is empty. A starting node must not wait for a new record to
+		// learn that.
 		wait = 0
 	}
 	follower.mu.Unlock()
@@ -210,7 +223,7 @@
 	follower.logUnavailable = true
 }
 
-// applyPage applies a page of records that ends at or after the last applied record.
+// applyPage applies a page of a log that does not end before the records that were already read.
 func (follower *Follower) applyPage(page logservice.Page) {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
@@ -241,7 +254,7 @@
 	follower.advanced = make(chan struct{})
 }
 
-// processLocked decodes a record if it is the next one, and applies or buffers it.
+// processLocked decodes a record and applies or buffers it. It ignores a record that is not the next one.
 func (follower *Follower) processLocked(record logservice.Record) {
 	if record.Offset != follower.next {
 		return
@@ -266,10 +279,10 @@
 	follower.applyDecodedLocked(record.Offset, decoded)
 }
 
-// applyDecodedLocked applies one record. A follower that has applied all records before a checkpoint skips the checkpoint.
-// If an entry ended between the snapshot and the record of the checkpoint, applying it would bring the entry back on this
-// node, but not on nodes that start from the checkpoint. Only a checkpoint that was appended to a log that lost its
-// records (with Through 0) can hold new state.
+// applyDecodedLocked applies one record. A follower that has applied all records before a checkpoint skips the
+// checkpoint. If an entry ended between the snapshot and the record of the checkpoint, applying it would bring the
+// entry back on this node, but not on nodes that start from the checkpoint. Only a checkpoint that was appended to a
+// log that lost its records (with Through 0) can hold new state.
 func (follower *Follower) applyDecodedLocked(offset uint64, decoded Decoded) {
 	follower.sinceCheckpoint++
 	if decoded.Checkpoint {
@@ -285,10 +298,10 @@
 
 // bufferLocked buffers records until a checkpoint covers the records before them.
 //
-// The snapshot of a checkpoint is taken shortly before the checkpoint is appended, so another record can get between them.
-// That record is before the checkpoint on the log but not part of its state. A node that treated the checkpoint as
-// covering everything before its own offset would miss an accepted change forever. The checkpoint therefore contains the
-// offset Through up to which its state goes, and buffered records from that offset on are applied after it.
+// The snapshot of a checkpoint is taken shortly before the checkpoint is appended, so another record can get between
+// them. That record is before the checkpoint on the log but not part of its state. A node that treated the checkpoint
+// as covering everything before its own offset would miss an accepted change forever. The checkpoint therefore contains
+// the offset Through up to which its state goes, and buffered records from that offset on are applied after it.
 func (follower *Follower) bufferLocked(offset uint64, decoded Decoded) {
 	if !decoded.Checkpoint {
 		follower.buffered = append(follower.buffered, bufferedRecord{offset: offset, decoded: decoded})
@@ -336,7 +349,7 @@
 	return follower.advanced
 }
 
-// Ready reports whether the history of the stream is known and was applied.
+// Ready reports whether the follower has applied the whole history of the stream.
 func (follower *Follower) Ready() bool {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
