--- a/internal/fleet/follower/era_test.go
+++ b/internal/fleet/follower/era_test.go
@@ -43,5 +43,5 @@
 	next := storelog.Position{Era: 1, Offset: 9}
 	expect.Expect(checkSameEra(storelog.Position{Offset: 7}, next)).To(gomega.MatchError(store.ErrExpired))
 	expect.Expect(checkSameEra(storelog.Position{Era: 1, Offset: 7}, next)).To(gomega.Succeed())
-	expect.Expect(checkSameEra(storelog.Nowhere, next)).To(gomega.Succeed())
+	expect.Expect(checkSameEra(storelog.Unknown, next)).To(gomega.Succeed())
 }
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -175,7 +175,7 @@
 
 // followConfiguration keeps the configuration up to date from the store.
 func (follower *Follower) followConfiguration() {
-	position := storelog.Nowhere
+	position := storelog.Unknown
 	askedAt := time.Duration(0)
 	for {
 		if !follower.shouldAsk(askedAt) && !follower.storeHinted.Swap(false) {
@@ -190,7 +190,7 @@
 		next, err := follower.readConfiguration(position)
 		switch {
 		case errors.Is(err, store.ErrExpired) && position.Known():
-			next = storelog.Nowhere
+			next = storelog.Unknown
 		case err != nil:
 			if !rest.Wait(follower.Part) {
 				return
@@ -235,7 +235,7 @@
 	policy := follower.ReadPolicy()
 	if policy.Role == overlay.Starting {
 		// Requests may arrive before a restarting node is ready.
-		return !follower.FirstStart && !follower.Configuration.Load().Known() && now-follower.startedAt > startupReadDelay
+		return !follower.FirstStart && !follower.Configuration.Load().HasVersion() && now-follower.startedAt > startupReadDelay
 	}
 	sinceAsked := time.Duration(0)
 	if askedAt > 0 {
@@ -247,7 +247,7 @@
 // recheckInterval returns the pause before the next check. It is short while the node has no configuration and
 // refuses its callers.
 func (follower *Follower) recheckInterval() time.Duration {
-	if follower.Configuration.Load().Known() {
+	if follower.Configuration.Load().HasVersion() {
 		return informedRecheckInterval
 	}
 	return startupRecheckInterval
@@ -307,7 +307,7 @@
 		follower.Logger.Error("gateway: cannot decode a configuration.", "Source", source, "Error", err.Error())
 		return
 	}
-	if !follower.Configuration.Offer(decoded) {
+	if !follower.Configuration.StoreIfNewer(decoded) {
 		return
 	}
 	follower.Logger.Info("gateway: a configuration is in force.", "ConfigurationVersion", decoded.Version, "Source", source,
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -98,7 +98,7 @@
 func (follower *Follower) listPosition(readAll bool) storelog.Position {
 	snapshot := follower.Servers.Load()
 	if !snapshot.Known() || follower.listExpired.Load() || readAll {
-		return storelog.Nowhere
+		return storelog.Unknown
 	}
 	return snapshot.End
 }
--- a/internal/fleet/formation/fault_schedules_test.go
+++ b/internal/fleet/formation/fault_schedules_test.go
@@ -59,7 +59,7 @@
 	termLog.mu.Lock()
 	defer termLog.mu.Unlock()
 	if termLog.unavailable {
-		return storelog.Nowhere, errStoreUnavailable
+		return storelog.Unknown, errStoreUnavailable
 	}
 	termLog.holders = append(termLog.holders, holder)
 	return storelog.Position{Era: termLog.era, Offset: int64(len(termLog.holders)) - 1}, nil
--- a/internal/fleet/formation/form.go
+++ b/internal/fleet/formation/form.go
@@ -218,7 +218,7 @@
 func (controller *Controller) formTime(name string) time.Duration {
 	for _, service := range controller.Services() {
 		if service.Name == name {
-			return service.Engine.FormTime
+			return service.Engine.FormationTime
 		}
 	}
 	return 0
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -170,7 +170,7 @@
 	for _, option := range options {
 		option(list)
 	}
-	list.snapshot.Store(&Snapshot{End: storelog.Nowhere, ReadAt: -1, Servers: map[string]*Server{}, ByService: map[string][]*Server{}})
+	list.snapshot.Store(&Snapshot{End: storelog.Unknown, ReadAt: -1, Servers: map[string]*Server{}, ByService: map[string][]*Server{}})
 	return list
 }
 
@@ -212,7 +212,7 @@
 	}
 	current := list.snapshot.Load()
 	next := &Snapshot{
-		End: storelog.Furthest(current.End, update.End), ReadAt: max(update.ReadAt, current.ReadAt),
+		End: storelog.Latest(current.End, update.End), ReadAt: max(update.ReadAt, current.ReadAt),
 		Servers: current.Servers, ByService: current.ByService,
 	}
 	if changed {
--- a/internal/fleet/tenure/tenure_test.go
+++ b/internal/fleet/tenure/tenure_test.go
@@ -44,7 +44,7 @@
 		var elector *tenure.Elector
 		elector = tenure.New(7, func() (storelog.Position, error) {
 			elector.Observe(9000)
-			return storelog.Nowhere, errUnavailable
+			return storelog.Unknown, errUnavailable
 		}, clock.Virtual())
 		elector.Observe(100)
 		tryFor(elector, nil, 500*time.Millisecond)
@@ -65,7 +65,7 @@
 func TestLeaderStepsDownForHigherTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Nowhere, errUnavailable }, clock.Virtual())
+		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Unknown, errUnavailable }, clock.Virtual())
 		expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
 		elector.Observe(elector.Term() + 1)
 		expect.Expect(elector.Term()).To(gomega.BeZero())
@@ -77,7 +77,7 @@
 func TestRefusedTermStartsCooldown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Nowhere, errUnavailable }, clock.Virtual())
+		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Unknown, errUnavailable }, clock.Virtual())
 		expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
 		first := elector.Term()
 		elector.HandleRefusal(first)
--- a/internal/run/gateway/background.go
+++ b/internal/run/gateway/background.go
@@ -84,7 +84,7 @@
 	}
 	node.board.Update(pools)
 	// A leaf may receive the servers before the configuration.
-	if len(pools) > 0 && node.configuration.Load().Known() {
+	if len(pools) > 0 && node.configuration.Load().HasVersion() {
 		node.stateKnownOnce.Do(func() { close(node.stateKnown) })
 	}
 }
@@ -167,7 +167,7 @@
 		spec.Slots, spec.PassTime = service.Engine.Slots, passTime(service.Engine, model)
 		spec.TokenPrefillTime, spec.PassTimePerCall = promptTokenTime(service.Engine, model), passTimePerCall(service.Engine, model)
 		spec.SlotReleaseInterval = slotReleaseInterval(service.Engine, model)
-		spec.PromptPrefillTime = time.Duration(service.Engine.UsualPrompt) * spec.TokenPrefillTime
+		spec.PromptPrefillTime = time.Duration(service.Engine.MeanPromptTokens) * spec.TokenPrefillTime
 		return spec, true
 	}
 	return spec, false
@@ -194,7 +194,7 @@
 
 // slotReleaseInterval returns the average time until a slot of a full group becomes free.
 func slotReleaseInterval(engine *configuration.Engine, model configuration.Model) time.Duration {
-	passes := float64(engine.UsualAnswer) / float64(max(1, engine.StepsPerPass))
+	passes := float64(engine.MeanCompletionTokens) / float64(max(1, engine.StepsPerPass))
 	return time.Duration(passes * float64(passTime(engine, model)) / float64(max(1, engine.Slots)))
 }
 
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -232,7 +232,7 @@
 
 // synced reports whether this node has the state that its leaves need: the server list and a configuration.
 func (peers *peers) synced() bool {
-	return peers.node.servers.Load().Known() && peers.node.configuration.Load().Known()
+	return peers.node.servers.Load().Known() && peers.node.configuration.Load().HasVersion()
 }
 
 // roleChanged handles a new role of this node. A leaf doesn't have the server list, so it can't give orders
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -86,9 +86,9 @@
 // claimTerm appends a claim to the store and returns its position, from which the term is derived.
 func (node *Node) claimTerm() (storelog.Position, error) {
 	if node.storeCalls.FailuresInRow() >= maxClaimFailures {
-		return storelog.Nowhere, errStoreUnavailable
+		return storelog.Unknown, errStoreUnavailable
 	}
-	position := storelog.Nowhere
+	position := storelog.Unknown
 	err := node.callStore(node.storeCalls.BeginWrite("claim"), storeTimeout, func(ctx context.Context) (err error) {
 		if position, err = node.platform.Store.Claim(ctx, node.settings.Name); err != nil {
 			return err
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	now := clock.Virtual()
 	pair := &nodePair{rig: newRig(t, 0, handler), paths: reach.New(reach.Clock(now)), firstTable: configuration.NewTable()}
-	pair.firstTable.Offer(rigConfiguration())
+	pair.firstTable.StoreIfNewer(rigConfiguration())
 	second := pair.handler.(*forward.Forwarder)
 	pair.serve(t, detourAddress, second.DetourHandler())
 	pair.firstBoard = dispatch.New(dispatch.Clock(now), dispatch.Paths(pair.paths))
@@ -105,7 +105,7 @@
 	configured := rigConfiguration()
 	configured.Version = number
 	change(configured)
-	table.Offer(configured)
+	table.StoreIfNewer(configured)
 }
 
 // sendThroughFirst sends a request to the first node, which knows the second one as a peer.
--- a/internal/serve/forward/exchange.go
+++ b/internal/serve/forward/exchange.go
@@ -99,7 +99,7 @@
 	request := exchange.request
 	exchange.awaitReady()
 	exchange.snapshot = exchange.forwarder.Configuration.Load()
-	if !exchange.snapshot.Known() {
+	if !exchange.snapshot.HasVersion() {
 		exchange.refuse(NoConfiguration, startupRetryDelay, "no configuration is loaded yet")
 		return false
 	}
--- a/internal/serve/forward/stream.go
+++ b/internal/serve/forward/stream.go
@@ -97,7 +97,7 @@
 		exchange.demandCounted = true
 		defer board.RecordDemand(pool, rank)
 	}
-	if !exchange.snapshot.Ranked(exchange.service) || exchange.request.Resumes {
+	if !exchange.snapshot.PrioritizesStreams(exchange.service) || exchange.request.Resumes {
 		return dispatch.Overload{}, false
 	}
 	return board.ShouldShed(pool, rank, dispatch.Criteria{Regions: exchange.regions})
