--- a/internal/fleet/detour/detour.go
+++ b/internal/fleet/detour/detour.go
@@ -175,7 +175,7 @@
 
 // hasPath reports whether the node has a path to any of the destinations.
 func (peer *Peer) hasPath(destinations []reach.Destination) bool {
-	return slices.ContainsFunc(destinations, func(destination reach.Destination) bool { return !slices.Contains(peer.Node.Lost, destination) })
+	return slices.ContainsFunc(destinations, func(destination reach.Destination) bool { return !slices.Contains(peer.Lost, destination) })
 }
 
 // destinationsOf returns the destinations that belong to a service.
@@ -237,10 +237,10 @@
 		return
 	}
 	updated := *peer
-	updated.Node.Lost = slices.Clone(peer.Node.Lost)
+	updated.Lost = slices.Clone(peer.Lost)
 	for _, destination := range destinationsOf(service, lost) {
-		if !slices.Contains(updated.Node.Lost, destination) {
-			updated.Node.Lost = append(updated.Node.Lost, destination)
+		if !slices.Contains(updated.Lost, destination) {
+			updated.Lost = append(updated.Lost, destination)
 		}
 	}
 	table.peers[address] = &updated
@@ -262,7 +262,7 @@
 	states := []State{}
 	for _, peer := range table.freshLocked() {
 		states = append(states, State{
-			Address: peer.Address, DataCentre: peer.DataCentre, Lost: peer.Node.Lost, Calls: peer.Calls,
+			Address: peer.Address, DataCentre: peer.DataCentre, Lost: peer.Lost, Calls: peer.Calls,
 			Mine: peer.ActiveCalls(), AgeMilliseconds: (table.now() - peer.reportedAt).Milliseconds(),
 		})
 	}
