--- a/cmd/class.go
+++ b/cmd/class.go
@@ -17,13 +17,13 @@
 type classCommand struct {
 	List    classListCommand    `cmd:"" help:"List the classes in force."`
 	Show    classShowCommand    `cmd:"" help:"Show one class."`
-	Set     classSetCommand     `cmd:"" help:"State or change the target of a class."`
+	Set     classSetCommand     `cmd:"" help:"Create a class or change its target."`
 	Delete  classDeleteCommand  `cmd:"" help:"Delete a class."`
-	History classHistoryCommand `cmd:"" help:"Show the changes of a class."`
+	History classHistoryCommand `cmd:"" help:"Show the change history of a class."`
 }
 
 type classListCommand struct {
-	target
+	nodeFlag
 	JSON bool `name:"json" help:"Print JSON."`
 }
 
@@ -33,15 +33,15 @@
 }
 
 // Run lists the classes.
-func (command *classListCommand) Run(streams *streams) error {
+func (command *classListCommand) Run(outputs *outputs) error {
 	lines := []operator.ClassLine{}
 	if err := command.client().Get("/Classes", &lines); err != nil {
 		return err
 	}
 	if command.JSON {
-		return printJSON(streams.Out, lines)
+		return printJSON(outputs.Out, lines)
 	}
-	return printClasses(streams.Out, lines)
+	return printClasses(outputs.Out, lines)
 }
 
 func printClasses(out io.Writer, lines []operator.ClassLine) error {
@@ -55,7 +55,7 @@
 }
 
 type classShowCommand struct {
-	target
+	nodeFlag
 	Name string `arg:"" help:"Name of the class."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
@@ -66,38 +66,38 @@
 }
 
 // Run shows the class.
-func (command *classShowCommand) Run(streams *streams) error {
+func (command *classShowCommand) Run(outputs *outputs) error {
 	line := operator.ClassLine{}
 	if err := command.client().Get("/Classes/"+url.PathEscape(command.Name), &line); err != nil {
 		return err
 	}
 	if command.JSON {
-		return printJSON(streams.Out, line)
+		return printJSON(outputs.Out, line)
 	}
-	return printClasses(streams.Out, []operator.ClassLine{line})
+	return printClasses(outputs.Out, []operator.ClassLine{line})
 }
 
 type classSetCommand struct {
-	target
+	nodeFlag
 	Name            string   `arg:"" help:"Name of the class."`
 	Model           *string  `help:"Model that serves the class."`
 	FirstTokenMs    *uint32  `help:"Longest acceptable time to the first token, in milliseconds."`
 	BetweenTokensMs *uint32  `help:"Longest acceptable time between tokens, in milliseconds."`
 	InTargetShare   *float64 `help:"Share of requests, over 0 to 1, that must meet both times."`
-	Priority        *int32   `help:"Order among classes, 0 to 1000; higher goes first."`
-	GuaranteedShare *float64 `help:"Share of capacity, 0 to 1, kept for the class."`
-	BaseRevision    *uint64  `help:"Revision that the change is made from; by default the one in force."`
-	ChangeID        string   `help:"ID of the change; give the same again to repeat a change whose reply was lost."`
+	Priority        *int32   `help:"Priority of the class, 0 to 1000; higher goes first."`
+	GuaranteedShare *float64 `help:"Share of capacity, 0 to 1, guaranteed to the class."`
+	BaseRevision    *uint64  `help:"Revision that the change is based on; by default the revision in force."`
+	ChangeID        string   `help:"ID of the change; reuse the ID to retry a change whose response was lost."`
 	JSON            bool     `name:"json" help:"Print JSON."`
 }
 
 // Help gives an example.
 func (command *classSetCommand) Help() string {
-	return "What is not named stays as it is.\n\nExample:\n  hazelslip class set urgent --model drafting --first-token-ms 800 --between-tokens-ms 50 --in-target-share 0.99 --guaranteed-share 0.3"
+	return "Omitted values stay unchanged.\n\nExample:\n  hazelslip class set urgent --model drafting --first-token-ms 800 --between-tokens-ms 50 --in-target-share 0.99 --guaranteed-share 0.3"
 }
 
-// Run states the target.
-func (command *classSetCommand) Run(streams *streams) error {
+// Run creates the class or changes its target.
+func (command *classSetCommand) Run(outputs *outputs) error {
 	line := operator.ClassLine{}
 	err := command.client().Get("/Classes/"+url.PathEscape(command.Name), &line)
 	if err != nil && !isNotFound(err) {
@@ -105,31 +105,31 @@
 	}
 	change := command.change(line)
 	verdict, err := command.client().Change(command.Name, change, false)
-	return printVerdict(streams.Out, change, verdict, err, command.JSON)
+	return printVerdict(outputs.Out, change, verdict, err, command.JSON)
 }
 
 func (command *classSetCommand) change(line operator.ClassLine) operator.Change {
 	return operator.Change{
 		ChangeID: changeID(command.ChangeID), Operator: operatorName(),
-		BaseRevision: or(command.BaseRevision, line.Revision), Model: or(command.Model, line.Model),
-		FirstTokenMs:    or(command.FirstTokenMs, line.FirstTokenMs),
-		BetweenTokensMs: or(command.BetweenTokensMs, line.BetweenTokensMs),
-		InTargetShare:   or(command.InTargetShare, line.InTargetShare),
-		Priority:        or(command.Priority, line.Priority),
-		GuaranteedShare: or(command.GuaranteedShare, line.GuaranteedShare),
+		BaseRevision: valueOr(command.BaseRevision, line.Revision), Model: valueOr(command.Model, line.Model),
+		FirstTokenMs:    valueOr(command.FirstTokenMs, line.FirstTokenMs),
+		BetweenTokensMs: valueOr(command.BetweenTokensMs, line.BetweenTokensMs),
+		InTargetShare:   valueOr(command.InTargetShare, line.InTargetShare),
+		Priority:        valueOr(command.Priority, line.Priority),
+		GuaranteedShare: valueOr(command.GuaranteedShare, line.GuaranteedShare),
 	}
 }
 
-func or[T any](given *T, otherwise T) T {
-	if given == nil {
-		return otherwise
+func valueOr[T any](value *T, fallback T) T {
+	if value == nil {
+		return fallback
 	}
-	return *given
+	return *value
 }
 
-func changeID(given string) string {
-	if given != "" {
-		return given
+func changeID(value string) string {
+	if value != "" {
+		return value
 	}
 	random := make([]byte, 8)
 	// crypto/rand.Read never fails on the systems that Go supports.
@@ -144,11 +144,11 @@
 	return "unknown"
 }
 
-// printVerdict prints what became of a change. A conflict has an exit code of
-// its own, so that a script can read the class again and retry.
+// printVerdict prints the result of a change. A conflict has its own exit code,
+// so that a script can read the class again and retry.
 func printVerdict(out io.Writer, change operator.Change, verdict operator.Verdict, err error, asJSON bool) error {
 	if err != nil {
-		return errors.Wrapf(err, "change %s", change.ChangeID)
+		return errors.Wrapf(err, "submit change %s", change.ChangeID)
 	}
 	if asJSON {
 		if err := printJSON(out, verdict); err != nil {
@@ -162,17 +162,17 @@
 	case verdict.Accepted:
 		return nil
 	case verdict.Beaten != nil:
-		return exitWith(ExitConflict, errors.Newf("conflict: revision %d is in force, by change %s of %s; look with `class show` and try again",
+		return exitWith(ExitConflict, errors.Newf("conflict: revision %d is in force, by change %s of %s; check it with `class show` and try again",
 			verdict.Beaten.Revision, verdict.Beaten.ChangeID, verdict.Beaten.Operator))
 	}
-	return exitWith(ExitUsage, errors.Newf("refused: %s", verdict.Reason))
+	return exitWith(ExitUsage, errors.Newf("change rejected: %s", verdict.Reason))
 }
 
 type classDeleteCommand struct {
-	target
+	nodeFlag
 	Name         string  `arg:"" help:"Name of the class."`
-	BaseRevision *uint64 `help:"Revision that the change is made from; by default the one in force."`
-	ChangeID     string  `help:"ID of the change; give the same again to repeat a change whose reply was lost."`
+	BaseRevision *uint64 `help:"Revision that the change is based on; by default the revision in force."`
+	ChangeID     string  `help:"ID of the change; reuse the ID to retry a change whose response was lost."`
 	JSON         bool    `name:"json" help:"Print JSON."`
 }
 
@@ -181,19 +181,19 @@
 	return "Example:\n  hazelslip class delete summary"
 }
 
-// Run deletes the class.
-func (command *classDeleteCommand) Run(streams *streams) error {
+// Run submits the deletion of the class.
+func (command *classDeleteCommand) Run(outputs *outputs) error {
 	line := operator.ClassLine{}
 	if err := command.client().Get("/Classes/"+url.PathEscape(command.Name), &line); err != nil {
 		return err
 	}
-	change := operator.Change{ChangeID: changeID(command.ChangeID), Operator: operatorName(), BaseRevision: or(command.BaseRevision, line.Revision)}
+	change := operator.Change{ChangeID: changeID(command.ChangeID), Operator: operatorName(), BaseRevision: valueOr(command.BaseRevision, line.Revision)}
 	verdict, err := command.client().Change(command.Name, change, true)
-	return printVerdict(streams.Out, change, verdict, err, command.JSON)
+	return printVerdict(outputs.Out, change, verdict, err, command.JSON)
 }
 
 type classHistoryCommand struct {
-	target
+	nodeFlag
 	Name string `arg:"" help:"Name of the class."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
@@ -203,16 +203,16 @@
 	return "Example:\n  hazelslip class history urgent"
 }
 
-// Run shows the history.
-func (command *classHistoryCommand) Run(streams *streams) error {
+// Run prints the change history.
+func (command *classHistoryCommand) Run(outputs *outputs) error {
 	lines := []operator.HistoryLine{}
 	if err := command.client().Get("/Classes/"+url.PathEscape(command.Name)+"/History", &lines); err != nil {
 		return err
 	}
 	if command.JSON {
-		return printJSON(streams.Out, lines)
+		return printJSON(outputs.Out, lines)
 	}
-	table := tabwriter.NewWriter(streams.Out, 0, 4, 2, ' ', 0)
+	table := tabwriter.NewWriter(outputs.Out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "OFFSET\tCHANGE\tOPERATOR\tSUBMITTED\tACCEPTED\tREVISION\tREASON")
 	for _, line := range lines {
 		_, _ = fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%t\t%d\t%s\n", line.Offset, line.ChangeID, line.Operator,
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -24,24 +24,24 @@
 
 func TestCmd(t *testing.T) { suite.Run(t, "cmd") }
 
-// run runs a command line and returns its exit code and output.
-func run(arguments ...string) (code int, out, failures string) {
-	var written, failed bytes.Buffer
-	code = cmd.Execute(arguments, &written, &failed)
-	return code, written.String(), failed.String()
+// run runs a command line and returns its exit code, standard output and standard error.
+func run(arguments ...string) (code int, out, errOut string) {
+	var stdout, stderr bytes.Buffer
+	code = cmd.Execute(arguments, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
-// operatorOf serves a table of classes with one class at revision 1.
-func operatorOf() *httptest.Server {
+// newOperatorServer serves the operator API with one class, at revision 1.
+func newOperatorServer() *httptest.Server {
 	table := class.New()
 	offset := uint64(0)
-	take := func(body []byte) {
+	applyRecord := func(body []byte) {
 		decoded, err := table.Fold().Decode(body)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		decoded.Apply(offset)
 		offset++
 	}
-	take(fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.3), 0, "first"))
+	applyRecord(fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.3), 0, "first"))
 	handler := &operator.Handler{
 		Classes: table,
 		Groups: func() []operator.GroupLine {
@@ -60,7 +60,7 @@
 			}
 			body, err := proto.Marshal(&record.ConfigRecord{Kind: &record.ConfigRecord_Change{Change: change}})
 			gomega.Expect(err).NotTo(gomega.HaveOccurred())
-			take(body)
+			applyRecord(body)
 			verdict, _ := table.Verdict(change.ChangeID)
 			return verdict, nil
 		},
@@ -71,7 +71,7 @@
 var _ = ginkgo.Describe("the command line", func() {
 	var server *httptest.Server
 	ginkgo.BeforeEach(func() {
-		server = operatorOf()
+		server = newOperatorServer()
 		ginkgo.DeferCleanup(server.Close)
 	})
 
@@ -82,10 +82,10 @@
 	})
 
 	ginkgo.DescribeTable("has help with an example for every command",
-		func(words string) {
-			code, out, _ := run(append(strings.Fields(words), "--help")...)
+		func(command string) {
+			code, out, _ := run(append(strings.Fields(command), "--help")...)
 			gomega.Expect(code).To(gomega.Equal(cmd.ExitOK))
-			gomega.Expect(out).To(gomega.ContainSubstring("hazelslip " + words))
+			gomega.Expect(out).To(gomega.ContainSubstring("hazelslip " + command))
 			gomega.Expect(out).To(gomega.ContainSubstring("Example:"))
 		},
 		ginkgo.Entry(nil, "demo"), ginkgo.Entry(nil, "node"), ginkgo.Entry(nil, "standin"),
@@ -96,9 +96,9 @@
 	)
 
 	ginkgo.DescribeTable("has exit codes that scripts can use",
-		func(code int, says string, arguments ...string) {
-			got, out, failures := run(append(arguments, "--node", server.URL)...)
-			gomega.Expect(out + failures).To(gomega.ContainSubstring(says))
+		func(code int, output string, arguments ...string) {
+			got, out, errOut := run(append(arguments, "--node", server.URL)...)
+			gomega.Expect(out + errOut).To(gomega.ContainSubstring(output))
 			gomega.Expect(got).To(gomega.Equal(code))
 		},
 		ginkgo.Entry("a change", cmd.ExitOK, "accepted as revision 2", "class", "set", "urgent", "--priority", "3"),
@@ -120,17 +120,17 @@
 	)
 
 	ginkgo.It("prints JSON where it prints a table", func() {
-		for _, words := range []string{"class list", "class show urgent", "class history urgent", "groups", "explain 7"} {
-			code, out, failures := run(append(strings.Fields(words), "--json", "--node", server.URL)...)
-			gomega.Expect(code).To(gomega.Equal(cmd.ExitOK), failures)
+		for _, command := range []string{"class list", "class show urgent", "class history urgent", "groups", "explain 7"} {
+			code, out, errOut := run(append(strings.Fields(command), "--json", "--node", server.URL)...)
+			gomega.Expect(code).To(gomega.Equal(cmd.ExitOK), errOut)
 			gomega.Expect(json.Valid([]byte(out))).To(gomega.BeTrue(), out)
 		}
 	})
 
-	ginkgo.It("says what to do when the node does not answer", func() {
-		code, _, failures := run("groups", "--node", "http://127.0.0.1:1")
+	ginkgo.It("says what to do when the node does not respond", func() {
+		code, _, errOut := run("groups", "--node", "http://127.0.0.1:1")
 		gomega.Expect(code).To(gomega.Equal(cmd.ExitFailed))
-		gomega.Expect(failures).To(gomega.ContainSubstring("--node"))
+		gomega.Expect(errOut).To(gomega.ContainSubstring("--node"))
 	})
 
 	ginkgo.It("checks settings", func() {
@@ -139,35 +139,35 @@
 		gomega.Expect(out).To(gomega.ContainSubstring("is valid"))
 		wrong := filepath.Join(ginkgo.GinkgoT().TempDir(), "wrong.toml")
 		gomega.Expect(os.WriteFile(wrong, []byte("Name = 3\nNonsense = 1\n"), 0o600)).To(gomega.Succeed())
-		code, _, failures := run("check-settings", wrong)
+		code, _, errOut := run("check-settings", wrong)
 		gomega.Expect(code).To(gomega.Equal(cmd.ExitUsage))
-		gomega.Expect(failures).To(gomega.ContainSubstring("wrong.toml:1: Name"))
-		gomega.Expect(failures).To(gomega.ContainSubstring("wrong.toml:2: Nonsense"))
+		gomega.Expect(errOut).To(gomega.ContainSubstring("wrong.toml:1: Name"))
+		gomega.Expect(errOut).To(gomega.ContainSubstring("wrong.toml:2: Nonsense"))
 	})
 })
 
-// An operator copies a command from the documentation. It must be one that the
-// program takes, in README.md and on every page of docs/operating.
+// Operators copy commands from the documentation. The program must accept every
+// command that README.md or a page of docs/operating shows.
 var _ = ginkgo.Describe("the documentation", func() {
 	ginkgo.It("shows only commands that work", func() {
-		server := operatorOf()
+		server := newOperatorServer()
 		ginkgo.DeferCleanup(server.Close)
 		pages, err := filepath.Glob("../docs/operating/*.md")
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		shown := 0
 		for _, page := range append(pages, "../README.md") {
-			for _, line := range commandsOf(page) {
+			for _, line := range shellCommands(page) {
 				shown++
-				tryShown(page, line, server.URL)
+				checkShownCommand(page, line, server.URL)
 			}
 		}
 		gomega.Expect(shown).To(gomega.BeNumerically(">", 8))
 	})
 })
 
-// commandsOf lists the hazelslip commands in a page's shell blocks, with
-// continued lines joined.
-func commandsOf(page string) []string {
+// shellCommands returns the hazelslip commands in the shell blocks of a page, with
+// continuation lines joined.
+func shellCommands(page string) []string {
 	body, err := os.ReadFile(page)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	commands, inBlock := []string{}, false
@@ -184,10 +184,10 @@
 	return commands
 }
 
-// tryShown runs a command against a node's operator address. Commands that run
-// until they are stopped are tried by scripts/whole-path.sh; here only their
-// arguments are checked.
-func tryShown(page, line, node string) {
+// checkShownCommand runs a command against a node's operator address. Commands that run
+// until they are stopped are covered by scripts/whole-path.sh; here only their
+// arguments are checked, with --help.
+func checkShownCommand(page, line, node string) {
 	arguments := strings.Fields(line)[1:]
 	for index, argument := range arguments {
 		if strings.HasSuffix(argument, ".toml") {
@@ -196,8 +196,8 @@
 	}
 	switch arguments[0] {
 	case "node", "standin", "demo":
-		code, _, failures := run(append(arguments, "--help")...)
-		gomega.Expect(code).To(gomega.Equal(cmd.ExitOK), "%s: %s: %s", page, line, failures)
+		code, _, errOut := run(append(arguments, "--help")...)
+		gomega.Expect(code).To(gomega.Equal(cmd.ExitOK), "%s: %s: %s", page, line, errOut)
 		return
 	case "check-settings":
 	default:
@@ -208,6 +208,6 @@
 			arguments[index] = "7"
 		}
 	}
-	code, out, failures := run(arguments...)
-	gomega.Expect(code).To(gomega.Equal(cmd.ExitOK), "%s: %s: %s%s", page, line, out, failures)
+	code, out, errOut := run(arguments...)
+	gomega.Expect(code).To(gomega.Equal(cmd.ExitOK), "%s: %s: %s%s", page, line, out, errOut)
 }
--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -11,104 +11,104 @@
 )
 
 type demoCommand struct {
-	BasePort int    `default:"7000" help:"First port; everything listens at fixed offsets from it."`
-	Platform bool   `help:"Run nodes of the users' platform before a stand-in of it."`
-	LogLevel string `default:"warn" enum:"debug,info,warn,error" help:"Least level of the logs: ${enum}."`
+	BasePort int    `default:"7000" help:"First port. All listeners are at fixed offsets from it."`
+	Platform bool   `help:"Run gateway nodes with a stand-in of the users' platform."`
+	LogLevel string `default:"warn" enum:"debug,info,warn,error" help:"Minimum log level: ${enum}."`
 }
 
 // Help gives an example.
 func (command *demoCommand) Help() string {
-	return "Example:\n  hazelslip demo --base-port 7000\n  hazelslip demo --platform\n\nIt prints addresses and example calls, and stops gracefully on an interrupt."
+	return "Example:\n  hazelslip demo --base-port 7000\n  hazelslip demo --platform\n\nThe command prints addresses and example calls, and stops gracefully on an interrupt."
 }
 
-// Run runs the deployment until it is told to stop.
-func (command *demoCommand) Run(streams *streams) error {
+// Run runs the deployment until a signal stops it.
+func (command *demoCommand) Run(outputs *outputs) error {
 	if command.Platform {
-		return command.runPlatform(streams)
+		return command.runPlatform(outputs)
 	}
-	stop := interrupted()
-	world, err := demo.NewWorld(demo.BasePort(command.BasePort))
+	stop := stopSignals()
+	environment, err := demo.NewEnvironment(demo.BasePort(command.BasePort))
 	if err != nil {
 		return err
 	}
-	defer world.Stop()
+	defer environment.Stop()
 	nodes := []*node.Node{}
 	defer func() { stopAll(nodes) }()
-	for _, tree := range world.Settings() {
-		created, err := node.New(tree, node.Logger(newLogger(streams.Err, command.LogLevel).With("Node", tree.Name)))
+	for _, nodeSettings := range environment.Settings() {
+		entryNode, err := node.New(nodeSettings, node.Logger(newLogger(outputs.Err, command.LogLevel).With("Node", nodeSettings.Name)))
 		if err != nil {
 			return err
 		}
-		created.Start()
-		nodes = append(nodes, created)
+		entryNode.Start()
+		nodes = append(nodes, entryNode)
 	}
 	_, operators, _ := nodes[0].Addresses()
-	if err := demo.StateClasses("http://" + operators); err != nil {
+	if err := demo.SubmitClasses("http://" + operators); err != nil {
 		return err
 	}
-	describe(streams, nodes)
+	printNodes(outputs, nodes)
 	<-stop
-	_, _ = fmt.Fprintln(streams.Out, "stopping")
+	_, _ = fmt.Fprintln(outputs.Out, "stopping")
 	return nil
 }
 
-// runPlatform runs three nodes before a stand-in of the platform.
-func (command *demoCommand) runPlatform(streams *streams) error {
-	stop := interrupted()
+// runPlatform runs three gateway nodes with a stand-in of the users' platform.
+func (command *demoCommand) runPlatform(outputs *outputs) error {
+	stop := stopSignals()
 	offsets := map[string]int{"store": 0, "caller": 10, "readiness": 20, "operator": 30, "peer": 40, "detour": 60, "server": 100}
 	deployment := standin.New(
 		standin.Shape{Nodes: 3, Domains: 3, Servers: 8, Ledgers: 2, Seed: 1, Heartbeat: heartbeat},
 		standin.Addresses(func(place string, number int) string {
 			return fmt.Sprintf("127.0.0.1:%d", command.BasePort+offsets[place]+number)
 		}),
-		standin.Logger(newLogger(streams.Err, command.LogLevel)),
+		standin.Logger(newLogger(outputs.Err, command.LogLevel)),
 	)
 	if err := deployment.Start(); err != nil {
 		return err
 	}
 	defer deployment.Stop()
-	controlled := fmt.Sprintf("127.0.0.1:%d", command.BasePort+controlOffset)
-	control, err := serveControl(deployment, controlled)
+	controlAddress := fmt.Sprintf("127.0.0.1:%d", command.BasePort+controlOffset)
+	control, err := serveControl(deployment, controlAddress)
 	if err != nil {
 		return err
 	}
 	defer control.Close()
 	for _, settings := range deployment.Settings {
-		_, _ = fmt.Fprintf(streams.Out, "node: callers http://%s  operators http://%s\n", settings.Listen.Caller, settings.Listen.Operator)
+		_, _ = fmt.Fprintf(outputs.Out, "node: callers http://%s  operators http://%s\n", settings.Listen.Caller, settings.Listen.Operator)
 	}
-	_, _ = fmt.Fprint(streams.Out, deployment.Examples())
-	_, _ = fmt.Fprintf(streams.Out, drillExample, controlled, controlled)
+	_, _ = fmt.Fprint(outputs.Out, deployment.Examples())
+	_, _ = fmt.Fprintf(outputs.Out, restoreExample, controlAddress, controlAddress)
 	<-stop
-	_, _ = fmt.Fprintln(streams.Out, "stopping")
+	_, _ = fmt.Fprintln(outputs.Out, "stopping")
 	return nil
 }
 
-// controlOffset is the port of the stand-in's faults, from the base port on.
+// controlOffset is the offset of the stand-in's control port, which injects faults, from the base port.
 const controlOffset = 50
 
-const drillExample = `The store comes back from a copy that is 5 s old:
+const restoreExample = `Restore the store from a backup that is 5 s old:
   curl -X POST 'http://%s/store?away=true' && sleep 1 && curl -X POST 'http://%s/store?restore=5s'
 `
 
 func stopAll(nodes []*node.Node) {
 	stops := conc.NewWaitGroup()
-	for _, running := range nodes {
-		stops.Go(running.Stop)
+	for _, entryNode := range nodes {
+		stops.Go(entryNode.Stop)
 	}
 	stops.Wait()
 }
 
-func describe(streams *streams, nodes []*node.Node) {
-	for _, running := range nodes {
-		callers, operators, peers := running.Addresses()
-		_, _ = fmt.Fprintf(streams.Out, "node: callers http://%s  operators http://%s  peers %s\n", callers, operators, peers)
+func printNodes(outputs *outputs, nodes []*node.Node) {
+	for _, entryNode := range nodes {
+		callers, operators, peers := entryNode.Addresses()
+		_, _ = fmt.Fprintf(outputs.Out, "node: callers http://%s  operators http://%s  peers %s\n", callers, operators, peers)
 	}
 	callers, operators, _ := nodes[0].Addresses()
-	_, _ = fmt.Fprintf(streams.Out, examples, callers, callers, callers, callers, operators, operators)
+	_, _ = fmt.Fprintf(outputs.Out, examples, callers, callers, callers, callers, operators, operators)
 }
 
 const examples = `
-Groups form within some seconds. Then try:
+Groups form within a few seconds. Then try:
   curl -N http://%s/v1/chat/completions -H 'Hazelslip-Class: urgent' -H 'Hazelslip-Workspace: visits' \
     -d '{"messages":[{"role":"user","content":"Draft the visit report."}],"stream":true,"max_tokens":20}'
   curl http://%s/v1/models
--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -14,38 +14,38 @@
 
 type gatewayCommand struct {
 	Settings      string `env:"HAZELSLIP_NODE_FILE" required:"" type:"path" help:"The platform's TOML file with the node's settings."`
-	AdvertisePeer string `placeholder:"HOST:PORT" help:"Where other nodes reach this one's peer port, if it isn't the address that it listens at."`
-	LogLevel      string `default:"info" enum:"debug,info,warn,error" help:"Least level of the logs: ${enum}."`
+	AdvertisePeer string `placeholder:"HOST:PORT" help:"Address at which other nodes reach this node's peer port, if it differs from the listen address."`
+	LogLevel      string `default:"info" enum:"debug,info,warn,error" help:"Minimum log level: ${enum}."`
 }
 
 // Help gives an example.
 func (command *gatewayCommand) Help() string {
 	return "Example:\n  HAZELSLIP_NODE_FILE=/etc/hazelslip/local.toml hazelslip gateway\n\n" +
-		"SIGTERM stops the node gracefully, SIGHUP makes it read its settings again."
+		"SIGTERM stops the node gracefully, SIGHUP reloads its settings."
 }
 
 const (
-	// collectAt is how much the heap may grow between two collections, in
-	// percent. The live heap is a few megabytes, so collecting often costs
-	// little and keeps the peak low.
-	collectAt = 50
-	// memoryPart is the part of the memory limit at which the collector does
-	// what it can to stay below.
-	memoryPart = 0.7
+	// gcPercent is how much the heap may grow between two garbage collections,
+	// in percent. The live heap is a few megabytes, so frequent collections cost
+	// little and keep the peak low.
+	gcPercent = 50
+	// memoryLimitFraction is the fraction of the node's memory limit that is set as
+	// the soft memory limit of the Go runtime.
+	memoryLimitFraction = 0.7
 )
 
-// Run runs the node until it is told to stop.
-func (command *gatewayCommand) Run(streams *streams) error {
+// Run runs the node until a signal stops it.
+func (command *gatewayCommand) Run(outputs *outputs) error {
 	settings, err := platform.LoadSettings(command.Settings)
 	if err != nil {
 		return exitWith(ExitUsage, err)
 	}
 	settings.Listen.PeerAdvertised = command.AdvertisePeer
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if settings.Limits.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryBytes) * memoryPart))
+		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryBytes) * memoryLimitFraction))
 	}
-	sink := logging.New(streams.Out)
+	sink := logging.New(outputs.Out)
 	sink.Start()
 	defer sink.Stop()
 	logger := slog.New(sink.Handler(logLevel(command.LogLevel)))
@@ -55,7 +55,7 @@
 	}
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	stop := interrupted()
+	stop := stopSignals()
 	node.Start()
 	for {
 		select {
@@ -71,7 +71,7 @@
 func (command *gatewayCommand) reload(node *gateway.Node, logger *slog.Logger) {
 	settings, err := platform.LoadSettings(command.Settings)
 	if err != nil {
-		logger.Error("gateway: the changed settings can't be read; the old ones stay.", "Error", err.Error())
+		logger.Error("gateway: reloading the settings failed; the previous settings stay in force.", "Error", err.Error())
 		return
 	}
 	node.Reload(settings)
--- a/cmd/inspect.go
+++ b/cmd/inspect.go
@@ -11,7 +11,7 @@
 )
 
 type groupsCommand struct {
-	target
+	nodeFlag
 	JSON bool `name:"json" help:"Print JSON."`
 }
 
@@ -21,15 +21,15 @@
 }
 
 // Run lists the groups of the node's data centre.
-func (command *groupsCommand) Run(streams *streams) error {
+func (command *groupsCommand) Run(outputs *outputs) error {
 	lines := []operator.GroupLine{}
 	if err := command.client().Get("/Groups", &lines); err != nil {
 		return err
 	}
 	if command.JSON {
-		return printJSON(streams.Out, lines)
+		return printJSON(outputs.Out, lines)
 	}
-	table := tabwriter.NewWriter(streams.Out, 0, 4, 2, ' ', 0)
+	table := tabwriter.NewWriter(outputs.Out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "GROUP\tDOMAIN\tMODEL\tMEMBERS\tSERVING\tRUNNING\tWHY NOT\tWAITS FOR")
 	for _, line := range lines {
 		serving := fmt.Sprint(line.Serving)
@@ -43,8 +43,8 @@
 }
 
 type explainCommand struct {
-	target
-	Subject string `arg:"" help:"A request, as in the header Hazelslip-Request, or the number of a group."`
+	nodeFlag
+	Subject string `arg:"" help:"ID of a request, as in the header Hazelslip-Request, or the number of a group."`
 	JSON    bool   `name:"json" help:"Print JSON."`
 }
 
@@ -53,28 +53,28 @@
 	return "Example:\n  hazelslip explain req-0123456789\n  hazelslip explain 16777217"
 }
 
-// Run tells the story.
-func (command *explainCommand) Run(streams *streams) error {
+// Run prints the explanation.
+func (command *explainCommand) Run(outputs *outputs) error {
 	explanation := operator.Explanation{}
 	if err := command.client().Get("/Explain/"+url.PathEscape(command.Subject), &explanation); err != nil {
 		return err
 	}
 	if command.JSON {
-		return printJSON(streams.Out, explanation)
+		return printJSON(outputs.Out, explanation)
 	}
-	_, _ = fmt.Fprintln(streams.Out, explanation.Subject)
+	_, _ = fmt.Fprintln(outputs.Out, explanation.Subject)
 	for _, line := range explanation.Lines {
-		_, _ = fmt.Fprintln(streams.Out, "  "+line)
+		_, _ = fmt.Fprintln(outputs.Out, "  "+line)
 	}
 	return nil
 }
 
 type bookingCommand struct {
-	Show bookingShowCommand `cmd:"" help:"Show what is known about a key."`
+	Show bookingShowCommand `cmd:"" help:"Show the record of an idempotency key."`
 }
 
 type bookingShowCommand struct {
-	target
+	nodeFlag
 	Service string `arg:"" help:"Name of the service."`
 	Key     string `arg:"" help:"The call's Idempotency-Key."`
 }
@@ -84,17 +84,17 @@
 	return "Example:\n  hazelslip booking show scheduling visit-1"
 }
 
-// Run shows the key.
-func (command *bookingShowCommand) Run(streams *streams) error {
+// Run prints the record of the key as JSON.
+func (command *bookingShowCommand) Run(outputs *outputs) error {
 	line := operator.BookingLine{}
 	if err := command.client().Get("/Bookings/"+url.PathEscape(command.Service)+"/"+url.PathEscape(command.Key), &line); err != nil {
 		return err
 	}
-	return printJSON(streams.Out, line)
+	return printJSON(outputs.Out, line)
 }
 
 type stateCommand struct {
-	target
+	nodeFlag
 }
 
 // Help gives an example.
@@ -102,13 +102,13 @@
 	return "Example:\n  hazelslip state --node http://127.0.0.1:8081"
 }
 
-// Run dumps the state as JSON.
-func (command *stateCommand) Run(streams *streams) error {
+// Run prints the state of the node as JSON.
+func (command *stateCommand) Run(outputs *outputs) error {
 	var state json.RawMessage
 	if err := command.client().Get("/State", &state); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintln(streams.Out, string(state))
+	_, err := fmt.Fprintln(outputs.Out, string(state))
 	return err
 }
 
@@ -121,11 +121,11 @@
 	return "Example:\n  hazelslip check-settings entry-1.toml"
 }
 
-// Run checks the file and prints one line for each mistake.
-func (command *checkSettingsCommand) Run(streams *streams) error {
+// Run validates the file. The error has one line for each invalid setting.
+func (command *checkSettingsCommand) Run(outputs *outputs) error {
 	if _, err := settings.Load(command.File); err != nil {
 		return exitWith(ExitUsage, err)
 	}
-	_, _ = fmt.Fprintf(streams.Out, "%s is valid\n", command.File)
+	_, _ = fmt.Fprintf(outputs.Out, "%s is valid\n", command.File)
 	return nil
 }
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -12,7 +12,7 @@
 
 type nodeCommand struct {
 	Settings string `required:"" type:"existingfile" help:"TOML file with the node's settings."`
-	LogLevel string `default:"info" enum:"debug,info,warn,error" help:"Least level of the logs: ${enum}."`
+	LogLevel string `default:"info" enum:"debug,info,warn,error" help:"Minimum log level: ${enum}."`
 }
 
 // Help gives an example.
@@ -20,28 +20,28 @@
 	return "Example:\n  hazelslip node --settings entry-1.toml\n\nSIGTERM or an interrupt stops the node gracefully."
 }
 
-// Run runs the node until it is told to stop.
-func (command *nodeCommand) Run(streams *streams) error {
-	tree, err := settings.Load(command.Settings)
+// Run runs the node until a signal stops it.
+func (command *nodeCommand) Run(outputs *outputs) error {
+	nodeSettings, err := settings.Load(command.Settings)
 	if err != nil {
 		return exitWith(ExitUsage, err)
 	}
-	created, err := node.New(tree, node.Logger(newLogger(streams.Err, command.LogLevel)))
+	entryNode, err := node.New(nodeSettings, node.Logger(newLogger(outputs.Err, command.LogLevel)))
 	if err != nil {
 		return err
 	}
-	stop := interrupted()
-	created.Start()
-	callers, operators, peers := created.Addresses()
-	_, _ = fmt.Fprintf(streams.Out, "%s serves callers at %s, operators at %s, peers at %s\n", tree.Name, callers, operators, peers)
+	stop := stopSignals()
+	entryNode.Start()
+	callers, operators, peers := entryNode.Addresses()
+	_, _ = fmt.Fprintf(outputs.Out, "%s serves callers at %s, operators at %s, peers at %s\n", nodeSettings.Name, callers, operators, peers)
 	<-stop
-	created.Stop()
-	<-created.Done
+	entryNode.Stop()
+	<-entryNode.Done
 	return nil
 }
 
-// interrupted returns a channel that gets the signals to stop.
-func interrupted() <-chan os.Signal {
+// stopSignals returns a channel that receives SIGINT and SIGTERM.
+func stopSignals() <-chan os.Signal {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	return signals
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -1,4 +1,4 @@
-// Package cmd holds the command line, one file a command.
+// Package cmd implements the command line. Most commands have their own file.
 //
 // # Usage
 //
@@ -19,52 +19,52 @@
 	"hazelslip/internal/peer/operator"
 )
 
-// The exit codes that scripts can rely on.
+// Exit codes. Scripts rely on them.
 const (
-	// ExitOK: the command did what was asked.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailed: it could not be done.
+	// ExitFailed means that the command failed.
 	ExitFailed = 1
-	// ExitUsage: the arguments or the settings are wrong.
+	// ExitUsage means that the arguments, the settings or the requested change are invalid.
 	ExitUsage = 2
-	// ExitConflict: a change lost against another.
+	// ExitConflict means that a change conflicts with a concurrent change.
 	ExitConflict = 3
-	// ExitNotFound: there is no such thing.
+	// ExitNotFound means that the requested object does not exist.
 	ExitNotFound = 4
 )
 
-// commands is the command line as kong reads it.
+// commands is the command line that kong parses.
 type commands struct {
 	Version kong.VersionFlag `help:"Print the version."`
 
-	Demo          demoCommand          `cmd:"" help:"Run a small deployment on loopback, with stand-ins for everything around it."`
+	Demo          demoCommand          `cmd:"" help:"Run a small deployment on loopback, with stand-ins for the platform, engines and a service."`
 	Node          nodeCommand          `cmd:"" help:"Run an entry node."`
 	Gateway       gatewayCommand       `cmd:"" help:"Run an entry node on the users' platform."`
 	Standin       standinCommand       `cmd:"" help:"Run the stand-ins of the platform, the engines and a service."`
-	Class         classCommand         `cmd:"" help:"State and change targets of classes."`
+	Class         classCommand         `cmd:"" help:"Show and change classes and their targets."`
 	Groups        groupsCommand        `cmd:"" help:"List the replica groups."`
-	Explain       explainCommand       `cmd:"" help:"Tell why a request or a group went the way it did."`
-	Booking       bookingCommand       `cmd:"" help:"Look at calls that may not be repeated."`
+	Explain       explainCommand       `cmd:"" help:"Explain the decisions about a request or a group."`
+	Booking       bookingCommand       `cmd:"" help:"Inspect non-idempotent calls."`
 	State         stateCommand         `cmd:"" help:"Dump the state of a node."`
 	CheckSettings checkSettingsCommand `cmd:"" help:"Check a settings file."`
-	Trial         trialCommand         `cmd:"" hidden:"" help:"Measure targets under surges and faults beside simpler rules."`
-	Soak          soakCommand          `cmd:"" hidden:"" help:"Run processes under faults and check what is promised."`
-	Load          loadCommand          `cmd:"" help:"Send a mix of requests and measure the answers."`
+	Trial         trialCommand         `cmd:"" hidden:"" help:"Compare hazelslip with simpler policies under surges and faults."`
+	Soak          soakCommand          `cmd:"" hidden:"" help:"Inject faults into running processes and check the guarantees."`
+	Load          loadCommand          `cmd:"" help:"Send a mix of requests and measure the responses."`
 }
 
-// streams is where a command writes.
-type streams struct {
+// outputs holds the output streams of a command.
+type outputs struct {
 	Out io.Writer
 	Err io.Writer
 }
 
-// exitError carries an exit code.
+// exitError is an error with an exit code.
 type exitError struct {
 	code  int
 	cause error
 }
 
-// Error tells the cause.
+// Error returns the message of the cause.
 func (exit *exitError) Error() string { return exit.cause.Error() }
 
 // Unwrap returns the cause.
@@ -75,48 +75,48 @@
 }
 
 // Execute runs the command line and returns the exit code.
-func Execute(arguments []string, out, failures io.Writer) (code int) {
-	line := commands{}
-	exited := -1
+func Execute(arguments []string, out, errOut io.Writer) (code int) {
+	commandLine := commands{}
+	exitCode := -1
 	parser, err := kong.New(
-		&line,
+		&commandLine,
 		kong.Name("hazelslip"),
 		kong.Description("Serve models whose replicas span several instances."),
 		kong.UsageOnError(),
-		kong.Writers(out, failures),
-		kong.Exit(func(code int) { exited = code; panic(exitPanic{}) }),
+		kong.Writers(out, errOut),
+		kong.Exit(func(code int) { exitCode = code; panic(exitSignal{}) }),
 		kong.Vars{"version": version()},
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 	)
 	if err != nil {
-		_, _ = fmt.Fprintln(failures, "hazelslip:", err)
+		_, _ = fmt.Fprintln(errOut, "hazelslip:", err)
 		return ExitUsage
 	}
-	// kong ends the process on --help and --version; here it unwinds instead,
-	// so that tests can run commands.
+	// kong exits the process on --help and --version. Here it panics with
+	// exitSignal instead, so that tests can run commands in their own process.
 	defer func() {
-		if reason := recover(); reason != nil {
-			if _, ended := reason.(exitPanic); !ended {
-				panic(reason)
+		if recovered := recover(); recovered != nil {
+			if _, isExit := recovered.(exitSignal); !isExit {
+				panic(recovered)
 			}
-			code = exited
+			code = exitCode
 		}
 	}()
 	context, err := parser.Parse(arguments)
 	if err != nil {
-		_, _ = fmt.Fprintf(failures, "hazelslip: %v. See hazelslip --help.\n", err)
+		_, _ = fmt.Fprintf(errOut, "hazelslip: %v. See hazelslip --help.\n", err)
 		return ExitUsage
 	}
-	return report(context.Run(&streams{Out: out, Err: failures}), failures)
+	return report(context.Run(&outputs{Out: out, Err: errOut}), errOut)
 }
 
-type exitPanic struct{}
+type exitSignal struct{}
 
-func report(err error, failures io.Writer) int {
+func report(err error, errOut io.Writer) int {
 	if err == nil {
 		return ExitOK
 	}
-	_, _ = fmt.Fprintf(failures, "hazelslip: %v\n", err)
+	_, _ = fmt.Fprintf(errOut, "hazelslip: %v\n", err)
 	var exit *exitError
 	if errors.As(err, &exit) {
 		return exit.code
@@ -150,7 +150,7 @@
 	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: logLevel(level)}))
 }
 
-// logLevel reads a level; kong has checked that it is one.
+// logLevel parses a log level that kong has validated.
 func logLevel(level string) slog.Level {
 	var parsed slog.Level
 	if err := parsed.UnmarshalText([]byte(level)); err != nil {
@@ -165,11 +165,11 @@
 	return encoder.Encode(value)
 }
 
-// target is the flag of commands that ask a node.
-type target struct {
+// nodeFlag is the flag of commands that query a node.
+type nodeFlag struct {
 	Node string `default:"http://127.0.0.1:8081" env:"HAZELSLIP_NODE" help:"URL of the node's operator address."`
 }
 
-func (target target) client() operator.Client {
-	return operator.Client{Base: target.Node}
+func (nodeFlag nodeFlag) client() operator.Client {
+	return operator.Client{Base: nodeFlag.Node}
 }
--- a/cmd/soak.go
+++ b/cmd/soak.go
@@ -16,51 +16,51 @@
 
 type soakCommand struct {
 	Seed     uint64        `default:"1" help:"Seed of the first plan."`
-	Seeds    int           `default:"1" help:"How many plans to run, one after the other, with seeds that follow."`
-	Length   time.Duration `default:"20s" help:"How long faults are injected in each."`
-	Nodes    int           `default:"4" help:"How many nodes."`
-	BasePort int           `default:"23000" help:"First of the ports, which are used on several loopback addresses."`
-	Keep     string        `default:"" type:"path" help:"Folder that keeps the logs of plans in which a promise was broken; a temporary one if empty."`
+	Seeds    int           `default:"1" help:"Number of plans to run one after the other, with consecutive seeds."`
+	Length   time.Duration `default:"20s" help:"Time during which faults are injected, for each plan."`
+	Nodes    int           `default:"4" help:"Number of nodes."`
+	BasePort int           `default:"23000" help:"First port. The same ports are used on several loopback addresses."`
+	Keep     string        `default:"" type:"path" help:"Folder for the logs of plans that violated a guarantee; the system's temporary folder if empty."`
 }
 
 // Help gives an example.
 func (command *soakCommand) Help() string {
 	return "Example:\n  hazelslip soak --seed 7 --length 30s\n  hazelslip soak --seed 100 --seeds 50 --keep failed\n\n" +
-		"It runs this program's gateway as processes and ends only those that it started."
+		"The command runs gateways as processes of this program and ends only processes that it started."
 }
 
-// Run runs the plans and fails if a promise was broken in one.
-func (command *soakCommand) Run(streams *streams) error {
+// Run runs the plans and fails if any plan violated a guarantee.
+func (command *soakCommand) Run(outputs *outputs) error {
 	program, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "find this program")
+		return errors.Wrap(err, "find the path of this program")
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	failed := 0
+	failedSeeds := 0
 	for number := range command.Seeds {
-		broken, err := command.one(ctx, streams, program, command.Seed+uint64(number))
+		violated, err := command.runSeed(ctx, outputs, program, command.Seed+uint64(number))
 		if err != nil {
 			return err
 		}
-		if broken {
-			failed++
+		if violated {
+			failedSeeds++
 		}
 	}
-	if failed > 0 {
-		return errors.Newf("promises were broken under %d of %d seeds", failed, command.Seeds)
+	if failedSeeds > 0 {
+		return errors.Newf("guarantees were violated under %d of %d seeds", failedSeeds, command.Seeds)
 	}
 	return nil
 }
 
-// one runs the plan of one seed and says whether it broke a promise.
-func (command *soakCommand) one(ctx context.Context, streams *streams, program string, seed uint64) (bool, error) {
+// runSeed runs the plan of one seed and reports whether a guarantee was violated.
+func (command *soakCommand) runSeed(ctx context.Context, outputs *outputs, program string, seed uint64) (bool, error) {
 	folder, err := os.MkdirTemp(command.Keep, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
-		return false, errors.Wrap(err, "make a folder for logs")
+		return false, errors.Wrap(err, "create a folder for logs")
 	}
 	report, err := soak.Run(ctx, soak.Options{
-		Program: program, Seed: seed, Length: command.Length, Nodes: command.Nodes, BasePort: command.BasePort, Folder: folder, Out: streams.Out,
+		Program: program, Seed: seed, Length: command.Length, Nodes: command.Nodes, BasePort: command.BasePort, Folder: folder, Out: outputs.Out,
 	})
 	switch {
 	case errors.Is(err, soak.ErrOptions):
@@ -68,14 +68,14 @@
 	case err != nil:
 		return false, errors.Wrapf(err, "seed %d", seed)
 	}
-	_, _ = fmt.Fprintf(streams.Out, "seed %d: %d faults, %d requests, %d answered whole, by status %v, %d promises broken\n",
-		report.Seed, report.Faults, report.Requests, report.Whole, report.Statuses, len(report.Wrong))
-	if len(report.Wrong) == 0 {
+	_, _ = fmt.Fprintf(outputs.Out, "seed %d: %d faults, %d requests, %d complete responses, by status %v, %d guarantees violated\n",
+		report.Seed, report.Faults, report.Requests, report.Complete, report.Statuses, len(report.Violations))
+	if len(report.Violations) == 0 {
 		return false, errors.Wrap(os.RemoveAll(folder), "remove logs")
 	}
-	for _, wrong := range report.Wrong {
-		_, _ = fmt.Fprintln(streams.Out, "  "+wrong)
+	for _, violation := range report.Violations {
+		_, _ = fmt.Fprintln(outputs.Out, "  "+violation)
 	}
-	_, _ = fmt.Fprintln(streams.Out, "  logs: "+filepath.Clean(folder))
+	_, _ = fmt.Fprintln(outputs.Out, "  logs: "+filepath.Clean(folder))
 	return true, nil
 }
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -17,16 +17,16 @@
 )
 
 type standinCommand struct {
-	BasePort      int    `default:"7000" help:"First port; the stand-ins and nodes use fixed offsets from it."`
-	WriteSettings string `type:"path" help:"Write a settings file for each node into this folder."`
+	BasePort      int    `default:"7000" help:"First port. The stand-ins and nodes use fixed offsets from it."`
+	WriteSettings string `type:"path" help:"Write a settings file for each node to this folder."`
 
-	Platform      bool   `help:"Stand in for the users' platform: its store and its servers."`
-	Domains       int    `default:"3" help:"With --platform: fabric domains, a data centre each."`
-	Servers       int    `default:"8" help:"With --platform: servers of each domain."`
-	Ledgers       int    `default:"3" help:"With --platform: plain servers."`
-	Seed          uint64 `default:"1" help:"With --platform: seed of what the servers do by chance."`
-	Control       string `placeholder:"HOST:PORT" help:"With --platform: where faults are switched on, and what was seen is told."`
-	AdvertiseHost string `placeholder:"HOST" help:"With --platform: the host at which nodes reach the servers, at the same ports."`
+	Platform      bool   `help:"Run the stand-in of the users' platform: its store and its servers."`
+	Domains       int    `default:"3" help:"With --platform: number of fabric domains, one per data centre."`
+	Servers       int    `default:"8" help:"With --platform: number of servers in each domain."`
+	Ledgers       int    `default:"3" help:"With --platform: number of plain servers."`
+	Seed          uint64 `default:"1" help:"With --platform: seed of the servers' random behaviour."`
+	Control       string `placeholder:"HOST:PORT" help:"With --platform: address of the control endpoint, which injects faults and returns observations."`
+	AdvertiseHost string `placeholder:"HOST" help:"With --platform: host at which nodes reach the servers, on the same ports."`
 }
 
 // Help gives an example.
@@ -34,36 +34,36 @@
 	return "Example:\n  hazelslip standin --base-port 7000 --write-settings settings\n  hazelslip node --settings settings/lakes-a-entry-1.toml"
 }
 
-// Run runs the stand-ins until they are told to stop.
-func (command *standinCommand) Run(streams *streams) error {
+// Run runs the stand-ins until a signal stops them.
+func (command *standinCommand) Run(outputs *outputs) error {
 	if command.Platform {
-		return command.runPlatform(streams)
+		return command.runPlatform(outputs)
 	}
-	stop := interrupted()
-	world, err := demo.NewWorld(demo.BasePort(command.BasePort))
+	stop := stopSignals()
+	environment, err := demo.NewEnvironment(demo.BasePort(command.BasePort))
 	if err != nil {
 		return err
 	}
-	defer world.Stop()
+	defer environment.Stop()
 	if command.WriteSettings != "" {
-		if err := writeSettings(command.WriteSettings, world); err != nil {
+		if err := writeSettings(command.WriteSettings, environment); err != nil {
 			return err
 		}
 	}
-	_, _ = fmt.Fprintf(streams.Out, "the stand-ins listen from port %d on; stop them with an interrupt\n", command.BasePort)
+	_, _ = fmt.Fprintf(outputs.Out, "the stand-ins listen on ports from %d; stop them with an interrupt\n", command.BasePort)
 	<-stop
 	return nil
 }
 
-// The ports of the platform's stand-in, from the base port on.
+// Ports of the platform's stand-in, as offsets from the base port.
 const (
 	storeOffset  = 0
 	serverOffset = 100
 )
 
-// runPlatform runs the platform's store and servers.
-func (command *standinCommand) runPlatform(streams *streams) error {
-	stop := interrupted()
+// runPlatform runs the stand-in of the platform's store and servers.
+func (command *standinCommand) runPlatform(outputs *outputs) error {
+	stop := stopSignals()
 	offsets := map[string]int{"store": storeOffset, "server": serverOffset}
 	options := []standin.Option{standin.Addresses(func(place string, number int) string {
 		return fmt.Sprintf("127.0.0.1:%d", command.BasePort+offsets[place]+number)
@@ -89,22 +89,22 @@
 		}
 		defer control.Close()
 	}
-	_, _ = fmt.Fprintf(streams.Out, "the platform's stand-in listens from port %d on; stop it with an interrupt\n", command.BasePort)
+	_, _ = fmt.Fprintf(outputs.Out, "the platform stand-in listens on ports from %d; stop it with an interrupt\n", command.BasePort)
 	<-stop
 	return nil
 }
 
 const (
 	controlTimeout = 5 * time.Second
-	// heartbeat is how often the stand-in's servers write their entries.
+	// heartbeat is the interval at which the stand-in's servers write their registry entries.
 	heartbeat = 1200 * time.Millisecond
 )
 
-// serveControl serves what switches a deployment's faults on.
+// serveControl serves the control endpoint of a deployment, which injects faults.
 func serveControl(deployment *standin.Deployment, address string) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for faults")
+		return nil, errors.Wrap(err, "listen on the control address")
 	}
 	control := &http.Server{Addr: address, Handler: deployment.Control(), ReadHeaderTimeout: controlTimeout}
 	deployment.Go(func() { _ = control.Serve(listener) })
@@ -116,16 +116,16 @@
 	fileMode   = 0o644
 )
 
-func writeSettings(folder string, world *demo.World) error {
+func writeSettings(folder string, environment *demo.Environment) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "make the folder for settings")
+		return errors.Wrap(err, "create the folder for settings")
 	}
-	for _, tree := range world.Settings() {
-		body, err := toml.Marshal(tree)
+	for _, nodeSettings := range environment.Settings() {
+		body, err := toml.Marshal(nodeSettings)
 		if err != nil {
 			return errors.Wrap(err, "encode settings")
 		}
-		if err := os.WriteFile(filepath.Join(folder, tree.Name+".toml"), body, fileMode); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, nodeSettings.Name+".toml"), body, fileMode); err != nil {
 			return errors.Wrap(err, "write settings")
 		}
 	}
--- a/cmd/trial.go
+++ b/cmd/trial.go
@@ -12,10 +12,10 @@
 )
 
 type trialCommand struct {
-	Duration time.Duration `default:"16s" help:"How long each rule is given requests in each scenario."`
-	Scenario string        `help:"Only scenarios whose name begins with this."`
-	Rule     string        `help:"Only the rule of this name."`
-	Report   string        `type:"path" help:"Draw each run of our own rules into this folder."`
+	Duration time.Duration `default:"16s" help:"Duration of the load for each rule in each scenario."`
+	Scenario string        `help:"Run only scenarios whose name starts with this."`
+	Rule     string        `help:"Run only the rule with this name."`
+	Report   string        `type:"path" help:"Write a plot of each scenario under the default policies to this folder."`
 	JSON     bool          `name:"json" help:"Print JSON."`
 }
 
@@ -25,7 +25,7 @@
 }
 
 // Run runs the trials and prints a table.
-func (command *trialCommand) Run(streams *streams) error {
+func (command *trialCommand) Run(outputs *outputs) error {
 	scenarios := []trial.Scenario{}
 	for _, scenario := range trial.Scenarios() {
 		if len(scenario.Name) >= len(command.Scenario) && scenario.Name[:len(command.Scenario)] == command.Scenario {
@@ -39,33 +39,33 @@
 		}
 	}
 	if !command.JSON {
-		_, _ = fmt.Fprintln(streams.Out, "| scenario | rule | in target urgent / report | urgent before / after | goodput tokens/s | wasted | retries | refused | refused late | failed |")
-		_, _ = fmt.Fprintln(streams.Out, "|---|---|---|---|---|---|---|---|---|---|")
+		_, _ = fmt.Fprintln(outputs.Out, "| scenario | rule | in target urgent / report | urgent before / after | goodput tokens/s | wasted | retries | refused | refused late | failed |")
+		_, _ = fmt.Fprintln(outputs.Out, "|---|---|---|---|---|---|---|---|---|---|")
 	}
 	results, err := trial.Run(scenarios, rules, command.Duration, func(result trial.Result) {
 		if !command.JSON {
-			printTrial(streams, result)
+			printTrial(outputs, result)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	if err := command.draw(results); err != nil {
+	if err := command.writePlots(results); err != nil {
 		return err
 	}
 	if command.JSON {
-		return printJSON(streams.Out, results)
+		return printJSON(outputs.Out, results)
 	}
 	return nil
 }
 
-// draw writes a plot of each scenario under our own rules.
-func (command *trialCommand) draw(results []trial.Result) error {
+// writePlots writes a plot of each scenario under the default policies.
+func (command *trialCommand) writePlots(results []trial.Result) error {
 	if command.Report == "" {
 		return nil
 	}
 	if err := os.MkdirAll(command.Report, folderMode); err != nil {
-		return errors.Wrap(err, "make the folder for plots")
+		return errors.Wrap(err, "create the folder for plots")
 	}
 	for _, result := range results {
 		if result.Rule != trial.Rules()[0].Name {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func printTrial(streams *streams, result trial.Result) {
+func printTrial(outputs *outputs, result trial.Result) {
 	shares := map[string]float64{}
 	refused, late, failed := 0, 0, 0
 	for _, class := range result.Report.Classes {
@@ -88,6 +88,6 @@
 		late += class.RefusedLate
 		failed += class.Failed
 	}
-	_, _ = fmt.Fprintf(streams.Out, "| %s | %s | %.3f / %.3f | %.3f / %.3f | %.0f | %.3f | %.3f | %d | %d | %d |\n", result.Scenario, result.Rule,
+	_, _ = fmt.Fprintf(outputs.Out, "| %s | %s | %.3f / %.3f | %.3f / %.3f | %.0f | %.3f | %.3f | %d | %d | %d |\n", result.Scenario, result.Rule,
 		shares["urgent"], shares["report"], result.UrgentBefore, result.UrgentAfter, result.Goodput, result.Wasted, result.Retries, refused, late, failed)
 }
--- a/internal/run/demo/classes.go
+++ b/internal/run/demo/classes.go
@@ -8,7 +8,7 @@
 	"hazelslip/internal/peer/operator"
 )
 
-// Classes are the classes that a demo states at its start.
+// classes are the classes that the demo submits at startup.
 var classes = map[string]operator.Change{
 	"urgent": {
 		Model: "drafting", FirstTokenMs: 800, BetweenTokensMs: 50, InTargetShare: 0.99,
@@ -25,26 +25,26 @@
 }
 
 const (
-	stateTries = 40
-	statePause = 250 * time.Millisecond
+	submitAttempts = 40
+	submitInterval = 250 * time.Millisecond
 )
 
-// StateClasses states the demo's classes at a node's operator address, as an
-// operator would. It waits a while for the node to be ready.
-func StateClasses(base string) error {
+// SubmitClasses submits the demo's classes to a node's operator address, as an
+// operator would. It retries for some time while the node is not ready.
+func SubmitClasses(base string) error {
 	client := operator.Client{Base: base}
 	for name, change := range classes {
 		change.ChangeID, change.Operator = "demo-"+name, "demo"
-		if err := stateClass(client, name, change); err != nil {
-			return errors.Wrapf(err, "state the class %s", name)
+		if err := submitClass(client, name, change); err != nil {
+			return errors.Wrapf(err, "submit class %s", name)
 		}
 	}
 	return nil
 }
 
-func stateClass(client operator.Client, name string, change operator.Change) error {
+func submitClass(client operator.Client, name string, change operator.Change) error {
 	var err error
-	for range stateTries {
+	for range submitAttempts {
 		var verdict operator.Verdict
 		verdict, err = client.Change(name, change, false)
 		if err == nil && verdict.Accepted {
@@ -53,7 +53,7 @@
 		if err == nil {
 			return errors.New(verdict.Reason)
 		}
-		time.Sleep(statePause)
+		time.Sleep(submitInterval)
 	}
 	return err
 }
--- a/internal/run/demo/demo.go
+++ b/internal/run/demo/demo.go
@@ -1,16 +1,17 @@
 // Package demo runs a small deployment on loopback: stand-ins of the platform,
-// of the engines and of a plain service, and entry nodes that know each other
-// only through settings and the instance list.
+// the engines and a plain service. Entry nodes find each other only through
+// their settings and the instance list.
 //
-// A World is everything but the nodes; `hazelslip standin` runs one for nodes
-// in processes of their own, `hazelslip demo` runs one with its nodes.
+// An Environment is the deployment without its nodes. `hazelslip standin` runs
+// one for nodes in separate processes; `hazelslip demo` runs one together with
+// its nodes.
 //
 // # Usage
 //
-//	world, err := demo.NewWorld(demo.BasePort(7000))
+//	environment, err := demo.NewEnvironment(demo.BasePort(7000))
 //	if err != nil { ... }
-//	defer world.Stop()
-//	for _, settings := range world.Settings() { node.New(settings) }
+//	defer environment.Stop()
+//	for _, settings := range environment.Settings() { node.New(settings) }
 package demo
 
 import (
@@ -33,59 +34,59 @@
 	"hazelslip/internal/standin/service"
 )
 
-// The names of the demo's places.
+// Region and ServiceName are the demo's default region and its plain service.
 const (
 	Region      = "great-lakes"
 	ServiceName = "scheduling"
 )
 
-// Shape is how large a World is.
+// Shape is the size and layout of an Environment.
 type Shape struct {
-	// DataCentres are named in the order of their ports.
+	// DataCentres lists the data centre names, in the order of their ports.
 	DataCentres []string
-	// Regions names each data centre's region; where it is empty all are in
-	// Region.
+	// Regions lists the region of each data centre. If it is empty, all data
+	// centres are in Region.
 	Regions []string
 	Nodes   int
 	Domains int
 	Engines int
-	// Unchecked is how many domains, from the last one on, have engines that
-	// ignore fencing numbers.
-	Unchecked int
-	Models    []settings.Model
+	// UncheckedDomains is how many domains, counted from the last, have engines
+	// that ignore fencing tokens.
+	UncheckedDomains int
+	Models           []settings.Model
 }
 
-// DefaultShape is the demo's own: two data centres with two nodes and two
-// domains of eight engines each.
+// DefaultShape returns the shape of `hazelslip demo`: two data centres, each with two
+// nodes and two domains of eight engines.
 func DefaultShape() Shape {
 	return Shape{
-		DataCentres: []string{"lakes-a", "lakes-b"}, Nodes: 2, Domains: 2, Engines: 8, Unchecked: 1,
+		DataCentres: []string{"lakes-a", "lakes-b"}, Nodes: 2, Domains: 2, Engines: 8, UncheckedDomains: 1,
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}, {Name: "summary", GroupSize: 2}},
 	}
 }
 
-// StandinLabel is the profiler label of the stand-ins' goroutines.
+// StandinLabel is the profiler label value of the stand-ins' goroutines.
 const StandinLabel = "standin"
 
-// The layout of ports, as offsets from the base port.
+// Ports, as offsets from the base port.
 const (
 	logPort     = 0
 	listPort    = 1
 	weightsPort = 2
 	firstNode   = 10
 	nodePorts   = 3
-	// Services and engines begin here, or after the nodes where they are many.
+	// Services and engines start at these offsets, or further up if the nodes need more ports.
 	firstService = 80
 	firstEngine  = 100
 
-	listLag       = time.Second
-	weightSlots   = 16
-	weightTime    = 500 * time.Millisecond
-	headerTimeout = 5 * time.Second
+	listLag        = time.Second
+	weightSlots    = 16
+	weightLoadTime = 500 * time.Millisecond
+	headerTimeout  = 5 * time.Second
 )
 
-// World is a running set of stand-ins.
-type World struct {
+// Environment is a running set of stand-ins.
+type Environment struct {
 	Log     *platform.Log
 	List    *platform.List
 	Weights *platform.Weights
@@ -104,182 +105,182 @@
 	serving   conc.WaitGroup
 }
 
-// Option changes how a World is built.
-type Option func(*World)
+// Option configures an Environment.
+type Option func(*Environment)
 
-// BasePort sets the first port; everything listens at fixed offsets from it.
+// BasePort sets the first port. All listeners are at fixed offsets from it.
 func BasePort(port int) Option {
-	return func(world *World) { world.basePort = port }
+	return func(environment *Environment) { environment.basePort = port }
 }
 
-// Size sets how large the world is.
+// Size sets the shape of the environment.
 func Size(shape Shape) Option {
-	return func(world *World) { world.shape = shape }
+	return func(environment *Environment) { environment.shape = shape }
 }
 
-// Speed sets how fast the engines work.
+// Speed sets the processing rates of the engines.
 func Speed(rates engine.Rates) Option {
-	return func(world *World) { world.rates = rates }
+	return func(environment *Environment) { environment.rates = rates }
 }
 
-// Listen sets how listeners are opened.
+// Listen sets the function that opens listeners.
 func Listen(listen func(address string) (net.Listener, error)) Option {
-	return func(world *World) { world.listen = listen }
+	return func(environment *Environment) { environment.listen = listen }
 }
 
-// NewWorld starts the stand-ins. The error says which port is taken.
-func NewWorld(options ...Option) (*World, error) {
-	world := &World{
-		Log: platform.NewLog(), List: platform.NewList(listLag), Weights: platform.NewWeights(weightSlots, weightTime),
+// NewEnvironment starts the stand-ins. It fails if a port is in use.
+func NewEnvironment(options ...Option) (*Environment, error) {
+	environment := &Environment{
+		Log: platform.NewLog(), List: platform.NewList(listLag), Weights: platform.NewWeights(weightSlots, weightLoadTime),
 		Book: service.NewBook(), Domains: map[string]*engine.Domain{}, basePort: 7000, shape: DefaultShape(), rates: engine.DefaultRates,
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 	}
 	for _, option := range options {
-		option(world)
+		option(environment)
 	}
-	if err := world.start(); err != nil {
-		world.Stop()
+	if err := environment.start(); err != nil {
+		environment.Stop()
 		return nil, err
 	}
-	return world, nil
+	return environment, nil
 }
 
-// unchecked lists the domains whose engines ignore fencing numbers.
-func (world *World) unchecked() []string {
+// uncheckedDomains lists the domains whose engines ignore fencing tokens.
+func (environment *Environment) uncheckedDomains() []string {
 	names := []string{}
-	for index := range world.shape.DataCentres {
-		for domain := range world.shape.Domains {
-			names = append(names, world.domainName(index, domain))
+	for index := range environment.shape.DataCentres {
+		for domain := range environment.shape.Domains {
+			names = append(names, environment.domainName(index, domain))
 		}
 	}
-	return names[len(names)-world.shape.Unchecked:]
+	return names[len(names)-environment.shape.UncheckedDomains:]
 }
 
-func (world *World) region(dataCentre int) string {
-	if len(world.shape.Regions) == 0 {
+func (environment *Environment) region(dataCentre int) string {
+	if len(environment.shape.Regions) == 0 {
 		return Region
 	}
-	return world.shape.Regions[dataCentre]
+	return environment.shape.Regions[dataCentre]
 }
 
-func (world *World) domainName(dataCentre, domain int) string {
-	return fmt.Sprintf("%s-fabric-%d", world.shape.DataCentres[dataCentre], domain+1)
+func (environment *Environment) domainName(dataCentre, domain int) string {
+	return fmt.Sprintf("%s-fabric-%d", environment.shape.DataCentres[dataCentre], domain+1)
 }
 
-// afterNodes moves an offset beyond the nodes' ports.
-func (world *World) afterNodes(offset int) int {
-	nodes := firstNode + len(world.shape.DataCentres)*world.shape.Nodes*nodePorts
+// offsetAfterNodes raises an offset so that it lies beyond the ports of the nodes.
+func (environment *Environment) offsetAfterNodes(offset int) int {
+	nodes := firstNode + len(environment.shape.DataCentres)*environment.shape.Nodes*nodePorts
 	return offset + max(0, nodes-firstService)
 }
 
-func (world *World) address(offset int) string {
-	return fmt.Sprintf("127.0.0.1:%d", world.basePort+offset)
+func (environment *Environment) address(offset int) string {
+	return fmt.Sprintf("127.0.0.1:%d", environment.basePort+offset)
 }
 
-func (world *World) start() error {
-	world.serve(logPort, world.Log.Handler())
-	world.serve(listPort, world.List.Handler())
-	world.serve(weightsPort, world.Weights.Handler())
-	for index, dataCentre := range world.shape.DataCentres {
-		world.startEngines(index, dataCentre)
-		world.startService(index, dataCentre)
-		for each := range world.shape.Nodes {
-			world.listNode(index*world.shape.Nodes+each, dataCentre)
+func (environment *Environment) start() error {
+	environment.addServer(logPort, environment.Log.Handler())
+	environment.addServer(listPort, environment.List.Handler())
+	environment.addServer(weightsPort, environment.Weights.Handler())
+	for index, dataCentre := range environment.shape.DataCentres {
+		environment.startEngines(index, dataCentre)
+		environment.startService(index, dataCentre)
+		for each := range environment.shape.Nodes {
+			environment.registerNode(index*environment.shape.Nodes+each, dataCentre)
 		}
 	}
-	if len(world.listeners) != len(world.servers) {
-		return errors.Newf("a port from %d on is taken; name another with --base-port", world.basePort)
+	if len(environment.listeners) != len(environment.servers) {
+		return errors.Newf("a port in the range that starts at %d is in use; choose another range with --base-port", environment.basePort)
 	}
-	for index, server := range world.servers {
-		world.serving.Go(func() {
-			// The label keeps the stand-ins apart from the nodes in a profile.
+	for index, server := range environment.servers {
+		environment.serving.Go(func() {
+			// The label distinguishes the stand-ins from the nodes in a profile.
 			pprof.Do(context.Background(), pprof.Labels(lifecycle.Label, StandinLabel), func(context.Context) {
-				_ = server.Serve(world.listeners[index])
+				_ = server.Serve(environment.listeners[index])
 			})
 		})
 	}
 	return nil
 }
 
-// serve opens a listener; start checks that all could be opened.
-func (world *World) serve(offset int, handler http.Handler) {
-	world.servers = append(world.servers, &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout})
-	listener, err := world.listen(world.address(offset))
+// addServer opens a listener for a server. start checks that all listeners could be opened.
+func (environment *Environment) addServer(offset int, handler http.Handler) {
+	environment.servers = append(environment.servers, &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout})
+	listener, err := environment.listen(environment.address(offset))
 	if err != nil {
 		return
 	}
-	world.listeners = append(world.listeners, listener)
+	environment.listeners = append(environment.listeners, listener)
 }
 
-func (world *World) startEngines(index int, dataCentre string) {
-	for domain := range world.shape.Domains {
-		name := world.domainName(index, domain)
-		world.Domains[name] = engine.NewDomain(world.Weights)
-		for each := range world.shape.Engines {
-			offset := world.afterNodes(firstEngine) + (index*world.shape.Domains+domain)*world.shape.Engines + each
+func (environment *Environment) startEngines(index int, dataCentre string) {
+	for domain := range environment.shape.Domains {
+		name := environment.domainName(index, domain)
+		environment.Domains[name] = engine.NewDomain(environment.Weights)
+		for each := range environment.shape.Engines {
+			offset := environment.offsetAfterNodes(firstEngine) + (index*environment.shape.Domains+domain)*environment.shape.Engines + each
 			id := fmt.Sprintf("%s-engine-%d", name, each+1)
-			created := engine.New(id, world.address(offset), world.Domains[name], engine.ChecksFencing(!slices.Contains(world.unchecked(), name)), engine.Speed(world.rates))
-			world.Engines = append(world.Engines, created)
-			world.serve(offset, created.Handler())
-			world.List.Put(instancelist.Instance{
-				ID: id, Address: world.address(offset), Role: instancelist.RoleEngine, Region: world.region(index),
+			created := engine.New(id, environment.address(offset), environment.Domains[name], engine.ChecksFencing(!slices.Contains(environment.uncheckedDomains(), name)), engine.Speed(environment.rates))
+			environment.Engines = append(environment.Engines, created)
+			environment.addServer(offset, created.Handler())
+			environment.List.Put(instancelist.Instance{
+				ID: id, Address: environment.address(offset), Role: instancelist.RoleEngine, Region: environment.region(index),
 				DataCentre: dataCentre, FabricDomain: name,
 			})
 		}
 	}
 }
 
-func (world *World) startService(index int, dataCentre string) {
+func (environment *Environment) startService(index int, dataCentre string) {
 	id := fmt.Sprintf("%s-%s", dataCentre, ServiceName)
-	created := service.New(id, world.Book)
-	world.Services = append(world.Services, created)
-	world.serve(world.afterNodes(firstService)+index, created.Handler())
-	world.List.Put(instancelist.Instance{
-		ID: id, Address: world.address(world.afterNodes(firstService) + index), Role: instancelist.RoleService, Region: world.region(index),
+	created := service.New(id, environment.Book)
+	environment.Services = append(environment.Services, created)
+	environment.addServer(environment.offsetAfterNodes(firstService)+index, created.Handler())
+	environment.List.Put(instancelist.Instance{
+		ID: id, Address: environment.address(environment.offsetAfterNodes(firstService) + index), Role: instancelist.RoleService, Region: environment.region(index),
 		DataCentre: dataCentre, Service: ServiceName,
 	})
 }
 
-func (world *World) listNode(index int, dataCentre string) {
-	world.List.Put(instancelist.Instance{
-		ID: world.nodeName(index, dataCentre), Address: world.nodeAddress(index, peerPort), Role: instancelist.RoleEntry,
-		Region: world.region(index / world.shape.Nodes), DataCentre: dataCentre,
+func (environment *Environment) registerNode(index int, dataCentre string) {
+	environment.List.Put(instancelist.Instance{
+		ID: environment.nodeName(index, dataCentre), Address: environment.nodeAddress(index, peerPort), Role: instancelist.RoleEntry,
+		Region: environment.region(index / environment.shape.Nodes), DataCentre: dataCentre,
 	})
 }
 
-func (world *World) nodeName(index int, dataCentre string) string {
-	return fmt.Sprintf("%s-entry-%d", dataCentre, index%world.shape.Nodes+1)
+func (environment *Environment) nodeName(index int, dataCentre string) string {
+	return fmt.Sprintf("%s-entry-%d", dataCentre, index%environment.shape.Nodes+1)
 }
 
-// The ports of one node, in order.
+// The ports of one node, as offsets from its first port.
 const (
 	callerPort = iota
 	operatorPort
 	peerPort
 )
 
-func (world *World) nodeAddress(index, port int) string {
-	return world.address(firstNode + index*nodePorts + port)
+func (environment *Environment) nodeAddress(index, port int) string {
+	return environment.address(firstNode + index*nodePorts + port)
 }
 
-// Settings returns the settings of the nodes, by name.
-func (world *World) Settings() []settings.Node {
+// Settings returns the settings of all nodes, in the order of their ports.
+func (environment *Environment) Settings() []settings.Node {
 	all := []settings.Node{}
-	for index := range len(world.shape.DataCentres) * world.shape.Nodes {
-		dataCentre := world.shape.DataCentres[index/world.shape.Nodes]
+	for index := range len(environment.shape.DataCentres) * environment.shape.Nodes {
+		dataCentre := environment.shape.DataCentres[index/environment.shape.Nodes]
 		node := settings.Default()
-		node.Name, node.Region, node.DataCentre = world.nodeName(index, dataCentre), world.region(index/world.shape.Nodes), dataCentre
+		node.Name, node.Region, node.DataCentre = environment.nodeName(index, dataCentre), environment.region(index/environment.shape.Nodes), dataCentre
 		node.Listen = settings.Listen{
-			Caller: world.nodeAddress(index, callerPort), Operator: world.nodeAddress(index, operatorPort),
-			Peer: world.nodeAddress(index, peerPort),
+			Caller: environment.nodeAddress(index, callerPort), Operator: environment.nodeAddress(index, operatorPort),
+			Peer: environment.nodeAddress(index, peerPort),
 		}
 		node.Platform = settings.Platform{
-			LogService: "http://" + world.address(logPort), InstanceList: "http://" + world.address(listPort),
-			WeightStore: "http://" + world.address(weightsPort),
+			LogService: "http://" + environment.address(logPort), InstanceList: "http://" + environment.address(listPort),
+			WeightStore: "http://" + environment.address(weightsPort),
 		}
-		node.Peers.Seeds = []string{world.nodeAddress(0, peerPort)}
-		node.Engines.UncheckedDomains = world.unchecked()
-		node.Models = world.shape.Models
+		node.Peers.Seeds = []string{environment.nodeAddress(0, peerPort)}
+		node.Engines.UncheckedDomains = environment.uncheckedDomains()
+		node.Models = environment.shape.Models
 		node.Services = []settings.Service{{Name: ServiceName, Repeatable: []string{http.MethodGet}}}
 		node.Stopping = settings.Stopping{NoticeSeconds: 1, DrainSeconds: 60}
 		all = append(all, node)
@@ -287,16 +288,16 @@
 	return all
 }
 
-// Stop ends the stand-ins.
-func (world *World) Stop() {
-	for _, server := range world.servers {
+// Stop stops the stand-ins.
+func (environment *Environment) Stop() {
+	for _, server := range environment.servers {
 		server.Close()
 	}
-	for _, listener := range world.listeners {
+	for _, listener := range environment.listeners {
 		listener.Close()
 	}
-	world.serving.Wait()
-	for _, domain := range world.Domains {
+	environment.serving.Wait()
+	for _, domain := range environment.Domains {
 		domain.Close()
 	}
 }
--- a/internal/run/load/load.go
+++ b/internal/run/load/load.go
@@ -1,10 +1,10 @@
-// Package load sends a mix of requests to entry nodes and measures what comes
-// back: time to the first token, time between tokens, refusals and outcomes by
-// class.
+// Package load sends a mix of requests to entry nodes and measures, for each
+// class, the time to the first token, the time between tokens, refusals and
+// outcomes.
 //
-// It is an open loop: requests start on schedule whether or not earlier ones
-// have ended, so a slow system cannot slow the load down and look better for
-// it. Requests and time are bounded.
+// The load is an open loop: requests start on schedule whether or not earlier
+// requests have ended. A slow system therefore cannot reduce the load and
+// improve its own figures. The number of requests and the duration are bounded.
 //
 // # Usage
 //
@@ -34,16 +34,16 @@
 )
 
 const (
-	requestTimeout = 60 * time.Second
-	mostSeconds    = 600
-	mostRequests   = 1_000_000
-	mostMicros     = 120_000_000
-	digits         = 3
+	requestTimeout    = 60 * time.Second
+	maxSeconds        = 600
+	maxRequests       = 1_000_000
+	maxMicroseconds   = 120_000_000
+	significantDigits = 3
 )
 
-// Share is one class's part of the mix. FirstToken and BetweenTokens are the
-// targets that its answers are held against.
-type Share struct {
+// ClassSpec describes the requests of one class in the mix. FirstToken and
+// BetweenTokens are the latency targets of the class.
+type ClassSpec struct {
 	Class         string
 	Weight        float64
 	Workspaces    int
@@ -53,20 +53,22 @@
 	BetweenTokens time.Duration
 }
 
-// Plan says what to send. From StepAt on the class StepClass is sent StepTimes
-// as often.
+// Plan describes the load. From StepAt on, the rate of the class StepClass is
+// multiplied by StepTimes.
 type Plan struct {
 	Targets   []string
 	Rate      float64
 	Duration  time.Duration
-	Mix       []Share
+	Mix       []ClassSpec
 	StepClass string
 	StepAt    time.Duration
 	StepTimes float64
 	Seed      uint64
 }
 
-// ClassReport is what came back for one class. Times are in milliseconds.
+// ClassReport holds the measurements of one class. Times are in milliseconds. Whole counts
+// complete responses, Refused counts requests that the system reported as not run, and RefusedLate
+// counts those of them that took longer than the first-token target.
 type ClassReport struct {
 	Class            string
 	Sent             int
@@ -86,7 +88,7 @@
 	Outcomes         map[string]int
 }
 
-// Second is what became of the requests that were sent in one second.
+// Second counts the requests of one class that were sent in second At of the run.
 type Second struct {
 	At       int
 	Class    string
@@ -94,7 +96,7 @@
 	InTarget int
 }
 
-// Report is what came back.
+// Report holds the measurements of a run.
 type Report struct {
 	Seconds         float64
 	TokensPerSecond float64
@@ -102,17 +104,17 @@
 	Timeline        []Second
 }
 
-// Check reports what is wrong with a plan.
+// Check validates the plan.
 func (plan Plan) Check() error {
 	switch {
 	case len(plan.Targets) == 0:
-		return errors.New("name at least one target")
-	case plan.Rate <= 0 || plan.Duration <= 0 || plan.Duration > mostSeconds*time.Second:
-		return errors.Newf("the rate must be over 0 and the duration at most %d s", mostSeconds)
-	case plan.Rate*plan.Duration.Seconds()*max(1, plan.StepTimes) > mostRequests:
-		return errors.Newf("that is over %d requests", mostRequests)
+		return errors.New("the plan has no targets")
+	case plan.Rate <= 0 || plan.Duration <= 0 || plan.Duration > maxSeconds*time.Second:
+		return errors.Newf("the rate and the duration must be greater than 0, and the duration at most %d s", maxSeconds)
+	case plan.Rate*plan.Duration.Seconds()*max(1, plan.StepTimes) > maxRequests:
+		return errors.Newf("the plan would send more than %d requests", maxRequests)
 	case len(plan.Mix) == 0:
-		return errors.New("name at least one class")
+		return errors.New("the plan has no classes")
 	}
 	return nil
 }
@@ -120,104 +122,104 @@
 type collector struct {
 	mu       sync.Mutex
 	classes  map[string]*classCollector
-	timeline map[moment]*Second
+	timeline map[timelineKey]*Second
 }
 
-type moment struct {
+type timelineKey struct {
 	at    int
 	class string
 }
 
 type classCollector struct {
-	report  ClassReport
-	first   *hdrhistogram.Histogram
-	between *hdrhistogram.Histogram
+	report        ClassReport
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
 }
 
-// Run sends the plan's requests and waits for all the answers.
+// Run sends the requests of the plan and waits for all responses.
 func Run(ctx context.Context, plan Plan) (Report, error) {
 	if err := plan.Check(); err != nil {
 		return Report{}, err
 	}
-	collector := &collector{classes: map[string]*classCollector{}, timeline: map[moment]*Second{}}
+	collector := &collector{classes: map[string]*classCollector{}, timeline: map[timelineKey]*Second{}}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}, Timeout: requestTimeout}
 	random := rand.New(rand.NewPCG(plan.Seed, 1))
-	began := time.Now()
+	start := time.Now()
 	requests := conc.NewWaitGroup()
-	for serial, at := 0, time.Duration(0); at < plan.Duration && ctx.Err() == nil; serial++ {
-		share, rate := plan.draw(random, at)
+	for number, at := 0, time.Duration(0); at < plan.Duration && ctx.Err() == nil; number++ {
+		spec, rate := plan.pickClass(random, at)
 		at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-		time.Sleep(time.Until(began.Add(at)))
-		target := plan.Targets[serial%len(plan.Targets)]
+		time.Sleep(time.Until(start.Add(at)))
+		target := plan.Targets[number%len(plan.Targets)]
 		sentAt := int(at.Seconds())
-		requests.Go(func() { collector.add(share, sentAt, send(ctx, client, target, share, serial)) })
+		requests.Go(func() { collector.add(spec, sentAt, sendRequest(ctx, client, target, spec, number)) })
 	}
 	requests.Wait()
 	client.CloseIdleConnections()
-	return collector.report(time.Since(began)), nil
+	return collector.report(time.Since(start)), nil
 }
 
-// draw chooses the next request's class, and the rate in force at the moment.
-func (plan Plan) draw(random *rand.Rand, at time.Duration) (Share, float64) {
-	total, normal := 0.0, 0.0
+// pickClass picks the class of the next request at random, and returns the request rate at this time.
+func (plan Plan) pickClass(random *rand.Rand, elapsed time.Duration) (ClassSpec, float64) {
+	totalWeight, baseWeight := 0.0, 0.0
 	weights := make([]float64, len(plan.Mix))
-	for index, share := range plan.Mix {
-		weights[index] = share.Weight
-		normal += share.Weight
-		if share.Class == plan.StepClass && at >= plan.StepAt {
+	for index, spec := range plan.Mix {
+		weights[index] = spec.Weight
+		baseWeight += spec.Weight
+		if spec.Class == plan.StepClass && elapsed >= plan.StepAt {
 			weights[index] *= max(1, plan.StepTimes)
 		}
-		total += weights[index]
+		totalWeight += weights[index]
 	}
-	drawn := random.Float64() * total
+	remaining := random.Float64() * totalWeight
 	for index, weight := range weights {
-		if drawn -= weight; drawn < 0 {
-			return plan.Mix[index], plan.Rate * total / normal
+		if remaining -= weight; remaining < 0 {
+			return plan.Mix[index], plan.Rate * totalWeight / baseWeight
 		}
 	}
-	return plan.Mix[len(plan.Mix)-1], plan.Rate * total / normal
+	return plan.Mix[len(plan.Mix)-1], plan.Rate * totalWeight / baseWeight
 }
 
-// answer is what one request got.
-type answer struct {
-	whole   bool
-	tokens  int
-	first   time.Duration
-	gaps    []time.Duration
-	slowest time.Duration
-	ended   time.Duration
-	outcome string
+// result is the measured outcome of one request.
+type result struct {
+	complete   bool
+	tokens     int
+	firstToken time.Duration
+	tokenGaps  []time.Duration
+	longestGap time.Duration
+	elapsed    time.Duration
+	outcome    string
 }
 
-func send(ctx context.Context, client *http.Client, target string, share Share, serial int) answer {
-	prompt := fmt.Sprintf("request %d ", serial) + strings.Repeat("x", max(0, share.PromptBytes))
+func sendRequest(ctx context.Context, client *http.Client, target string, spec ClassSpec, number int) result {
+	prompt := fmt.Sprintf("request %d ", number) + strings.Repeat("x", max(0, spec.PromptBytes))
 	body, err := json.Marshal(map[string]any{
-		"messages": []map[string]string{{"role": "user", "content": prompt}}, "stream": true, "max_tokens": share.MaxTokens,
+		"messages": []map[string]string{{"role": "user", "content": prompt}}, "stream": true, "max_tokens": spec.MaxTokens,
 	})
 	if err != nil {
-		return answer{outcome: "NotSent"}
+		return result{outcome: "NotSent"}
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return answer{outcome: "NotSent"}
+		return result{outcome: "NotSent"}
 	}
-	request.Header.Set(caller.HeaderClass, share.Class)
-	request.Header.Set(caller.HeaderWorkspace, fmt.Sprintf("workspace-%d", serial%max(1, share.Workspaces)))
-	began := time.Now()
+	request.Header.Set(caller.HeaderClass, spec.Class)
+	request.Header.Set(caller.HeaderWorkspace, fmt.Sprintf("workspace-%d", number%max(1, spec.Workspaces)))
+	start := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
-		return answer{outcome: "NoAnswer", ended: time.Since(began)}
+		return result{outcome: "NoAnswer", elapsed: time.Since(start)}
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return answer{outcome: response.Header.Get(outcome.Header), ended: time.Since(began)}
+		return result{outcome: response.Header.Get(outcome.Header), elapsed: time.Since(start)}
 	}
-	return readEvents(response, began)
+	return readEvents(response, start)
 }
 
-func readEvents(response *http.Response, began time.Time) answer {
-	result := answer{outcome: "CutOff"}
-	last := began
+func readEvents(response *http.Response, start time.Time) result {
+	result := result{outcome: "CutOff"}
+	last := start
 	scanner := bufio.NewScanner(response.Body)
 	for scanner.Scan() {
 		line, ok := strings.CutPrefix(scanner.Text(), "data: ")
@@ -227,111 +229,111 @@
 		now := time.Now()
 		switch {
 		case line == "[DONE]":
-			result.whole, result.outcome, result.ended = true, string(outcome.Run), now.Sub(began)
+			result.complete, result.outcome, result.elapsed = true, string(outcome.Run), now.Sub(start)
 			return result
 		case strings.HasPrefix(line, `{"error"`):
-			result.outcome, result.ended = "ErrorEvent", now.Sub(began)
+			result.outcome, result.elapsed = "ErrorEvent", now.Sub(start)
 			return result
 		case strings.Contains(line, `"content"`):
-			result.token(now, began, last)
+			result.addToken(now, start, last)
 			last = now
 		}
 	}
-	result.ended = time.Since(began)
+	result.elapsed = time.Since(start)
 	return result
 }
 
-func (answer *answer) token(now, began, last time.Time) {
-	answer.tokens++
-	if answer.tokens == 1 {
-		answer.first = now.Sub(began)
+func (result *result) addToken(now, start, last time.Time) {
+	result.tokens++
+	if result.tokens == 1 {
+		result.firstToken = now.Sub(start)
 		return
 	}
 	gap := now.Sub(last)
-	answer.gaps = append(answer.gaps, gap)
-	answer.slowest = max(answer.slowest, gap)
+	result.tokenGaps = append(result.tokenGaps, gap)
+	result.longestGap = max(result.longestGap, gap)
 }
 
-// inTarget holds an answer against its class: the first token in time, and the
-// mean time between tokens too.
-func (answer *answer) inTarget(share Share) bool {
-	if !answer.whole || answer.first > share.FirstToken {
+// inTarget reports whether the response is complete and meets both targets of its
+// class: the time to the first token and the mean time between tokens.
+func (result *result) inTarget(spec ClassSpec) bool {
+	if !result.complete || result.firstToken > spec.FirstToken {
 		return false
 	}
-	if len(answer.gaps) == 0 {
+	if len(result.tokenGaps) == 0 {
 		return true
 	}
 	total := time.Duration(0)
-	for _, gap := range answer.gaps {
+	for _, gap := range result.tokenGaps {
 		total += gap
 	}
-	return total/time.Duration(len(answer.gaps)) <= share.BetweenTokens
+	return total/time.Duration(len(result.tokenGaps)) <= spec.BetweenTokens
 }
 
-func (collector *collector) add(share Share, sentAt int, answer answer) {
+func (collector *collector) add(spec ClassSpec, sentAt int, result result) {
 	collector.mu.Lock()
 	defer collector.mu.Unlock()
-	class, ok := collector.classes[share.Class]
+	class, ok := collector.classes[spec.Class]
 	if !ok {
 		class = &classCollector{
-			report:  ClassReport{Class: share.Class, Outcomes: map[string]int{}},
-			first:   hdrhistogram.New(1, mostMicros, digits),
-			between: hdrhistogram.New(1, mostMicros, digits),
+			report:        ClassReport{Class: spec.Class, Outcomes: map[string]int{}},
+			firstToken:    hdrhistogram.New(1, maxMicroseconds, significantDigits),
+			betweenTokens: hdrhistogram.New(1, maxMicroseconds, significantDigits),
 		}
-		collector.classes[share.Class] = class
+		collector.classes[spec.Class] = class
 	}
-	class.add(share, answer)
-	second, ok := collector.timeline[moment{sentAt, share.Class}]
+	class.add(spec, result)
+	second, ok := collector.timeline[timelineKey{sentAt, spec.Class}]
 	if !ok {
-		second = &Second{At: sentAt, Class: share.Class}
-		collector.timeline[moment{sentAt, share.Class}] = second
+		second = &Second{At: sentAt, Class: spec.Class}
+		collector.timeline[timelineKey{sentAt, spec.Class}] = second
 	}
 	second.Sent++
-	if answer.inTarget(share) {
+	if result.inTarget(spec) {
 		second.InTarget++
 	}
 }
 
-func (class *classCollector) add(share Share, answer answer) {
+func (class *classCollector) add(spec ClassSpec, result result) {
 	class.report.Sent++
-	class.report.Tokens += answer.tokens
-	class.report.Outcomes[answer.outcome]++
-	if answer.inTarget(share) {
+	class.report.Tokens += result.tokens
+	class.report.Outcomes[result.outcome]++
+	if result.inTarget(spec) {
 		class.report.InTarget++
 	}
 	switch {
-	case answer.whole:
+	case result.complete:
 		class.report.Whole++
-	case answer.outcome == string(outcome.NotRun):
+	case result.outcome == string(outcome.NotRun):
 		class.report.Refused++
-		if answer.ended > share.FirstToken {
+		if result.elapsed > spec.FirstToken {
 			class.report.RefusedLate++
 		}
 	default:
 		class.report.Failed++
 	}
-	if answer.tokens > 0 {
-		_ = class.first.RecordValue(answer.first.Microseconds())
+	if result.tokens > 0 {
+		_ = class.firstToken.RecordValue(result.firstToken.Microseconds())
 	}
-	for _, gap := range answer.gaps {
-		_ = class.between.RecordValue(max(1, gap.Microseconds()))
+	for _, gap := range result.tokenGaps {
+		_ = class.betweenTokens.RecordValue(max(1, gap.Microseconds()))
 	}
 }
 
-func (collector *collector) report(took time.Duration) Report {
+func (collector *collector) report(elapsed time.Duration) Report {
 	collector.mu.Lock()
 	defer collector.mu.Unlock()
-	report := Report{Seconds: took.Seconds()}
+	report := Report{Seconds: elapsed.Seconds()}
 	tokens := 0
 	for _, class := range collector.classes {
 		line := class.report
 		line.InTargetShare = float64(line.InTarget) / float64(max(1, line.Sent))
-		line.FirstTokenP50, line.FirstTokenP95, line.FirstTokenP99 = quantiles(class.first)
-		line.BetweenTokensP50, line.BetweenTokensP95, line.BetweenTokensP99 = quantiles(class.between)
+		line.FirstTokenP50, line.FirstTokenP95, line.FirstTokenP99 = quantiles(class.firstToken)
+		line.BetweenTokensP50, line.BetweenTokensP95, line.BetweenTokensP99 = quantiles(class.betweenTokens)
 		report.Classes = append(report.Classes, line)
 		tokens += line.Tokens
 	}
-	report.TokensPerSecond = float64(tokens) / took.Seconds()
+	report.TokensPerSecond = float64(tokens) / elapsed.Seconds()
 	for _, second := range collector.timeline {
 		report.Timeline = append(report.Timeline, *second)
 	}
--- a/internal/run/load/plot.go
+++ b/internal/run/load/plot.go
@@ -14,7 +14,7 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// colours tell the classes apart, also for readers who see few colours.
+// colours are the line colours of the classes, distinguishable with colour blindness.
 var colours = []color.Color{
 	color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
 	color.RGBA{R: 0xd5, G: 0x5e, B: 0x00, A: 0xff},
@@ -22,15 +22,15 @@
 	color.RGBA{R: 0xcc, G: 0x79, B: 0xa7, A: 0xff},
 }
 
-// Plot draws, for each class, the share of the requests sent in each second
-// that met their target. The file's ending says the format: .svg or .png.
+// Plot draws, for each class, the share of requests that met their target, by the
+// second in which they were sent. The file extension selects the format: .svg or .png.
 func (report Report) Plot(title, file string) error {
-	drawing := plot.New()
-	drawing.Title.Text = title
-	drawing.X.Label.Text = "second in which the request was sent"
-	drawing.Y.Label.Text = "in target"
-	drawing.Y.Min, drawing.Y.Max = 0, 1.05
-	drawing.Legend.Top = false
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.X.Label.Text = "second in which the request was sent"
+	chart.Y.Label.Text = "in target"
+	chart.Y.Min, chart.Y.Max = 0, 1.05
+	chart.Legend.Top = false
 	for index, class := range report.Classes {
 		points := plotter.XYs{}
 		for _, second := range report.Timeline {
@@ -40,12 +40,12 @@
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			return errors.Wrapf(err, "draw class %s", class.Class)
+			return errors.Wrapf(err, "plot class %s", class.Class)
 		}
 		line.Color = colours[index%len(colours)]
 		line.Width = vg.Points(1.5)
-		drawing.Add(line)
-		drawing.Legend.Add(class.Class, line)
+		chart.Add(line)
+		chart.Legend.Add(class.Class, line)
 	}
-	return errors.Wrap(drawing.Save(plotWidth, plotHeight, file), "write the plot")
+	return errors.Wrap(chart.Save(plotWidth, plotHeight, file), "write the plot")
 }
--- a/internal/run/node/node_test.go
+++ b/internal/run/node/node_test.go
@@ -23,7 +23,7 @@
 // small is one data centre of two nodes before one domain of eight engines.
 func small(unchecked int) demo.Shape {
 	return demo.Shape{
-		DataCentres: []string{"lakes-a"}, Nodes: 2, Domains: 1, Engines: 8, Unchecked: unchecked,
+		DataCentres: []string{"lakes-a"}, Nodes: 2, Domains: 1, Engines: 8, UncheckedDomains: unchecked,
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
 	}
 }
--- a/internal/run/node/overhead_test.go
+++ b/internal/run/node/overhead_test.go
@@ -28,12 +28,12 @@
 const benchPort = 23_000
 
 // onSockets runs one node before two groups of stand-in engines over loopback.
-func onSockets(b *testing.B) (*node.Node, *demo.World) {
+func onSockets(b *testing.B) (*node.Node, *demo.Environment) {
 	b.Helper()
 	// The engines have room for a thousand answers, so that the node is what is
 	// measured.
 	rates := standin.Rates{Step: 10 * time.Millisecond, StepEach: 20 * time.Microsecond, Prefill: 1_000_000, Concurrency: 600}
-	world, err := demo.NewWorld(demo.BasePort(benchPort), demo.Speed(rates), demo.Size(demo.Shape{
+	world, err := demo.NewEnvironment(demo.BasePort(benchPort), demo.Speed(rates), demo.Size(demo.Shape{
 		DataCentres: []string{"bench"}, Nodes: 1, Domains: 1, Engines: 8,
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
 	}))
--- a/internal/run/node/random_test.go
+++ b/internal/run/node/random_test.go
@@ -35,7 +35,7 @@
 		seed := suite.Seed()*1_000_000 + uint64(round)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			shape := demo.Shape{
-				DataCentres: []string{"lakes-a"}, Nodes: 3, Domains: 2, Engines: 9, Unchecked: 1,
+				DataCentres: []string{"lakes-a"}, Nodes: 3, Domains: 2, Engines: 9, UncheckedDomains: 1,
 				Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
 			}
 			inBubble(t, shape, func(t *testing.T, running *fleet.Fleet, g *gomega.WithT) {
--- a/internal/run/node/state_bench_test.go
+++ b/internal/run/node/state_bench_test.go
@@ -22,9 +22,9 @@
 const stateBenchPort = 27_000
 
 // manyNodes runs nodes of one data centre over loopback.
-func manyNodes(b *testing.B, count int, relay bool) ([]*node.Node, *demo.World) {
+func manyNodes(b *testing.B, count int, relay bool) ([]*node.Node, *demo.Environment) {
 	b.Helper()
-	world, err := demo.NewWorld(demo.BasePort(stateBenchPort), demo.Size(demo.Shape{
+	world, err := demo.NewEnvironment(demo.BasePort(stateBenchPort), demo.Size(demo.Shape{
 		DataCentres: []string{"bench"}, Nodes: count, Domains: 1, Engines: 4,
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
 	}))
--- a/internal/run/node/traffic_test.go
+++ b/internal/run/node/traffic_test.go
@@ -19,7 +19,7 @@
 func TestQuietFleetKeepsToItsBudget(t *testing.T) {
 	const nodes, servers, quiet = 6, 24, 60
 	shape := demo.Shape{
-		DataCentres: []string{"lakes-a"}, Nodes: nodes, Domains: servers / 4, Engines: 4, Unchecked: 1,
+		DataCentres: []string{"lakes-a"}, Nodes: nodes, Domains: servers / 4, Engines: 4, UncheckedDomains: 1,
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
 	}
 	inBubble(t, shape, func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
--- a/internal/run/soak/callers.go
+++ b/internal/run/soak/callers.go
@@ -15,95 +15,95 @@
 )
 
 const (
-	// callersPerNode keep connections open to nodes and use them in turn.
+	// callersPerNode is the number of callers per node. Each keeps its connections open and reuses them.
 	callersPerNode = 2
-	// callEvery is the mean time between two requests of one caller.
-	callEvery = 120 * time.Millisecond
-	// bodyMost bounds the length of a booking's body, by which answers are told apart.
-	bodyMost = 4000
-	// draftEvents is how long drafts are.
+	// callInterval is the mean time between two requests of one caller.
+	callInterval = 120 * time.Millisecond
+	// maxBodyLength bounds the random length of a request body. The length tells the responses to bookings apart.
+	maxBodyLength = 4000
+	// draftEvents is the number of events in each draft.
 	draftEvents = 20
 )
 
-// callers send requests and keep what they got.
-type callers struct {
+// callerPool sends requests and keeps their results.
+type callerPool struct {
 	address func(node int) string
 	nodes   int
 
 	mu       sync.Mutex
-	answers  []standin.Answered
-	waiting  conc.WaitGroup
+	results  []standin.Answered
+	running  conc.WaitGroup
 	stopping chan struct{}
 }
 
-func (callers *callers) start(seed uint64) {
-	for number := range callersPerNode * callers.nodes {
-		draw := rand.New(rand.NewPCG(seed, uint64(number)+1))
-		callers.waiting.Go(func() { callers.run(number, draw) })
+func (callerPool *callerPool) start(seed uint64) {
+	for number := range callersPerNode * callerPool.nodes {
+		random := rand.New(rand.NewPCG(seed, uint64(number)+1))
+		callerPool.running.Go(func() { callerPool.run(number, random) })
 	}
 }
 
-// run is one caller: it keeps to a node for a while and goes on using its connection
+// run runs one caller. The caller stays with a node for a while and reuses its connection
 // until the node closes it.
-func (callers *callers) run(number int, draw *rand.Rand) {
+func (callerPool *callerPool) run(caller int, random *rand.Rand) {
 	client := standin.NewCaller()
 	defer client.CloseIdleConnections()
-	node := number % callers.nodes
-	for turn := 0; ; turn++ {
+	node := caller % callerPool.nodes
+	for number := 0; ; number++ {
 		select {
-		case <-callers.stopping:
+		case <-callerPool.stopping:
 			return
-		case <-time.After(time.Duration(draw.ExpFloat64() * float64(callEvery))):
+		case <-time.After(time.Duration(random.ExpFloat64() * float64(callInterval))):
 		}
-		if draw.IntN(20) == 0 {
-			node = draw.IntN(callers.nodes)
+		if random.IntN(20) == 0 {
+			node = random.IntN(callerPool.nodes)
 		}
-		kind := []standin.Kind{standin.Draft, standin.Draft, standin.Book, standin.Ping}[draw.IntN(4)]
-		asked := standin.Asked{ID: fmt.Sprintf("%s-%d-%d", kind, number, turn), Kind: kind, Body: strings.Repeat("x", 1+draw.IntN(bodyMost)), Events: draftEvents}
-		callers.ask(client, node, asked)
+		kind := []standin.Kind{standin.Draft, standin.Draft, standin.Book, standin.Ping}[random.IntN(4)]
+		request := standin.Asked{ID: fmt.Sprintf("%s-%d-%d", kind, caller, number), Kind: kind, Body: strings.Repeat("x", 1+random.IntN(maxBodyLength)), Events: draftEvents}
+		callerPool.send(client, node, request)
 	}
 }
 
-func (callers *callers) ask(client *http.Client, node int, asked standin.Asked) standin.Answered {
-	answered := standin.Ask(context.Background(), client, callers.address(node), asked)
-	answered.Node = node
-	callers.mu.Lock()
-	defer callers.mu.Unlock()
-	callers.answers = append(callers.answers, answered)
-	return answered
+func (callerPool *callerPool) send(client *http.Client, node int, request standin.Asked) standin.Answered {
+	result := standin.Ask(context.Background(), client, callerPool.address(node), request)
+	result.Node = node
+	callerPool.mu.Lock()
+	defer callerPool.mu.Unlock()
+	callerPool.results = append(callerPool.results, result)
+	return result
 }
 
-// insist sends a request that ends servers to one node after the other.
-func (callers *callers) insist(ctx context.Context, span time.Duration) {
+// sendHarmful sends requests that crash servers to the nodes in turn.
+func (callerPool *callerPool) sendHarmful(ctx context.Context, duration time.Duration) {
 	client := standin.NewCaller()
 	defer client.CloseIdleConnections()
-	for turn, began := 0, time.Now(); time.Since(began) < span && ctx.Err() == nil; turn++ {
-		callers.ask(client, turn%callers.nodes, standin.Asked{ID: fmt.Sprintf("harm-%d", turn), Kind: standin.Draft, Body: standin.EndsServer, Events: draftEvents})
+	for number, start := 0, time.Now(); time.Since(start) < duration && ctx.Err() == nil; number++ {
+		callerPool.send(client, number%callerPool.nodes, standin.Asked{ID: fmt.Sprintf("harm-%d", number), Kind: standin.Draft, Body: standin.EndsServer, Events: draftEvents})
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// stop ends the load and returns what was answered.
-func (callers *callers) stop() []standin.Answered {
-	close(callers.stopping)
-	callers.waiting.Wait()
-	return callers.answers
+// stop ends the load and returns the results of all requests.
+func (callerPool *callerPool) stop() []standin.Answered {
+	close(callerPool.stopping)
+	callerPool.running.Wait()
+	return callerPool.results
 }
 
-// served says whether a node answers a draft, a booking and a ping whole within a time. The
-// moment is part of the requests' IDs.
-func (callers *callers) served(moment string, node int, within time.Duration) bool {
+// waitUntilServing reports whether a node completes a draft, a booking and a ping before the timeout. The
+// phase is part of the request IDs.
+func (callerPool *callerPool) waitUntilServing(phase string, node int, timeout time.Duration) bool {
 	client := standin.NewCaller()
 	defer client.CloseIdleConnections()
-	left := map[standin.Kind]bool{standin.Draft: true, standin.Book: true, standin.Ping: true}
-	for turn, began := 0, time.Now(); len(left) > 0 && time.Since(began) < within; turn++ {
-		for kind := range left {
-			asked := standin.Asked{ID: fmt.Sprintf("%s-%s-%d-%d", moment, kind, node, turn), Kind: kind, Body: moment, Events: draftEvents}
-			if callers.ask(client, node, asked).Whole {
-				delete(left, kind)
+	pending := map[standin.Kind]bool{standin.Draft: true, standin.Book: true, standin.Ping: true}
+	for number, start := 0, time.Now(); len(pending) > 0 && time.Since(start) < timeout; number++ {
+		for kind := range pending {
+			request := standin.Asked{ID: fmt.Sprintf("%s-%s-%d-%d", phase, kind, node, number), Kind: kind, Body: phase, Events: draftEvents}
+			if callerPool.send(client, node, request).Whole {
+				delete(pending, kind)
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return len(left) == 0
+	return len(pending) == 0
 }
--- a/internal/run/soak/check.go
+++ b/internal/run/soak/check.go
@@ -10,69 +10,69 @@
 )
 
 const (
-	// toldWithin is how long after the third server ended of a request the fleet may take
-	// to know of it, and lateMost how often the request may reach servers after that.
-	toldWithin = 3 * time.Second
-	lateMost   = 3
-	// drainedWithin is how long after a plain server announced that it leaves it may get
-	// new calls: what the deployments allow, and what the registry and a busy machine add.
-	drainedWithin = 5 * time.Second
+	// quarantineDelay is how long the fleet may take to quarantine a request after the third server
+	// crashed on it, and maxLateSends how often the request may reach servers after that.
+	quarantineDelay = 3 * time.Second
+	maxLateSends    = 3
+	// drainDelay is how long a plain server may get new calls after it announced that it is leaving:
+	// the time that the deployments allow, plus what the registry and a busy machine add.
+	drainDelay = 5 * time.Second
 )
 
-// checkAnswers finds what callers got that they never may, beside what servers ran.
-func checkAnswers(answers []standin.Answered, seen standin.Observed) []string {
-	wrong := []string{}
+// checkResponses reports invalid responses, by comparing what callers received with what servers ran.
+func checkResponses(results []standin.Answered, observed standin.Observed) []string {
+	violations := []string{}
 	runs := map[string]int{}
-	for _, run := range seen.Runs {
+	for _, run := range observed.Runs {
 		runs[run.ID]++
 	}
-	for number := range answers {
-		answered := &answers[number]
-		if answered.Wrong != "" {
-			wrong = append(wrong, fmt.Sprintf("%s at node %d: %s", answered.ID, answered.Node+1, answered.Wrong))
+	for number := range results {
+		result := &results[number]
+		if result.Wrong != "" {
+			violations = append(violations, fmt.Sprintf("%s at node %d: %s", result.ID, result.Node+1, result.Wrong))
 		}
-		if standin.NotRun(answered.Status) && runs[answered.ID] > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s at node %d was said not to have run, and ran %d times", answered.ID, answered.Node+1, runs[answered.ID]))
+		if standin.NotRun(result.Status) && runs[result.ID] > 0 {
+			violations = append(violations, fmt.Sprintf("%s at node %d was reported as not run but ran %d times", result.ID, result.Node+1, runs[result.ID]))
 		}
-		if answered.Kind == standin.Book && runs[answered.ID] > 1 {
-			wrong = append(wrong, fmt.Sprintf("%s may run once and ran %d times", answered.ID, runs[answered.ID]))
+		if result.Kind == standin.Book && runs[result.ID] > 1 {
+			violations = append(violations, fmt.Sprintf("%s must run at most once but ran %d times", result.ID, runs[result.ID]))
 		}
 	}
-	return append(wrong, seen.Violations...)
+	return append(violations, observed.Violations...)
 }
 
-// checkBudget finds a span in which the servers of a service got more repeats than the
-// operator allows.
-func checkBudget(seen standin.Observed) []string {
+// checkBudget reports a window in which the servers of a service got more retries than the retry
+// budget of the operator allows.
+func checkBudget(observed standin.Observed) []string {
 	bounds := standin.DefaultBounds()
-	wrong := []string{}
+	violations := []string{}
 	for _, kinds := range [][]standin.Kind{{standin.Draft}, {standin.Book, standin.Ping}} {
-		known := map[string]bool{}
-		firsts, repeats := []time.Duration{}, []time.Duration{}
-		for _, run := range seen.Runs {
+		seen := map[string]bool{}
+		firsts, retries := []time.Duration{}, []time.Duration{}
+		for _, run := range observed.Runs {
 			if !slices.ContainsFunc(kinds, func(kind standin.Kind) bool { return strings.Contains(run.ID, string(kind)+"-") }) {
 				continue
 			}
-			if known[run.ID] {
-				repeats = append(repeats, run.At)
+			if seen[run.ID] {
+				retries = append(retries, run.At)
 			} else {
 				firsts = append(firsts, run.At)
 			}
-			known[run.ID] = true
+			seen[run.ID] = true
 		}
-		for _, from := range repeats {
-			spent, earned := within(repeats, from, bounds.RetryWindow), within(firsts, from, bounds.RetryWindow)
-			if float64(spent) > bounds.RetryRatio*float64(earned)+bounds.RetryLeast {
-				wrong = append(wrong, fmt.Sprintf("%d repeats of %v within %s beside %d requests", spent, kinds, bounds.RetryWindow, earned))
+		for _, from := range retries {
+			retried, requests := countWithin(retries, from, bounds.RetryWindow), countWithin(firsts, from, bounds.RetryWindow)
+			if float64(retried) > bounds.RetryRatio*float64(requests)+bounds.RetryLeast {
+				violations = append(violations, fmt.Sprintf("retry budget exceeded: %d retries of %v within %s for %d first runs", retried, kinds, bounds.RetryWindow, requests))
 				break
 			}
 		}
 	}
-	return wrong
+	return violations
 }
 
-// within counts the times in a span.
-func within(times []time.Duration, from, span time.Duration) int {
+// countWithin counts the times in the window that starts at from.
+func countWithin(times []time.Duration, from, span time.Duration) int {
 	count := 0
 	for _, at := range times {
 		if at >= from && at < from+span {
@@ -82,34 +82,35 @@
 	return count
 }
 
-// checkHarmful finds a request that went on to servers after it had ended three.
-func checkHarmful(seen standin.Observed) []string {
-	late := standin.LateSends(seen.Harmful, toldWithin)
-	if late <= lateMost {
+// checkHarmful reports a request that still reached servers after it had crashed three of them.
+func checkHarmful(observed standin.Observed) []string {
+	late := standin.LateSends(observed.Harmful, quarantineDelay)
+	if late <= maxLateSends {
 		return nil
 	}
-	return []string{fmt.Sprintf("a request that had ended three servers reached %d more, later than %s after", late, toldWithin)}
+	return []string{fmt.Sprintf("a request that had crashed three servers reached servers %d more times, more than %s later", late, quarantineDelay)}
 }
 
-// drain is a plain server that left, on the stand-in's clock.
+// drain records when a plain server announced that it is leaving, on the stand-in's clock.
 type drain struct {
 	server string
 	at     time.Duration
 }
 
-// checkDrains finds calls that began at servers that had left.
-func checkDrains(drains []drain, seen standin.Observed) []string {
-	wrong := []string{}
+// checkDrains reports calls that started at a server later than drainDelay after the server announced
+// that it is leaving.
+func checkDrains(drains []drain, observed standin.Observed) []string {
+	violations := []string{}
 	for _, drain := range drains {
 		late := 0
-		for _, run := range seen.Runs {
-			if run.Server == drain.server && run.At > drain.at+drainedWithin {
+		for _, run := range observed.Runs {
+			if run.Server == drain.server && run.At > drain.at+drainDelay {
 				late++
 			}
 		}
 		if late > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s got %d calls later than %s after it announced that it leaves", drain.server, late, drainedWithin))
+			violations = append(violations, fmt.Sprintf("%s got %d calls more than %s after it announced that it is leaving", drain.server, late, drainDelay))
 		}
 	}
-	return wrong
+	return violations
 }
--- a/internal/run/soak/fault.go
+++ b/internal/run/soak/fault.go
@@ -11,54 +11,54 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. Those of nodes are signals to their processes; those of peers, the
-// store and servers are in the proxies between them, or in the stand-in.
+// The kinds of faults. Node faults are signals to node processes. Faults of peers, the store
+// and servers are injected by the proxies in front of them or by the stand-in.
 const (
-	NodeStop   Kind = "node-stop"    // SIGTERM, and a start after its end
-	NodeKill   Kind = "node-kill"    // SIGKILL, and a start
-	NodePause  Kind = "node-pause"   // SIGSTOP, SIGCONT
-	AllKill    Kind = "all-kill"     // SIGKILL to all nodes
-	PeerDelay  Kind = "peer-delay"   // frames to a node take longer
+	NodeStop   Kind = "node-stop"    // SIGTERM, then a restart
+	NodeKill   Kind = "node-kill"    // SIGKILL, then a restart
+	NodePause  Kind = "node-pause"   // SIGSTOP, later SIGCONT
+	AllKill    Kind = "all-kill"     // SIGKILL to all nodes, then restarts
+	PeerDelay  Kind = "peer-delay"   // frames to a node are delayed
 	PeerReset  Kind = "peer-reset"   // connections to a node's peer port are reset
-	PeerSilent Kind = "peer-silent"  // nothing passes to a node's peer port, or from it
-	PeerOneWay Kind = "peer-one-way" // nothing passes to it; its answers do
-	// The operator's changes pile up while the store is away, mute or resets.
-	StoreAway   Kind = "store-away"   // the store turns all away
-	StoreMute   Kind = "store-mute"   // it takes calls and never answers them
-	StoreReset  Kind = "store-reset"  // it breaks connections off
-	StoreSlow   Kind = "store-slow"   // it answers late
-	StoreForget Kind = "store-forget" // it forgets the history of its topics
-	StoreReturn Kind = "store-return" // it is away, and comes back from an older copy
-	StoreSilent Kind = "store-silent" // one node doesn't reach it
-	StoreLost   Kind = "store-lost"   // its answers to one node are lost, calls take effect
-	ServerEnd   Kind = "server-end"   // a server's process ends and is back later
-	ServerKill  Kind = "server-kill"  // a server falls silent, and starts again under its ID
+	PeerSilent Kind = "peer-silent"  // traffic to and from a node's peer port is blocked
+	PeerOneWay Kind = "peer-one-way" // traffic to a node's peer port is blocked, its responses pass
+	// Configuration changes accumulate during StoreAway, StoreMute and StoreReset, and are confirmed in a row after them.
+	StoreAway   Kind = "store-away"   // the store rejects all calls
+	StoreMute   Kind = "store-mute"   // the store accepts calls and never responds
+	StoreReset  Kind = "store-reset"  // the store resets connections
+	StoreSlow   Kind = "store-slow"   // the store responds late
+	StoreForget Kind = "store-forget" // the store loses the history of its topics
+	StoreReturn Kind = "store-return" // the store is unavailable, then restored from an older backup
+	StoreSilent Kind = "store-silent" // traffic between one node and the store is blocked
+	StoreLost   Kind = "store-lost"   // the store's responses to one node are blocked, its calls take effect
+	ServerEnd   Kind = "server-end"   // a server process exits and restarts later
+	ServerKill  Kind = "server-kill"  // a server stops responding, then restarts under the same ID
 	ServerReset Kind = "server-reset" // connections to a server are reset
-	ServerBreak Kind = "server-break" // a server accepts connections and resets them before any answer
-	ServerMute  Kind = "server-mute"  // nothing passes to a server, or from it
-	PlainReset  Kind = "plain-reset"  // the same of a plain server's connections
-	PlainMute   Kind = "plain-mute"   // nothing passes to a plain server, or from it
-	PlainLost   Kind = "plain-lost"   // its answers are lost, what it is asked runs
-	PlainDrain  Kind = "plain-drain"  // a plain server announces that it leaves
-	Configure   Kind = "configure"    // the operator writes a version
-	// Harmful: callers insist on a request that ends each server that runs it.
+	ServerBreak Kind = "server-break" // a server accepts connections and resets them before any response
+	ServerMute  Kind = "server-mute"  // traffic to and from a server is blocked
+	PlainReset  Kind = "plain-reset"  // connections to a plain server are reset
+	PlainMute   Kind = "plain-mute"   // traffic to and from a plain server is blocked
+	PlainLost   Kind = "plain-lost"   // a plain server's responses are blocked, its calls run
+	PlainDrain  Kind = "plain-drain"  // a plain server announces that it is leaving
+	Configure   Kind = "configure"    // the operator writes a configuration version
+	// Harmful makes callers send a request again and again that crashes each server that runs it.
 	Harmful Kind = "harmful"
 )
 
-// Fault is one fault of a plan. Times are from the start of the load.
+// Fault is one fault of a plan. At is the time since the start of the load.
 type Fault struct {
-	At     time.Duration
-	For    time.Duration
-	Kind   Kind
-	Target int
+	At       time.Duration
+	Duration time.Duration
+	Kind     Kind
+	Target   int
 }
 
-// String is the fault as the plan is printed.
+// String formats the fault as a line of the printed plan.
 func (fault Fault) String() string {
-	return fmt.Sprintf("%6.2f s  %-12s of %2d for %.2f s", fault.At.Seconds(), fault.Kind, fault.Target, fault.For.Seconds())
+	return fmt.Sprintf("%6.2f s  %-12s of %2d for %.2f s", fault.At.Seconds(), fault.Kind, fault.Target, fault.Duration.Seconds())
 }
 
-// Plan is what a seed stands for.
+// Plan is the sequence of faults that a seed determines.
 type Plan struct {
 	Seed   uint64
 	Length time.Duration
@@ -66,15 +66,16 @@
 	Faults []Fault
 }
 
-// share is how often a kind is drawn, and for how long it may last.
-type share struct {
-	kind        Kind
-	weight      int
-	least, most time.Duration
+// faultWeight is the relative frequency of a kind of fault and the range of its duration.
+type faultWeight struct {
+	kind                     Kind
+	weight                   int
+	minDuration, maxDuration time.Duration
 }
 
-// shares are drawn from; pauses and silences last longer than any time-out of a node.
-var shares = []share{
+// faultWeights lists the kinds that a plan draws from. Pauses and blocked traffic may last longer than any
+// timeout of a node.
+var faultWeights = []faultWeight{
 	{NodeStop, 4, 0, 0},
 	{NodeKill, 4, 0, 0},
 	{NodePause, 4, 300 * time.Millisecond, 5 * time.Second},
@@ -104,52 +105,52 @@
 }
 
 const (
-	// meanGap is the mean time between faults: shorter than most of them last, so
+	// meanFaultInterval is the mean time between faults. It is shorter than most faults last, so
 	// that they overlap.
-	meanGap = 700 * time.Millisecond
-	// harmfulFor is for how long callers insist on a harmful request, and harmfulQuiet
-	// how long before and meanwhile nothing else goes wrong: then all nodes are in touch.
-	harmfulFor   = 8 * time.Second
-	harmfulQuiet = 10 * time.Second
-	// plainDrains bounds the plain servers that leave.
-	plainDrains = 1
+	meanFaultInterval = 700 * time.Millisecond
+	// harmfulDuration is how long callers send a harmful request. No other fault is active meanwhile,
+	// nor during the harmfulQuietPeriod before, so that all nodes are connected to each other.
+	harmfulDuration    = 8 * time.Second
+	harmfulQuietPeriod = 10 * time.Second
+	// maxPlainDrains bounds the number of plain servers that leave.
+	maxPlainDrains = 1
 )
 
-// Draw returns the plan of a seed: the same whenever it is drawn for the same shape.
-func Draw(seed uint64, length time.Duration, nodes, engines, plain int) Plan {
-	draw := rand.New(rand.NewPCG(seed, 0))
+// GeneratePlan returns the plan of a seed. Equal arguments give equal plans.
+func GeneratePlan(seed uint64, length time.Duration, nodes, engines, plain int) Plan {
+	random := rand.New(rand.NewPCG(seed, 0))
 	plan := Plan{Seed: seed, Length: length, Nodes: nodes}
-	sum := 0
-	for _, share := range shares {
-		sum += share.weight
+	totalWeight := 0
+	for _, weighted := range faultWeights {
+		totalWeight += weighted.weight
 	}
-	quietFrom, quietUntil := length, length
-	if length > 2*harmfulQuiet && draw.IntN(2) == 0 {
-		quietFrom = time.Duration(draw.Int64N(int64(length - harmfulQuiet - harmfulFor)))
-		quietUntil = quietFrom + harmfulQuiet + harmfulFor
-		plan.Faults = append(plan.Faults, Fault{At: quietFrom + harmfulQuiet, For: harmfulFor, Kind: Harmful})
+	quietStart, quietEnd := length, length
+	if length > 2*harmfulQuietPeriod && random.IntN(2) == 0 {
+		quietStart = time.Duration(random.Int64N(int64(length - harmfulQuietPeriod - harmfulDuration)))
+		quietEnd = quietStart + harmfulQuietPeriod + harmfulDuration
+		plan.Faults = append(plan.Faults, Fault{At: quietStart + harmfulQuietPeriod, Duration: harmfulDuration, Kind: Harmful})
 	}
-	drained := 0
-	for at := time.Duration(0); at < length; at += time.Duration(draw.ExpFloat64() * float64(meanGap)) {
-		chosen := shares[0]
-		left := draw.IntN(sum)
-		for _, share := range shares {
-			if chosen = share; left < share.weight {
+	plainDrains := 0
+	for at := time.Duration(0); at < length; at += time.Duration(random.ExpFloat64() * float64(meanFaultInterval)) {
+		selected := faultWeights[0]
+		remaining := random.IntN(totalWeight)
+		for _, weighted := range faultWeights {
+			if selected = weighted; remaining < weighted.weight {
 				break
 			}
-			left -= share.weight
+			remaining -= weighted.weight
 		}
-		fault := Fault{At: at, Kind: chosen.kind}
-		if chosen.most > 0 {
-			fault.For = chosen.least + time.Duration(draw.Int64N(int64(chosen.most-chosen.least)))
+		fault := Fault{At: at, Kind: selected.kind}
+		if selected.maxDuration > 0 {
+			fault.Duration = selected.minDuration + time.Duration(random.Int64N(int64(selected.maxDuration-selected.minDuration)))
 		}
-		fault.Target = draw.IntN(targets(chosen.kind, nodes, engines, plain))
-		if chosen.kind == PlainDrain {
-			if drained++; drained > plainDrains {
+		fault.Target = random.IntN(targetCount(selected.kind, nodes, engines, plain))
+		if selected.kind == PlainDrain {
+			if plainDrains++; plainDrains > maxPlainDrains {
 				continue
 			}
 		}
-		if fault.At+fault.For >= quietFrom && fault.At < quietUntil {
+		if fault.At+fault.Duration >= quietStart && fault.At < quietEnd {
 			continue
 		}
 		plan.Faults = append(plan.Faults, fault)
@@ -158,8 +159,8 @@
 	return plan
 }
 
-// targets is how many things a kind of fault may strike.
-func targets(kind Kind, nodes, engines, plain int) int {
+// targetCount returns the number of possible targets of a kind of fault.
+func targetCount(kind Kind, nodes, engines, plain int) int {
 	switch kind {
 	case ServerEnd, ServerKill, ServerReset, ServerBreak, ServerMute:
 		return engines
--- a/internal/run/soak/fleet.go
+++ b/internal/run/soak/fleet.go
@@ -20,57 +20,58 @@
 	"hazelslip/platform/standin"
 )
 
-// The ports of a soak, from the base port on. Each node has a loopback address of its
-// own, on which all have the same ports; what stands between them has another.
+// Port offsets from the base port. Each node has its own loopback address and uses the same ports
+// on it. The proxies have other loopback addresses.
 const (
-	storePort   = 0
-	controlPort = 1
-	callerPort  = 10
-	readyPort   = 11
-	operator    = 12
-	peerPort    = 13
-	serverPort  = 100
-	// nodesMost is how many addresses there are.
-	nodesMost = 240
-	// firstHost is the last part of the first node's address.
-	firstHost = 10
+	storePort     = 0
+	controlPort   = 1
+	callerPort    = 10
+	readinessPort = 11
+	operatorPort  = 12
+	peerPort      = 13
+	serverPort    = 100
+	// maxNodes is the number of loopback addresses available for nodes.
+	maxNodes = 240
+	// firstHostNumber is the last byte of the first node's address.
+	firstHostNumber = 10
 )
 
-// fleet is the processes of a soak and what stands between them.
+// fleet holds the processes of a soak test and the proxies between them.
 type fleet struct {
-	options Options
-	shape   standin.Shape
-	note    func(format string, values ...any)
-	control *http.Client
+	options         Options
+	shape           standin.Shape
+	recordViolation func(format string, values ...any)
+	controlClient   *http.Client
 
 	standin *process
 	nodes   []*process
-	// peers, stores and servers are the proxies before a node's peer port, before the
-	// store for a node, and before a server.
-	peers, stores []*proxy
-	servers       []*proxy
-	engines       []string
-	plain         []string
+	// peerProxies has one proxy per node in front of the node's peer port, storeProxies one per
+	// node in front of the store, and serverProxies one per server: first the engines, then the plain
+	// servers.
+	peerProxies, storeProxies []*proxy
+	serverProxies             []*proxy
+	engines                   []string
+	plainServers              []string
 
-	// mu orders the operator's versions.
+	// mu serializes the writes of configuration versions.
 	mu      sync.Mutex
 	version int64
 }
 
 func (fleet *fleet) nodeAddress(node, port int) string {
-	return fmt.Sprintf("127.0.0.%d:%d", firstHost+node, fleet.options.BasePort+port)
+	return fmt.Sprintf("127.0.0.%d:%d", firstHostNumber+node, fleet.options.BasePort+port)
 }
 
-// between is the address of what stands before a node.
-func (fleet *fleet) between(node, port int) string {
-	return fmt.Sprintf("127.0.1.%d:%d", firstHost+node, fleet.options.BasePort+port)
+// proxyAddress returns the address of a proxy that belongs to a node.
+func (fleet *fleet) proxyAddress(node, port int) string {
+	return fmt.Sprintf("127.0.1.%d:%d", firstHostNumber+node, fleet.options.BasePort+port)
 }
 
-// serversHost is the address of what stands before the servers.
-const serversHost = "127.0.2.1"
+// serverProxyHost is the host of the proxies in front of the servers.
+const serverProxyHost = "127.0.2.1"
 
 func (fleet *fleet) start() error {
-	fleet.engines, fleet.plain = standin.ServersOf(fleet.shape)
+	fleet.engines, fleet.plainServers = standin.ServersOf(fleet.shape)
 	if err := fleet.startStandin(); err != nil {
 		return err
 	}
@@ -93,18 +94,18 @@
 func (fleet *fleet) startStandin() error {
 	options, shape := fleet.options, fleet.shape
 	fleet.standin = &process{
-		name: "standin", program: options.Program, folder: options.Folder, note: fleet.note,
+		name: "standin", program: options.Program, folder: options.Folder, recordViolation: fleet.recordViolation,
 		arguments: []string{
 			"standin", "--platform", "--base-port", strconv.Itoa(options.BasePort), "--domains", strconv.Itoa(shape.Domains),
 			"--servers", strconv.Itoa(shape.Servers), "--ledgers", strconv.Itoa(shape.Ledgers), "--seed", strconv.FormatUint(shape.Seed, 10),
-			"--control", fmt.Sprintf("127.0.0.1:%d", options.BasePort+controlPort), "--advertise-host", serversHost,
+			"--control", fmt.Sprintf("127.0.0.1:%d", options.BasePort+controlPort), "--advertise-host", serverProxyHost,
 		},
 	}
-	// A port that is taken shows here, with its name.
+	// Report a port that is in use with its address, before the stand-in starts.
 	for _, port := range []int{storePort, controlPort, serverPort} {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", options.BasePort+port))
 		if err != nil {
-			return errors.Wrap(err, "the stand-in can't listen")
+			return errors.Wrap(err, "check the ports of the stand-in")
 		}
 		listener.Close()
 	}
@@ -112,35 +113,35 @@
 		return err
 	}
 	for range 100 {
-		if _, err := fleet.observed(); err == nil {
+		if _, err := fleet.fetchObserved(); err == nil {
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return errors.Newf("the stand-in doesn't answer; see %s", filepath.Join(options.Folder, "standin-1.log"))
+	return errors.Newf("the stand-in does not respond; see %s", filepath.Join(options.Folder, "standin-1.log"))
 }
 
 func (fleet *fleet) startProxies() error {
 	base := fleet.options.BasePort
 	for node := range fleet.options.Nodes {
-		peer, err := newProxy(fleet.between(node, peerPort), fleet.nodeAddress(node, peerPort))
+		peer, err := newProxy(fleet.proxyAddress(node, peerPort), fleet.nodeAddress(node, peerPort))
 		if err != nil {
 			return err
 		}
-		fleet.peers = append(fleet.peers, peer)
-		store, err := newProxy(fleet.between(node, storePort), fmt.Sprintf("127.0.0.1:%d", base+storePort))
+		fleet.peerProxies = append(fleet.peerProxies, peer)
+		store, err := newProxy(fleet.proxyAddress(node, storePort), fmt.Sprintf("127.0.0.1:%d", base+storePort))
 		if err != nil {
 			return err
 		}
-		fleet.stores = append(fleet.stores, store)
+		fleet.storeProxies = append(fleet.storeProxies, store)
 	}
-	for number := range len(fleet.engines) + len(fleet.plain) {
+	for number := range len(fleet.engines) + len(fleet.plainServers) {
 		port := base + serverPort + number
-		server, err := newProxy(fmt.Sprintf("%s:%d", serversHost, port), fmt.Sprintf("127.0.0.1:%d", port))
+		server, err := newProxy(fmt.Sprintf("%s:%d", serverProxyHost, port), fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
 			return err
 		}
-		fleet.servers = append(fleet.servers, server)
+		fleet.serverProxies = append(fleet.serverProxies, server)
 	}
 	return nil
 }
@@ -149,36 +150,36 @@
 
 func (fleet *fleet) newNode(node int) (*process, error) {
 	name := fmt.Sprintf("node-%d", node+1)
-	settings := gateway.Settings{
-		Name: name, DataCentre: fleet.shape.DataCentreOf(node), Region: "soak", Store: fleet.between(node, storePort),
+	nodeSettings := gateway.Settings{
+		Name: name, DataCentre: fleet.shape.DataCentreOf(node), Region: "soak", Store: fleet.proxyAddress(node, storePort),
 		Listen: gateway.Listen{
-			Caller: fleet.nodeAddress(node, callerPort), Readiness: fleet.nodeAddress(node, readyPort), Operator: fleet.nodeAddress(node, operator),
+			Caller: fleet.nodeAddress(node, callerPort), Readiness: fleet.nodeAddress(node, readinessPort), Operator: fleet.nodeAddress(node, operatorPort),
 		},
 		Bounds: standin.DefaultBounds(), Limits: gateway.Limits{MemoryBytes: 512 << 20},
 	}
 	seeds := []string{}
 	for seed := range min(3, fleet.options.Nodes) {
-		seeds = append(seeds, fleet.between(seed, operator))
+		seeds = append(seeds, fleet.proxyAddress(seed, operatorPort))
 	}
-	created := &process{name: name, program: fleet.options.Program, folder: fleet.options.Folder, note: fleet.note}
-	for _, first := range []bool{true, false} {
-		settings.FirstStart = first
-		body, err := standin.SettingsFile(settings, fmt.Sprintf("127.0.0.%d", firstHost+node), fleet.options.BasePort+peerPort, seeds)
+	nodeProcess := &process{name: name, program: fleet.options.Program, folder: fleet.options.Folder, recordViolation: fleet.recordViolation}
+	for _, firstStart := range []bool{true, false} {
+		nodeSettings.FirstStart = firstStart
+		body, err := standin.SettingsFile(nodeSettings, fmt.Sprintf("127.0.0.%d", firstHostNumber+node), fleet.options.BasePort+peerPort, seeds)
 		if err != nil {
 			return nil, err
 		}
-		path := filepath.Join(fleet.options.Folder, fmt.Sprintf("%s-first-%t.toml", name, first))
+		path := filepath.Join(fleet.options.Folder, fmt.Sprintf("%s-first-%t.toml", name, firstStart))
 		if err := os.WriteFile(path, body, settingsMode); err != nil {
 			return nil, errors.Wrap(err, "write settings")
 		}
-		arguments := []string{"gateway", "--settings", path, "--advertise-peer", fleet.between(node, peerPort)}
-		if first {
-			created.arguments = arguments
+		arguments := []string{"gateway", "--settings", path, "--advertise-peer", fleet.proxyAddress(node, peerPort)}
+		if firstStart {
+			nodeProcess.arguments = arguments
 		} else {
-			created.again = arguments
+			nodeProcess.restartArguments = arguments
 		}
 	}
-	return created, nil
+	return nodeProcess, nil
 }
 
 func (fleet *fleet) stop() {
@@ -190,7 +191,7 @@
 	if fleet.standin != nil {
 		fleet.standin.stop()
 	}
-	for _, proxies := range [][]*proxy{fleet.peers, fleet.stores, fleet.servers} {
+	for _, proxies := range [][]*proxy{fleet.peerProxies, fleet.storeProxies, fleet.serverProxies} {
 		for _, proxy := range proxies {
 			stops.Go(proxy.stop)
 		}
@@ -198,60 +199,60 @@
 	stops.Wait()
 }
 
-// tell asks the stand-in for something.
-func (fleet *fleet) tell(path string) {
-	response, err := fleet.control.Post(fmt.Sprintf("http://127.0.0.1:%d%s", fleet.options.BasePort+controlPort, path), "", nil)
+// sendControl sends a request to the control address of the stand-in.
+func (fleet *fleet) sendControl(path string) {
+	response, err := fleet.controlClient.Post(fmt.Sprintf("http://127.0.0.1:%d%s", fleet.options.BasePort+controlPort, path), "", nil)
 	if err != nil {
-		fleet.note("the stand-in did not take %s: %v", path, err)
+		fleet.recordViolation("send %s to the stand-in: %v", path, err)
 		return
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusNoContent {
-		fleet.note("the stand-in answered %d to %s", response.StatusCode, path)
+		fleet.recordViolation("the stand-in responded with status %d to %s", response.StatusCode, path)
 	}
 }
 
-// observed is what the stand-in saw.
-func (fleet *fleet) observed() (standin.Observed, error) {
-	seen := standin.Observed{}
-	return seen, fleet.read(fmt.Sprintf("http://127.0.0.1:%d/observed", fleet.options.BasePort+controlPort), &seen)
+// fetchObserved returns what the stand-in has observed so far.
+func (fleet *fleet) fetchObserved() (standin.Observed, error) {
+	observed := standin.Observed{}
+	return observed, fleet.getJSON(fmt.Sprintf("http://127.0.0.1:%d/observed", fleet.options.BasePort+controlPort), &observed)
 }
 
-func (fleet *fleet) read(url string, value any) error {
+func (fleet *fleet) getJSON(url string, value any) error {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return errors.Wrap(err, "build a question")
+		return errors.Wrap(err, "build the request")
 	}
-	response, err := fleet.control.Do(request)
+	response, err := fleet.controlClient.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "ask")
+		return errors.Wrap(err, "send the request")
 	}
 	defer response.Body.Close()
-	return errors.Wrap(json.NewDecoder(response.Body).Decode(value), "read an answer")
+	return errors.Wrap(json.NewDecoder(response.Body).Decode(value), "decode the response")
 }
 
-// strike does a fault and ends it when its time has passed.
-func (fleet *fleet) strike(ctx context.Context, fault Fault) {
+// inject starts a fault and ends it after its duration.
+func (fleet *fleet) inject(ctx context.Context, fault Fault) {
 	begin, end := fleet.actions(fault)
 	begin()
 	if end == nil {
 		return
 	}
 	select {
-	case <-time.After(fault.For):
+	case <-time.After(fault.Duration):
 	case <-ctx.Done():
 	}
 	end()
 }
 
 const (
-	// delayed is what a delay adds to each piece of a frame, slowed what a slow store
-	// adds to each answer.
-	delayed = 80 * time.Millisecond
-	slowed  = "300ms"
+	// peerDelay is added to each chunk of a frame that a delayed proxy relays, storeDelay to each
+	// response of a slow store.
+	peerDelay  = 80 * time.Millisecond
+	storeDelay = "300ms"
 )
 
-// actions are what begins a fault, and what ends it; nil if nothing does.
+// actions returns the functions that begin and end a fault. The end is nil for a fault that needs none.
 func (fleet *fleet) actions(fault Fault) (begin, end func()) {
 	target := fault.Target
 	switch fault.Kind {
@@ -269,99 +270,101 @@
 		node := fleet.nodes[target]
 		return func() { node.signal(syscall.SIGSTOP) }, func() { node.signal(syscall.SIGCONT) }
 	case PeerDelay:
-		return func() { fleet.peers[target].slow(delayed) }, func() { fleet.peers[target].slow(0) }
+		return func() { fleet.peerProxies[target].setDelay(peerDelay) }, func() { fleet.peerProxies[target].setDelay(0) }
 	case PeerReset:
-		return fleet.peers[target].resetAll, nil
+		return fleet.peerProxies[target].resetAll, nil
 	case PeerSilent:
-		return holding(fleet.peers[target], 1, 1)
+		return holdActions(fleet.peerProxies[target], 1, 1)
 	case PeerOneWay:
-		return holding(fleet.peers[target], 1, 0)
+		return holdActions(fleet.peerProxies[target], 1, 0)
 	case StoreSilent:
-		return holding(fleet.stores[target], 1, 1)
+		return holdActions(fleet.storeProxies[target], 1, 1)
 	case StoreLost:
-		return holding(fleet.stores[target], 0, 1)
+		return holdActions(fleet.storeProxies[target], 0, 1)
 	case ServerMute:
-		return holding(fleet.servers[target], 1, 1)
+		return holdActions(fleet.serverProxies[target], 1, 1)
 	case ServerReset:
-		return fleet.servers[target].resetAll, nil
+		return fleet.serverProxies[target].resetAll, nil
 	case PlainReset:
-		return fleet.servers[len(fleet.engines)+target].resetAll, nil
+		return fleet.serverProxies[len(fleet.engines)+target].resetAll, nil
 	case PlainMute:
-		return holding(fleet.servers[len(fleet.engines)+target], 1, 1)
+		return holdActions(fleet.serverProxies[len(fleet.engines)+target], 1, 1)
 	case PlainLost:
-		return holding(fleet.servers[len(fleet.engines)+target], 0, 1)
+		return holdActions(fleet.serverProxies[len(fleet.engines)+target], 0, 1)
 	}
-	return fleet.asked(fault)
+	return fleet.standinActions(fault)
 }
 
-// holding holds up a proxy's directions, and resets what was held when that ends:
-// callers have given it up, and connections that went silent stay so.
-func holding(proxy *proxy, in, out int) (begin, end func()) {
+// holdActions returns functions that block the given directions of a proxy and unblock them. The end
+// also resets the proxy's connections: callers have given up on them, and connections that
+// stalled stay stalled.
+func holdActions(proxy *proxy, in, out int) (begin, end func()) {
 	return func() { proxy.hold(in, out) }, func() {
 		proxy.hold(-in, -out)
 		proxy.resetAll()
 	}
 }
 
-// copyAge is how old the copy is from which the store comes back.
-const copyAge = "4s"
+// backupAge is the age of the backup from which the store is restored.
+const backupAge = "4s"
 
-// asked are the faults that the stand-in brings about.
-func (fleet *fleet) asked(fault Fault) (begin, end func()) {
-	telling := func(path string) func() { return func() { fleet.tell(path) } }
+// standinActions returns the begin and end functions of the faults that the stand-in produces.
+func (fleet *fleet) standinActions(fault Fault) (begin, end func()) {
+	command := func(path string) func() { return func() { fleet.sendControl(path) } }
 	switch fault.Kind {
 	case StoreAway:
-		return fleet.away("busy")
+		return fleet.storeOutage("busy")
 	case StoreMute:
-		return fleet.away("silent")
+		return fleet.storeOutage("silent")
 	case StoreReset:
-		return fleet.away("resetting")
+		return fleet.storeOutage("resetting")
 	case StoreSlow:
-		return telling("/store?slow=" + slowed), telling("/store?slow=0s")
+		return command("/store?slow=" + storeDelay), command("/store?slow=0s")
 	case StoreForget:
-		return telling("/store?forget=true"), nil
+		return command("/store?forget=true"), nil
 	case StoreReturn:
-		return telling("/store?away=true"), telling("/store?restore=" + copyAge)
+		return command("/store?away=true"), command("/store?restore=" + backupAge)
 	case ServerEnd:
-		return telling("/servers/" + fleet.engines[fault.Target] + "/end"), nil
+		return command("/servers/" + fleet.engines[fault.Target] + "/end"), nil
 	case ServerKill:
 		id := fleet.engines[fault.Target]
-		return telling("/servers/" + id + "/kill"), telling("/servers/" + id + "/restart")
+		return command("/servers/" + id + "/kill"), command("/servers/" + id + "/restart")
 	case ServerBreak:
 		path := "/resets/" + fleet.engines[fault.Target]
-		return telling(path + "?value=1"), telling(path)
+		return command(path + "?value=1"), command(path)
 	case PlainDrain:
-		return telling("/servers/" + fleet.plain[fault.Target] + "/drain"), nil
+		return command("/servers/" + fleet.plainServers[fault.Target] + "/drain"), nil
 	case Configure:
-		return fleet.configure, nil
+		return fleet.writeConfiguration, nil
 	}
 	return func() {}, nil
 }
 
-// configure makes the operator write the next version.
-func (fleet *fleet) configure() {
+// writeConfiguration writes the next configuration version, as the operator does.
+func (fleet *fleet) writeConfiguration() {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	fleet.version++
-	fleet.tell("/configuration/" + strconv.FormatInt(fleet.version, 10))
+	fleet.sendControl("/configuration/" + strconv.FormatInt(fleet.version, 10))
 }
 
-// newest is the version that the operator wrote last.
-func (fleet *fleet) newest() int64 {
+// latestVersion returns the configuration version that was written last.
+func (fleet *fleet) latestVersion() int64 {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.version
 }
 
-// piledUp is how many changes are confirmed one after the other at the store's return.
-const piledUp = 3
+// changesPerOutage is the number of configuration changes that are confirmed in a row when the store is back.
+const changesPerOutage = 3
 
-// away makes the store answer nothing, and changes be confirmed at its return.
-func (fleet *fleet) away(mode string) (begin, end func()) {
-	return func() { fleet.tell("/store?mode=" + mode) }, func() {
-		fleet.tell("/store?mode=answering")
-		for range piledUp {
-			fleet.configure()
+// storeOutage puts the store into a mode without usable responses. Its end restores the store and writes
+// several configuration changes in a row.
+func (fleet *fleet) storeOutage(mode string) (begin, end func()) {
+	return func() { fleet.sendControl("/store?mode=" + mode) }, func() {
+		fleet.sendControl("/store?mode=answering")
+		for range changesPerOutage {
+			fleet.writeConfiguration()
 		}
 	}
 }
--- a/internal/run/soak/limit.go
+++ b/internal/run/soak/limit.go
@@ -12,90 +12,90 @@
 )
 
 const (
-	// limitEvery is the mean time between two changes of a server's limit while faults go
-	// on.
-	limitEvery = time.Second
-	// limitFor is for how long a server names a limit once they have ended: longer than
-	// nodes may take to know of it, and a window of the limit.
-	limitFor = 9 * time.Second
-	// limitLeast and limitMost bound a limit, in requests a second: callers want some four
-	// of each plain server.
-	limitLeast = 0.3
-	limitMost  = 0.8
-	// limitStream tells the draw of limits from that of the plan.
+	// limitInterval is the mean time between two changes of server limits while faults are
+	// injected.
+	limitInterval = time.Second
+	// limitDuration is how long the checked server announces a limit after the faults. It is longer
+	// than nodes may take to learn of the limit, plus one window of the limit.
+	limitDuration = 9 * time.Second
+	// minLimit and maxLimit bound a limit, in requests per second. Callers send each plain server
+	// about 4 requests per second.
+	minLimit = 0.3
+	maxLimit = 0.8
+	// limitStream selects a random stream for limits that is independent of the plan's.
 	limitStream = 41
 )
 
-// judgedServer is the plain server whose limit is checked. It names none while faults go
-// on, since they excuse the nodes.
-func (soak *soak) judgedServer(seed uint64) string {
-	return soak.fleet.plain[seed%uint64(len(soak.fleet.plain))]
+// checkedServer returns the plain server whose limit, backoff and drain are checked. It announces
+// none while faults are injected, since a node need not respect them during a fault.
+func (runner *runner) checkedServer(seed uint64) string {
+	return runner.fleet.plainServers[seed%uint64(len(runner.fleet.plainServers))]
 }
 
-// saying is what servers say of themselves, and take back, while faults go on.
-type saying struct {
-	// every is the mean time between two changes.
-	every time.Duration
-	// path is at the stand-in, of what a server says; without a query it takes it back.
+// announcement is a kind of notice that servers announce and withdraw while faults are injected.
+type announcement struct {
+	// meanInterval is the mean time between two changes.
+	meanInterval time.Duration
+	// path returns the stand-in's control path for a server. Without a query, the notice is withdrawn.
 	path func(server string) string
-	// query draws what is said.
-	query func(draw *rand.Rand) string
+	// query returns the query string of a random notice.
+	query func(random *rand.Rand) string
 }
 
-// limits makes servers name limits, change and end them.
-var limits = saying{
-	every: limitEvery, path: func(server string) string { return "/limits/" + server },
-	query: func(draw *rand.Rand) string { return limitQuery(drawLimit(draw)) },
+// limitAnnouncement makes servers announce, change and withdraw limits.
+var limitAnnouncement = announcement{
+	meanInterval: limitInterval, path: func(server string) string { return "/limits/" + server },
+	query: func(random *rand.Rand) string { return limitQuery(drawLimit(random)) },
 }
 
-// say makes servers say something of themselves while faults go on. The server that is judged
-// says nothing.
-func (soak *soak) say(ctx context.Context, saying saying, judged string, draw *rand.Rand) {
-	servers := slices.Concat(soak.fleet.engines, soak.fleet.plain)
-	servers = slices.DeleteFunc(servers, func(server string) bool { return server == judged })
+// announceRandomly makes servers announce and withdraw notices until the context ends, then withdraws all
+// of them. The checked server announces nothing.
+func (runner *runner) announceRandomly(ctx context.Context, announcement announcement, checked string, random *rand.Rand) {
+	servers := slices.Concat(runner.fleet.engines, runner.fleet.plainServers)
+	servers = slices.DeleteFunc(servers, func(server string) bool { return server == checked })
 	for {
 		select {
 		case <-ctx.Done():
 			for _, server := range servers {
-				soak.fleet.tell(saying.path(server))
+				runner.fleet.sendControl(announcement.path(server))
 			}
 			return
-		case <-time.After(time.Duration(draw.ExpFloat64() * float64(saying.every))):
+		case <-time.After(time.Duration(random.ExpFloat64() * float64(announcement.meanInterval))):
 		}
-		path := saying.path(servers[draw.IntN(len(servers))])
-		if draw.IntN(3) > 0 {
-			path += saying.query(draw)
+		path := announcement.path(servers[random.IntN(len(servers))])
+		if random.IntN(3) > 0 {
+			path += announcement.query(random)
 		}
-		soak.fleet.tell(path)
+		runner.fleet.sendControl(path)
 	}
 }
 
-func drawLimit(draw *rand.Rand) float64 {
-	return limitLeast + draw.Float64()*(limitMost-limitLeast)
+func drawLimit(random *rand.Rand) float64 {
+	return minLimit + random.Float64()*(maxLimit-minLimit)
 }
 
 func limitQuery(rate float64) string {
 	return "?rate=" + strconv.FormatFloat(rate, 'f', 2, 64)
 }
 
-// keepLimit makes one plain server name a limit once all faults have ended.
-func (soak *soak) keepLimit(ctx context.Context, seed uint64) {
-	draw := rand.New(rand.NewPCG(seed, limitStream+1))
-	soak.fleet.tell(limits.path(soak.judgedServer(seed)) + limitQuery(drawLimit(draw)))
+// exerciseLimit makes the checked server announce a limit once all faults have ended.
+func (runner *runner) exerciseLimit(ctx context.Context, seed uint64) {
+	random := rand.New(rand.NewPCG(seed, limitStream+1))
+	runner.fleet.sendControl(limitAnnouncement.path(runner.checkedServer(seed)) + limitQuery(drawLimit(random)))
 	select {
 	case <-ctx.Done():
-	case <-time.After(limitFor):
+	case <-time.After(limitDuration):
 	}
 }
 
-// checkLimits finds a server that got more calls than the limit that it named when no fault
-// went on.
-func checkLimits(server string, seen standin.Observed) []string {
-	wrong := []string{}
-	for _, breach := range seen.LimitBreaches {
+// checkLimits reports calls above the limit of the checked server, which announces limits only
+// while no fault is active.
+func checkLimits(server string, observed standin.Observed) []string {
+	violations := []string{}
+	for _, breach := range observed.LimitBreaches {
 		if breach.Server == server {
-			wrong = append(wrong, fmt.Sprintf("a server that named a limit got too many calls: %s", breach))
+			violations = append(violations, fmt.Sprintf("server limit exceeded: %s", breach))
 		}
 	}
-	return wrong
+	return violations
 }
--- a/internal/run/soak/process.go
+++ b/internal/run/soak/process.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	// startAgain is how long after its end a process is started again.
-	startAgain = 400 * time.Millisecond
-	// graceMost is how long a process that was told to stop may take: the grace that
-	// nodes are given, and a second.
-	graceMost = 9 * time.Second
+	// restartDelay is the time between the end of a process and its restart.
+	restartDelay = 400 * time.Millisecond
+	// stopTimeout is how long a process may take to stop after SIGTERM: the grace period of
+	// the nodes plus 1 s.
+	stopTimeout = 9 * time.Second
 )
 
-// process is a program that is started again when it ends, until it is stopped. It is
-// ended by its own ID, and dies with whoever started it.
+// process runs a program and restarts it when it ends, until stop is called. The program is
+// signalled by its own process ID, and dies with the process that started it.
 type process struct {
 	name    string
 	program string
-	// arguments are those of the first start, again those of later ones.
-	arguments, again []string
-	folder           string
-	note             func(format string, values ...any)
-	workers          conc.WaitGroup
+	// arguments are used for the first start, restartArguments for later starts.
+	arguments, restartArguments []string
+	folder                      string
+	recordViolation             func(format string, values ...any)
+	workers                     conc.WaitGroup
 
 	mu      sync.Mutex
 	running *exec.Cmd
 	ended   chan struct{}
-	// asked says that the end of the one that runs was asked for, paused that it was
-	// stopped meanwhile, so that it may take longer.
-	asked, paused bool
-	stopping      bool
-	starts        int
+	// endRequested is set if the running program was told to end, paused if it was sent SIGSTOP.
+	// A paused program may take longer than stopTimeout to stop.
+	endRequested, paused bool
+	stopping             bool
+	starts               int
 }
 
-// start starts the process and keeps it running.
+// start starts the program and supervises it.
 func (process *process) start() error {
 	if err := process.launch(process.arguments); err != nil {
 		return err
@@ -60,17 +60,17 @@
 	process.starts++
 	output, err := os.Create(filepath.Join(process.folder, fmt.Sprintf("%s-%d.log", process.name, process.starts)))
 	if err != nil {
-		return errors.Wrap(err, "make a log")
+		return errors.Wrap(err, "create a log file")
 	}
-	command := exec.Command(process.program, arguments...) //nolint:gosec // this very program, as its caller names it
+	command := exec.Command(process.program, arguments...) //nolint:gosec // the program under test, named by the caller
 	command.Stdout, command.Stderr = output, output
-	// Its end must not depend on an orderly end of this process.
+	// Pdeathsig ends the program even if this process crashes.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		output.Close()
 		return errors.Wrapf(err, "start %s", process.name)
 	}
-	process.running, process.asked, process.paused = command, false, false
+	process.running, process.endRequested, process.paused = command, false, false
 	ended := make(chan struct{})
 	process.ended = ended
 	process.workers.Go(func() {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// supervise starts the process again whenever it has ended.
+// supervise restarts the program whenever it has ended.
 func (process *process) supervise() {
 	for {
 		process.mu.Lock()
@@ -89,23 +89,23 @@
 		process.mu.Unlock()
 		<-ended
 		process.mu.Lock()
-		stopping, asked, state := process.stopping, process.asked, process.running.ProcessState
+		stopping, asked, state := process.stopping, process.endRequested, process.running.ProcessState
 		process.mu.Unlock()
 		if !asked {
-			process.note("%s ended by itself: %s", process.name, state)
+			process.recordViolation("%s exited unexpectedly: %s", process.name, state)
 		}
 		if stopping {
 			return
 		}
-		time.Sleep(startAgain)
-		if err := process.launch(process.again); err != nil {
-			process.note("%s can't be started again: %v", process.name, err)
+		time.Sleep(restartDelay)
+		if err := process.launch(process.restartArguments); err != nil {
+			process.recordViolation("restart %s: %v", process.name, err)
 			return
 		}
 	}
 }
 
-// signal sends a signal to the process that runs now.
+// signal sends a signal to the running program.
 func (process *process) signal(signal syscall.Signal) {
 	process.mu.Lock()
 	defer process.mu.Unlock()
@@ -116,14 +116,15 @@
 	}
 	switch signal {
 	case syscall.SIGTERM, syscall.SIGKILL:
-		process.asked = true
+		process.endRequested = true
 	case syscall.SIGSTOP:
 		process.paused = true
 	}
 	_ = process.running.Process.Signal(signal)
 }
 
-// terminate asks the process to stop, and notes if it doesn't within its grace.
+// terminate sends SIGTERM, and SIGKILL after stopTimeout. It records a violation if the program did not stop in
+// time, unless the program was paused.
 func (process *process) terminate() {
 	process.mu.Lock()
 	ended := process.ended
@@ -132,18 +133,18 @@
 	select {
 	case <-ended:
 		return
-	case <-time.After(graceMost):
+	case <-time.After(stopTimeout):
 	}
 	process.mu.Lock()
 	paused := process.paused
 	process.mu.Unlock()
 	if !paused {
-		process.note("%s did not stop within its grace", process.name)
+		process.recordViolation("%s did not stop within its grace period", process.name)
 	}
 	process.signal(syscall.SIGKILL)
 }
 
-// stop ends the process for good.
+// stop ends the program without a restart.
 func (process *process) stop() {
 	process.mu.Lock()
 	process.stopping = true
--- a/internal/run/soak/proxy.go
+++ b/internal/run/soak/proxy.go
@@ -9,8 +9,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// proxy stands between two parts on loopback and does to their connections what a network
-// does. What it holds up arrives when the fault has ended, as it does over TCP.
+// proxy relays TCP connections between two processes on loopback and simulates network faults.
+// Data that is held arrives when the fault has ended, as it does over TCP.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -19,21 +19,21 @@
 	mu      sync.Mutex
 	changed chan struct{}
 	delay   time.Duration
-	// holdIn and holdOut hold up what goes to the target, and what comes from it.
+	// holdIn and holdOut count the active faults that hold data to the target and data from it.
 	holdIn, holdOut int
 	conns           map[net.Conn]struct{}
 	closed          bool
 }
 
 const (
-	proxyBuffer  = 16 << 10
-	proxyDialing = time.Second
+	proxyBufferSize  = 16 << 10
+	proxyDialTimeout = time.Second
 )
 
 func newProxy(address, target string) (*proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen at %s in place of %s", address, target)
+		return nil, errors.Wrapf(err, "listen on %s as proxy of %s", address, target)
 	}
 	created := &proxy{listener: listener, target: target, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	created.workers.Go(created.accept)
@@ -42,43 +42,43 @@
 
 func (proxy *proxy) accept() {
 	for {
-		near, err := proxy.listener.Accept()
+		client, err := proxy.listener.Accept()
 		if err != nil {
 			return
 		}
-		proxy.workers.Go(func() { proxy.carry(near) })
+		proxy.workers.Go(func() { proxy.forward(client) })
 	}
 }
 
-// carry carries one connection until either side ends it.
-func (proxy *proxy) carry(near net.Conn) {
-	defer near.Close()
-	far, err := net.DialTimeout("tcp", proxy.target, proxyDialing)
+// forward relays one connection until either side closes it.
+func (proxy *proxy) forward(client net.Conn) {
+	defer client.Close()
+	upstream, err := net.DialTimeout("tcp", proxy.target, proxyDialTimeout)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	defer far.Close()
-	if !proxy.keep(near, far) {
+	defer upstream.Close()
+	if !proxy.track(client, upstream) {
 		return
 	}
-	defer proxy.forget(near, far)
+	defer proxy.untrack(client, upstream)
 	both := conc.WaitGroup{}
-	both.Go(func() { proxy.copy(far, near, func() bool { return proxy.holdIn > 0 }) })
-	both.Go(func() { proxy.copy(near, far, func() bool { return proxy.holdOut > 0 }) })
+	both.Go(func() { proxy.relay(upstream, client, func() bool { return proxy.holdIn > 0 }) })
+	both.Go(func() { proxy.relay(client, upstream, func() bool { return proxy.holdOut > 0 }) })
 	both.Wait()
 }
 
-// copy passes on what one side sends; its end ends the other.
-func (proxy *proxy) copy(to, from net.Conn, held func() bool) {
-	buffer := make([]byte, proxyBuffer)
+// relay copies data from one connection to the other, and closes both when either fails or ends.
+func (proxy *proxy) relay(to, from net.Conn, isHeld func() bool) {
+	buffer := make([]byte, proxyBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if !proxy.await(held) {
+		if !proxy.waitWhileHeld(isHeld) {
 			break
 		}
 		if n > 0 {
-			if _, failure := to.Write(buffer[:n]); failure != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				break
 			}
 		}
@@ -90,17 +90,17 @@
 	from.Close()
 }
 
-// await waits while a direction is held up, and for the delay. It says whether the proxy
-// goes on.
-func (proxy *proxy) await(held func() bool) bool {
+// waitWhileHeld waits until a direction is not held and then for the delay. It reports false if the
+// proxy was closed.
+func (proxy *proxy) waitWhileHeld(isHeld func() bool) bool {
 	for {
 		proxy.mu.Lock()
-		holding, delay, changed, closed := held(), proxy.delay, proxy.changed, proxy.closed
+		held, delay, changed, closed := isHeld(), proxy.delay, proxy.changed, proxy.closed
 		proxy.mu.Unlock()
 		if closed {
 			return false
 		}
-		if !holding {
+		if !held {
 			time.Sleep(delay)
 			return true
 		}
@@ -108,8 +108,8 @@
 	}
 }
 
-// change sets what is done to connections.
-func (proxy *proxy) change(set func()) {
+// update changes the simulated faults and wakes all waiting relays.
+func (proxy *proxy) update(set func()) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	set()
@@ -117,16 +117,16 @@
 	proxy.changed = make(chan struct{})
 }
 
-// hold holds up one direction or both; release ends that.
+// hold adds to the hold counts of the two directions. Negative values release a direction.
 func (proxy *proxy) hold(in, out int) {
-	proxy.change(func() { proxy.holdIn, proxy.holdOut = proxy.holdIn+in, proxy.holdOut+out })
+	proxy.update(func() { proxy.holdIn, proxy.holdOut = proxy.holdIn+in, proxy.holdOut+out })
 }
 
-func (proxy *proxy) slow(delay time.Duration) {
-	proxy.change(func() { proxy.delay = delay })
+func (proxy *proxy) setDelay(delay time.Duration) {
+	proxy.update(func() { proxy.delay = delay })
 }
 
-// resetAll resets all connections that there are.
+// resetAll resets all open connections.
 func (proxy *proxy) resetAll() {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// reset closes a connection so that the other end sees it as reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -143,7 +143,7 @@
 	conn.Close()
 }
 
-func (proxy *proxy) keep(conns ...net.Conn) bool {
+func (proxy *proxy) track(conns ...net.Conn) bool {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	for _, conn := range conns {
@@ -152,7 +152,7 @@
 	return !proxy.closed
 }
 
-func (proxy *proxy) forget(conns ...net.Conn) {
+func (proxy *proxy) untrack(conns ...net.Conn) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	for _, conn := range conns {
@@ -162,7 +162,7 @@
 
 func (proxy *proxy) stop() {
 	proxy.listener.Close()
-	proxy.change(func() { proxy.closed = true })
+	proxy.update(func() { proxy.closed = true })
 	proxy.resetAll()
 	proxy.workers.Wait()
 }
--- a/internal/run/soak/soak.go
+++ b/internal/run/soak/soak.go
@@ -1,18 +1,24 @@
 // Package soak runs the real program as processes on loopback and injects faults from
-// outside: signals to nodes, proxies between nodes, store and servers that delay, reset,
-// hold up one way or both, and servers that end. Faults come in series and overlap; callers
-// go on using open connections until a node closes them.
+// outside: signals to nodes; proxies between nodes, store and servers that delay, reset or
+// block traffic in one direction or both; and servers that exit. Faults come in sequence and
+// overlap. Callers keep using open connections until a node closes them.
 //
-// While it runs, and after it, it checks what the system promises from what callers got
-// and servers ran: at most once, a true "not run", whole answers in order and never
-// another's, no server in two groups, no part of a group that serves, no configuration that
-// goes back, no calls to servers that have left, the budget of repeats, no more than a
-// few sends of a request that ends servers, and when the faults have ended that every node
-// serves again, and that the limit, the backoff and the drain of a server and the drain of a
-// data centre are kept. It checks promises, not speed.
+// During and after the run, the package checks the system's guarantees against what callers
+// received and what servers ran:
 //
-// A seed gives the whole plan, which is printed first. It ends only processes that it
-// started, by their IDs; they die with it.
+//   - A non-idempotent call runs at most once, and a request reported as "not run" did not run.
+//   - Responses are complete, in order and never those of another request.
+//   - No server is in two groups, and no incomplete group serves.
+//   - The configuration version of a node never decreases.
+//   - Servers that have left get no calls.
+//   - Retries stay within the budget, and a request that crashes servers is sent only a few times.
+//   - Once the faults have ended, every node serves again, and nodes respect the limit, the backoff
+//     and the drain of a server and the drain of a data centre.
+//
+// The package checks guarantees, not performance.
+//
+// The seed determines the whole plan, which is printed first. The package ends only processes
+// that it started, by their process IDs. Those processes die with it.
 //
 // # Usage
 //
@@ -36,250 +42,251 @@
 	"hazelslip/platform/standin"
 )
 
-// Options is what a soak is told.
+// Options configures a soak test.
 type Options struct {
-	// Program is the binary that is soaked.
+	// Program is the path of the binary under test.
 	Program string
 	Seed    uint64
-	// Length is how long faults are injected.
+	// Length is the time during which faults are injected.
 	Length time.Duration
 	Nodes  int
-	// BasePort is the first of the ports, the same on several loopback addresses.
+	// BasePort is the first port. The same ports are used on several loopback addresses.
 	BasePort int
-	// Folder takes the settings and logs of all processes.
+	// Folder receives the settings and logs of all processes.
 	Folder string
-	// Out is told the plan and what goes on.
+	// Out receives the plan and progress messages.
 	Out io.Writer
 }
 
-// Report is what came of a soak.
+// Report is the result of a soak test.
 type Report struct {
 	Seed     uint64
 	Faults   int
 	Requests int
-	Whole    int
-	// Statuses counts how requests ended, by status; 0 is a connection that failed.
+	Complete int
+	// Statuses counts requests by response status. Status 0 means that the connection failed.
 	Statuses map[int]int
-	// Wrong is what broke a promise, empty for nothing.
-	Wrong []string
+	// Violations describes the violated guarantees. It is empty if every check passed.
+	Violations []string
 }
 
-// ErrOptions means that the options are out of range. Use errors.Is.
-var ErrOptions = errors.New("a soak can't run so")
+// ErrOptions means that an option is out of range. Use errors.Is.
+var ErrOptions = errors.New("invalid soak options")
 
-// Check says what is wrong with the options.
+// Check validates the options.
 func (options *Options) Check() error {
 	switch {
-	case options.Nodes < 1 || options.Nodes > nodesMost:
-		return errors.Wrapf(ErrOptions, "%d nodes; 1 to %d", options.Nodes, nodesMost)
+	case options.Nodes < 1 || options.Nodes > maxNodes:
+		return errors.Wrapf(ErrOptions, "%d nodes, must be 1 to %d", options.Nodes, maxNodes)
 	case options.Length < time.Second || options.Length > time.Hour:
-		return errors.Wrapf(ErrOptions, "a length of %s; 1 s to 1 h", options.Length)
-	case options.BasePort < 1024 || options.BasePort > basePortMost:
-		return errors.Wrapf(ErrOptions, "base port %d; 1024 to %d: above that lie the ports of outgoing connections", options.BasePort, basePortMost)
+		return errors.Wrapf(ErrOptions, "length %s, must be 1 s to 1 h", options.Length)
+	case options.BasePort < 1024 || options.BasePort > maxBasePort:
+		return errors.Wrapf(ErrOptions, "base port %d, must be 1024 to %d: ports above may be taken by outgoing connections", options.BasePort, maxBasePort)
 	}
 	if _, err := os.Stat(options.Program); err != nil {
-		return errors.Wrapf(ErrOptions, "no program at %s: %v", options.Program, err)
+		return errors.Wrapf(ErrOptions, "program %s: %v", options.Program, err)
 	}
 	return nil
 }
 
 const (
-	// formedWithin is how long groups may take to form at the start, and servedWithin how
-	// long each node may take to serve all kinds again after the faults.
-	formedWithin = 40 * time.Second
-	servedWithin = 40 * time.Second
-	// currentWithin is how long a change may take to be in force everywhere.
-	currentWithin = 2 * time.Second
-	// stateEvery is how often each node's state is read.
-	stateEvery = 250 * time.Millisecond
-	// basePortMost keeps all ports below those that the system gives to outgoing
-	// connections, from 32768 on: one of them may hold any port there.
-	basePortMost = 32000
-	// firstVersion is the version of the configuration at the start.
+	// formationTimeout bounds how long groups may take to form at the start, and recoveryTimeout
+	// how long each node may take to serve all kinds of requests again after the faults.
+	formationTimeout = 40 * time.Second
+	recoveryTimeout  = 40 * time.Second
+	// propagationTime is how long a configuration change may take to be in force on every node.
+	propagationTime = 2 * time.Second
+	// statePollInterval is the interval at which the state of each node is read.
+	statePollInterval = 250 * time.Millisecond
+	// maxBasePort keeps all ports below the ephemeral range, which starts at 32768: an outgoing
+	// connection may hold any port in that range.
+	maxBasePort = 32000
+	// firstVersion is the configuration version at the start.
 	firstVersion = 1
 )
 
-// soak is one run.
-type soak struct {
+// runner executes one plan and collects violations.
+type runner struct {
 	options Options
 	fleet   *fleet
-	callers *callers
+	callers *callerPool
 
-	mu     sync.Mutex
-	wrong  []string
-	drains []drain
+	mu         sync.Mutex
+	violations []string
+	drains     []drain
 }
 
-// Run runs the plan of a seed. The error says that the soak itself could not run.
+// Run executes the plan that belongs to the seed. An error means that the test could not run; violated
+// guarantees are in the report.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if err := options.Check(); err != nil {
 		return Report{}, err
 	}
 	shape := standin.Shape{Domains: 3, Servers: 8, Ledgers: 4, Seed: options.Seed}
 	engines, plain := standin.ServersOf(shape)
-	plan := Draw(options.Seed, options.Length, options.Nodes, len(engines), len(plain))
+	plan := GeneratePlan(options.Seed, options.Length, options.Nodes, len(engines), len(plain))
 	_, _ = fmt.Fprintf(options.Out, "seed %d: %d nodes, %s, %d faults\n", plan.Seed, plan.Nodes, plan.Length, len(plan.Faults))
 	for _, fault := range plan.Faults {
 		_, _ = fmt.Fprintln(options.Out, fault)
 	}
-	run := &soak{options: options}
-	run.fleet = &fleet{
-		options: options, shape: shape, note: run.note, version: firstVersion,
-		control: &http.Client{Timeout: 2 * time.Second},
+	runner := &runner{options: options}
+	runner.fleet = &fleet{
+		options: options, shape: shape, recordViolation: runner.recordViolation, version: firstVersion,
+		controlClient: &http.Client{Timeout: 2 * time.Second},
 	}
-	run.callers = &callers{nodes: options.Nodes, stopping: make(chan struct{}), address: func(node int) string { return run.fleet.nodeAddress(node, callerPort) }}
-	defer run.fleet.stop()
-	if err := run.fleet.start(); err != nil {
+	runner.callers = &callerPool{nodes: options.Nodes, stopping: make(chan struct{}), address: func(node int) string { return runner.fleet.nodeAddress(node, callerPort) }}
+	defer runner.fleet.stop()
+	if err := runner.fleet.start(); err != nil {
 		return Report{}, err
 	}
-	if !run.allServe("first", formedWithin) {
-		return Report{}, errors.Newf("the nodes don't serve before any fault; their logs are in %s", options.Folder)
+	if !runner.waitUntilAllServe("first", formationTimeout) {
+		return Report{}, errors.Newf("not every node serves before the first fault; the logs are in %s", options.Folder)
 	}
-	return run.play(ctx, plan)
+	return runner.execute(ctx, plan)
 }
 
-// note notes what broke a promise.
-func (soak *soak) note(format string, values ...any) {
-	soak.mu.Lock()
-	defer soak.mu.Unlock()
-	soak.wrong = append(soak.wrong, fmt.Sprintf(format, values...))
+// recordViolation records the violation of a guarantee.
+func (runner *runner) recordViolation(format string, values ...any) {
+	runner.mu.Lock()
+	defer runner.mu.Unlock()
+	runner.violations = append(runner.violations, fmt.Sprintf(format, values...))
 }
 
-// allServe says whether every node serves within a time.
-func (soak *soak) allServe(moment string, within time.Duration) bool {
-	good := make([]bool, soak.options.Nodes)
-	asking := conc.WaitGroup{}
-	for node := range good {
-		asking.Go(func() { good[node] = soak.callers.served(moment, node, within) })
+// waitUntilAllServe reports whether every node serves before the timeout.
+func (runner *runner) waitUntilAllServe(phase string, timeout time.Duration) bool {
+	serving := make([]bool, runner.options.Nodes)
+	waiting := conc.WaitGroup{}
+	for node := range serving {
+		waiting.Go(func() { serving[node] = runner.callers.waitUntilServing(phase, node, timeout) })
 	}
-	asking.Wait()
+	waiting.Wait()
 	all := true
-	for node, served := range good {
+	for node, served := range serving {
 		if !served {
-			_, _ = fmt.Fprintf(soak.options.Out, "node %d doesn't serve\n", node+1)
+			_, _ = fmt.Fprintf(runner.options.Out, "node %d does not serve\n", node+1)
 			all = false
 		}
 	}
 	return all
 }
 
-func (soak *soak) play(ctx context.Context, plan Plan) (Report, error) {
-	watching, stopWatching := context.WithCancel(ctx)
+func (runner *runner) execute(ctx context.Context, plan Plan) (Report, error) {
+	watchCtx, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
 	watchers := conc.WaitGroup{}
-	for node := range soak.options.Nodes {
-		watchers.Go(func() { soak.watch(watching, node) })
+	for node := range runner.options.Nodes {
+		watchers.Go(func() { runner.watchVersions(watchCtx, node) })
 	}
-	soak.callers.start(plan.Seed)
-	noticing, stopNotices := context.WithCancel(ctx)
+	runner.callers.start(plan.Seed)
+	noticeCtx, stopNotices := context.WithCancel(ctx)
 	defer stopNotices()
-	notices := conc.WaitGroup{}
-	for stream, saying := range map[uint64]saying{limitStream: limits, noticeStream: backoffs} {
-		draw := rand.New(rand.NewPCG(plan.Seed, stream))
-		notices.Go(func() { soak.say(noticing, saying, soak.judgedServer(plan.Seed), draw) })
+	announcers := conc.WaitGroup{}
+	for stream, announcement := range map[uint64]announcement{limitStream: limitAnnouncement, backoffStream: backoffAnnouncement} {
+		random := rand.New(rand.NewPCG(plan.Seed, stream))
+		announcers.Go(func() { runner.announceRandomly(noticeCtx, announcement, runner.checkedServer(plan.Seed), random) })
 	}
-	strikes := conc.WaitGroup{}
-	began := time.Now()
+	injections := conc.WaitGroup{}
+	start := time.Now()
 	for _, fault := range plan.Faults {
 		select {
 		case <-ctx.Done():
-		case <-time.After(fault.At - time.Since(began)):
+		case <-time.After(fault.At - time.Since(start)):
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		strikes.Go(func() { soak.strike(ctx, fault) })
+		injections.Go(func() { runner.inject(ctx, fault) })
 	}
-	strikes.Wait()
+	injections.Wait()
 	stopNotices()
-	notices.Wait()
-	if ctx.Err() == nil && !soak.allServe("last", servedWithin) {
-		soak.note("not every node serves %s after the faults", servedWithin)
+	announcers.Wait()
+	if ctx.Err() == nil && !runner.waitUntilAllServe("last", recoveryTimeout) {
+		runner.recordViolation("not every node serves within %s after the last fault", recoveryTimeout)
 	}
 	if ctx.Err() == nil {
-		soak.allCurrent()
-		soak.keepBackoffs(ctx)
-		soak.keepLimit(ctx, plan.Seed)
-		soak.keepDrain(ctx, plan.Seed)
-		soak.keepDataCentreDrain(ctx)
+		runner.checkVersions()
+		runner.exerciseBackoffs(ctx)
+		runner.exerciseLimit(ctx, plan.Seed)
+		runner.exerciseDrain(ctx, plan.Seed)
+		runner.exerciseDataCentreDrain(ctx)
 	}
-	answers := soak.callers.stop()
+	results := runner.callers.stop()
 	stopWatching()
 	watchers.Wait()
-	seen, err := soak.fleet.observed()
+	observed, err := runner.fleet.fetchObserved()
 	if err != nil {
-		return Report{}, errors.Wrap(err, "ask the stand-in what it saw")
+		return Report{}, errors.Wrap(err, "fetch the stand-in's observations")
 	}
-	report := Report{Seed: plan.Seed, Faults: len(plan.Faults), Requests: len(answers), Statuses: map[int]int{}}
-	for number := range answers {
-		report.Statuses[answers[number].Status]++
-		if answers[number].Whole {
-			report.Whole++
+	report := Report{Seed: plan.Seed, Faults: len(plan.Faults), Requests: len(results), Statuses: map[int]int{}}
+	for number := range results {
+		report.Statuses[results[number].Status]++
+		if results[number].Whole {
+			report.Complete++
 		}
 	}
-	report.Wrong = append(report.Wrong, checkAnswers(answers, seen)...)
-	report.Wrong = append(report.Wrong, checkBudget(seen)...)
-	report.Wrong = append(report.Wrong, checkHarmful(seen)...)
-	report.Wrong = append(report.Wrong, checkDrains(soak.drains, seen)...)
-	report.Wrong = append(report.Wrong, checkLimits(soak.judgedServer(plan.Seed), seen)...)
-	report.Wrong = append(report.Wrong, checkDrainTold(soak.judgedServer(plan.Seed), soak.options.Nodes, seen)...)
-	report.Wrong = append(report.Wrong, checkDataCentreDrain(seen)...)
-	report.Wrong = append(report.Wrong, checkBackoffs(soak.judgedServer(plan.Seed), soak.options.Nodes, seen)...)
-	soak.mu.Lock()
-	defer soak.mu.Unlock()
-	report.Wrong = append(report.Wrong, soak.wrong...)
-	return report, errors.Wrap(ctx.Err(), "the soak was interrupted")
+	report.Violations = append(report.Violations, checkResponses(results, observed)...)
+	report.Violations = append(report.Violations, checkBudget(observed)...)
+	report.Violations = append(report.Violations, checkHarmful(observed)...)
+	report.Violations = append(report.Violations, checkDrains(runner.drains, observed)...)
+	report.Violations = append(report.Violations, checkLimits(runner.checkedServer(plan.Seed), observed)...)
+	report.Violations = append(report.Violations, checkDrainNotice(runner.checkedServer(plan.Seed), runner.options.Nodes, observed)...)
+	report.Violations = append(report.Violations, checkDataCentreDrain(observed)...)
+	report.Violations = append(report.Violations, checkBackoffs(runner.checkedServer(plan.Seed), runner.options.Nodes, observed)...)
+	runner.mu.Lock()
+	defer runner.mu.Unlock()
+	report.Violations = append(report.Violations, runner.violations...)
+	return report, errors.Wrap(ctx.Err(), "soak test interrupted")
 }
 
-// allCurrent notes the nodes that don't have the newest configuration by the time at which
-// it must be in force, though all faults have ended.
-func (soak *soak) allCurrent() {
-	newest := soak.fleet.newest()
-	time.Sleep(currentWithin)
-	for node := range soak.options.Nodes {
+// checkVersions records each node that does not have the latest configuration in force after
+// propagationTime. All faults have ended by then.
+func (runner *runner) checkVersions() {
+	latest := runner.fleet.latestVersion()
+	time.Sleep(propagationTime)
+	for node := range runner.options.Nodes {
 		state := gateway.State{}
-		if err := soak.fleet.read(soak.stateOf(node), &state); err != nil {
-			soak.note("node %d doesn't tell its state after the faults: %v", node+1, err)
-		} else if state.ConfigurationVersion < newest {
-			soak.note("node %d has version %d in force, the newest is %d for %s", node+1, state.ConfigurationVersion, newest, currentWithin)
+		if err := runner.fleet.getJSON(runner.stateURL(node), &state); err != nil {
+			runner.recordViolation("node %d: read the state after the last fault: %v", node+1, err)
+		} else if state.ConfigurationVersion < latest {
+			runner.recordViolation("node %d has configuration version %d in force, version %d was written %s ago", node+1, state.ConfigurationVersion, latest, propagationTime)
 		}
 	}
 }
 
-func (soak *soak) stateOf(node int) string {
-	return "http://" + soak.fleet.nodeAddress(node, operator) + "/state"
+func (runner *runner) stateURL(node int) string {
+	return "http://" + runner.fleet.nodeAddress(node, operatorPort) + "/state"
 }
 
-func (soak *soak) strike(ctx context.Context, fault Fault) {
+func (runner *runner) inject(ctx context.Context, fault Fault) {
 	switch fault.Kind {
 	case Harmful:
-		soak.callers.insist(ctx, fault.For)
+		runner.callers.sendHarmful(ctx, fault.Duration)
 		return
 	case PlainDrain:
-		if seen, err := soak.fleet.observed(); err == nil {
-			soak.mu.Lock()
-			soak.drains = append(soak.drains, drain{server: soak.fleet.plain[fault.Target], at: seen.Now})
-			soak.mu.Unlock()
+		if observed, err := runner.fleet.fetchObserved(); err == nil {
+			runner.mu.Lock()
+			runner.drains = append(runner.drains, drain{server: runner.fleet.plainServers[fault.Target], at: observed.Now})
+			runner.mu.Unlock()
 		}
 	}
-	soak.fleet.strike(ctx, fault)
+	runner.fleet.inject(ctx, fault)
 }
 
-// watch notes a configuration that goes back within one incarnation of a node.
-func (soak *soak) watch(ctx context.Context, node int) {
+// watchVersions records a configuration version that decreases within one incarnation of a node.
+func (runner *runner) watchVersions(ctx context.Context, node int) {
 	latest := map[uint64]int64{}
-	url := soak.stateOf(node)
+	url := runner.stateURL(node)
 	for ctx.Err() == nil {
 		state := gateway.State{}
-		if err := soak.fleet.read(url, &state); err == nil {
-			if before := latest[state.Incarnation]; state.ConfigurationVersion < before {
-				soak.note("node %d went back from version %d to %d", node+1, before, state.ConfigurationVersion)
+		if err := runner.fleet.getJSON(url, &state); err == nil {
+			if previous := latest[state.Incarnation]; state.ConfigurationVersion < previous {
+				runner.recordViolation("node %d went back from configuration version %d to %d", node+1, previous, state.ConfigurationVersion)
 			}
 			latest[state.Incarnation] = state.ConfigurationVersion
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(stateEvery):
+		case <-time.After(statePollInterval):
 		}
 	}
 }
--- a/internal/run/soak/soak_test.go
+++ b/internal/run/soak/soak_test.go
@@ -12,64 +12,64 @@
 	"hazelslip/platform/standin"
 )
 
-// A seed that failed is played again: it must be the same plan.
-func TestSeedIsThePlan(t *testing.T) {
+// A failed run is reproduced from its seed, so a seed must always give the same plan.
+func TestSeedDeterminesPlan(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	one, other := Draw(7, time.Minute, 4, 24, 3), Draw(7, time.Minute, 4, 24, 3)
-	expect.Expect(one).To(gomega.Equal(other))
-	expect.Expect(Draw(8, time.Minute, 4, 24, 3)).NotTo(gomega.Equal(one))
+	first, second := GeneratePlan(7, time.Minute, 4, 24, 3), GeneratePlan(7, time.Minute, 4, 24, 3)
+	expect.Expect(first).To(gomega.Equal(second))
+	expect.Expect(GeneratePlan(8, time.Minute, 4, 24, 3)).NotTo(gomega.Equal(first))
 }
 
-// Over some seeds every kind of fault comes, and they overlap: one that is never drawn
-// proves nothing.
-func TestPlansHoldEveryFault(t *testing.T) {
+// Across 40 seeds, every kind of fault must occur and faults must overlap. A kind that never occurs
+// tests nothing.
+func TestPlansCoverEveryFaultKind(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	seen, overlapping := map[Kind]bool{}, 0
 	for seed := range uint64(40) {
-		plan := Draw(seed, 40*time.Second, 4, 24, 3)
+		plan := GeneratePlan(seed, 40*time.Second, 4, 24, 3)
 		for number, fault := range plan.Faults {
 			seen[fault.Kind] = true
-			if number > 0 && fault.At < plan.Faults[number-1].At+plan.Faults[number-1].For {
+			if number > 0 && fault.At < plan.Faults[number-1].At+plan.Faults[number-1].Duration {
 				overlapping++
 			}
 		}
 	}
-	for _, share := range shares {
+	for _, share := range faultWeights {
 		expect.Expect(seen).To(gomega.HaveKey(share.kind))
 	}
 	expect.Expect(seen).To(gomega.HaveKey(Harmful))
 	expect.Expect(overlapping).To(gomega.BeNumerically(">", 100))
 }
 
-// While callers insist on a harmful request nothing else goes wrong, since what is
-// promised of it holds for nodes that hear each other.
-func TestHarmfulRequestsComeInQuietTimes(t *testing.T) {
+// No other fault may be active while callers send a harmful request: the bound on its sends holds
+// only while the nodes can reach each other.
+func TestNoOtherFaultsDuringHarmfulRequests(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	for seed := range uint64(40) {
-		plan := Draw(seed, time.Minute, 4, 24, 3)
+		plan := GeneratePlan(seed, time.Minute, 4, 24, 3)
 		for _, harmful := range plan.Faults {
 			if harmful.Kind != Harmful {
 				continue
 			}
 			for _, fault := range plan.Faults {
-				quiet := fault.At+fault.For < harmful.At-harmfulQuiet+1 || fault.At >= harmful.At+harmful.For || fault.Kind == Harmful
+				quiet := fault.At+fault.Duration < harmful.At-harmfulQuietPeriod+1 || fault.At >= harmful.At+harmful.Duration || fault.Kind == Harmful
 				expect.Expect(quiet).To(gomega.BeTrue(), fault.String())
 			}
 		}
 	}
 }
 
-// Each check must find what it is for.
-func TestChecksFindWhatIsWrong(t *testing.T) {
+// Each check must report its kind of violation, and accept valid observations.
+func TestChecksReportViolations(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	book := standin.Answered{Asked: standin.Asked{ID: "book-1", Kind: standin.Book}, Status: 200, Whole: true}
 	refused := standin.Answered{Asked: standin.Asked{ID: "ping-1", Kind: standin.Ping}, Status: 503}
 	mixed := standin.Answered{Asked: standin.Asked{ID: "draft-1", Kind: standin.Draft}, Wrong: "it belongs to another request"}
 	answers := []standin.Answered{book, refused, mixed}
 	once := standin.Observed{Runs: []standin.Run{{ID: "book-1"}}}
-	expect.Expect(checkAnswers(answers[:2], once)).To(gomega.BeEmpty())
+	expect.Expect(checkResponses(answers[:2], once)).To(gomega.BeEmpty())
 	twice := standin.Observed{Runs: []standin.Run{{ID: "book-1"}, {ID: "book-1"}, {ID: "ping-1"}}, Violations: []string{"two groups"}}
-	expect.Expect(checkAnswers(answers, twice)).To(gomega.HaveLen(4))
+	expect.Expect(checkResponses(answers, twice)).To(gomega.HaveLen(4))
 
 	repeats := standin.Observed{}
 	for range 130 {
@@ -86,30 +86,31 @@
 	expect.Expect(checkHarmful(harmful)).To(gomega.HaveLen(1))
 	expect.Expect(checkHarmful(standin.Observed{Harmful: harmful.Harmful[:6]})).To(gomega.BeEmpty())
 
-	left := []drain{{server: "l-1", at: time.Second}}
-	expect.Expect(checkDrains(left, standin.Observed{Runs: []standin.Run{{Server: "l-1", At: 3 * time.Second}}})).To(gomega.BeEmpty())
-	expect.Expect(checkDrains(left, standin.Observed{Runs: []standin.Run{{Server: "l-1", At: 9 * time.Second}}})).To(gomega.HaveLen(1))
+	drains := []drain{{server: "l-1", at: time.Second}}
+	expect.Expect(checkDrains(drains, standin.Observed{Runs: []standin.Run{{Server: "l-1", At: 3 * time.Second}}})).To(gomega.BeEmpty())
+	expect.Expect(checkDrains(drains, standin.Observed{Runs: []standin.Run{{Server: "l-1", At: 9 * time.Second}}})).To(gomega.HaveLen(1))
 }
 
 func TestOptionsAreChecked(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	good := Options{Program: "/proc/self/exe", Length: time.Minute, Nodes: 4, BasePort: 23000}
-	expect.Expect(good.Check()).To(gomega.Succeed())
+	valid := Options{Program: "/proc/self/exe", Length: time.Minute, Nodes: 4, BasePort: 23000}
+	expect.Expect(valid.Check()).To(gomega.Succeed())
 	for _, change := range []func(options *Options){
 		func(options *Options) { options.Nodes = 0 },
 		func(options *Options) { options.Length = 0 },
 		func(options *Options) { options.BasePort = 80 },
 		func(options *Options) { options.Program = "/nowhere" },
 	} {
-		bad := good
-		change(&bad)
-		expect.Expect(bad.Check()).To(gomega.MatchError(ErrOptions))
+		invalid := valid
+		change(&invalid)
+		expect.Expect(invalid.Check()).To(gomega.MatchError(ErrOptions))
 	}
 }
 
-// Another program has a port of the soak, as the last soak has while it stops. It must say
-// so, and end; it ended with a panic, since it stopped a process that it had never started.
-func TestBusyPortIsToldAndNothingIsStarted(t *testing.T) {
+// A port of the test is in use, for example by an earlier soak test that is still stopping. Run must
+// return an error that says so. It panicked instead, because it stopped a process that had never
+// been started.
+func TestBusyPortFailsBeforeAnyProcessStarts(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	const base = 25900
 	busy, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", base))
@@ -119,7 +120,7 @@
 	expect.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("address already in use")))
 }
 
-func TestLimitOfTheJudgedServerIsChecked(t *testing.T) {
+func TestLimitOfCheckedServer(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	seen := standin.Observed{LimitBreaches: []standin.Breach{{Server: "l-1", Calls: 9, Allowed: 8}}}
 	expect.Expect(checkLimits("l-1", seen)).To(gomega.HaveLen(1))
