--- a/internal/run/trial/trial.go
+++ b/internal/run/trial/trial.go
@@ -1,9 +1,9 @@
-// Package trial measures how a small fleet keeps its classes' targets under a
-// surge and under faults, beside simpler rules in the same run.
+// Package trial measures how well a small fleet meets the targets of its classes
+// under surges and faults, and compares it with simpler policies in the same run.
 //
-// Nodes and stand-in engines run as they are, over loopback; requests come on
-// schedule from an open loop. Every rule gets the same requests. Figures depend
-// on the machine; compare the rules of one run with each other.
+// The nodes are the real ones; they talk to stand-in engines over loopback. An open
+// loop sends requests on schedule. Every rule gets the same requests. Figures depend
+// on the machine, so compare only the rules of one run.
 //
 // # Usage
 //
@@ -35,61 +35,62 @@
 )
 
 const (
-	basePort     = 25_000
-	answerTokens = 40
-	promptBytes  = 400
-	workspaces   = 6
-	// capacityRate is about how many requests a second the fleet's groups can
-	// answer: four groups of 1,000 tokens a second, 40 tokens each.
+	basePort         = 25_000
+	completionTokens = 40
+	promptBytes      = 400
+	workspaces       = 6
+	// capacityRate is the approximate capacity of the fleet in requests per second:
+	// four groups of 1,000 tokens per second, at 40 tokens per request.
 	capacityRate = 100
 	settleTime   = 3 * time.Second
 )
 
-// engineRates make a group of eight places give 1,000 tokens a second.
+// engineRates give a group with eight slots a throughput of 1,000 tokens per second.
 var engineRates = engine.Rates{Step: 4 * time.Millisecond, StepEach: 500 * time.Microsecond, Prefill: 20_000, Concurrency: 8}
 
-// The classes of the trials and their targets.
+// The classes of the trials, with their targets.
 var (
-	urgent = load.Share{Class: "urgent", Weight: 1, Workspaces: workspaces, PromptBytes: promptBytes, MaxTokens: answerTokens, FirstToken: 300 * time.Millisecond, BetweenTokens: 20 * time.Millisecond}
-	report = load.Share{Class: "report", Weight: 1, Workspaces: workspaces, PromptBytes: promptBytes, MaxTokens: answerTokens, FirstToken: 600 * time.Millisecond, BetweenTokens: 20 * time.Millisecond}
+	urgentClass = load.ClassSpec{Class: "urgent", Weight: 1, Workspaces: workspaces, PromptBytes: promptBytes, MaxTokens: completionTokens, FirstToken: 300 * time.Millisecond, BetweenTokens: 20 * time.Millisecond}
+	reportClass = load.ClassSpec{Class: "report", Weight: 1, Workspaces: workspaces, PromptBytes: promptBytes, MaxTokens: completionTokens, FirstToken: 600 * time.Millisecond, BetweenTokens: 20 * time.Millisecond}
 )
 
-// Scenario is one thing that happens to the fleet. Share is the load as a part
-// of what the fleet can do; the class report steps to StepTimes in the middle.
+// Scenario is a load and an optional fault. LoadFraction is the load as a fraction
+// of the fleet's capacity. Halfway through, the rate of the class report is
+// multiplied by StepTimes.
 type Scenario struct {
-	Name      string
-	Share     float64
-	StepTimes float64
-	// Happen is called in the middle.
-	Happen func(fleet *Fleet)
+	Name         string
+	LoadFraction float64
+	StepTimes    float64
+	// Inject is called halfway through, if set.
+	Inject func(fleet *Fleet)
 }
 
-// Scenarios are those of the measurement.
+// Scenarios returns the scenarios of the measurement.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{Name: "a steady 70 %", Share: 0.7},
-		{Name: "b report steps to 5x", Share: 0.4, StepTimes: 5},
-		{Name: "c group dies at the peak", Share: 0.7, Happen: func(fleet *Fleet) { fleet.killGroup() }},
-		{Name: "d data centre cut off", Share: 0.6, Happen: func(fleet *Fleet) { fleet.cut.Store(true) }},
-		{Name: "e reports stall 5 s", Share: 0.7, Happen: func(fleet *Fleet) { fleet.stallReports() }},
-		{Name: "f peak", Share: 1},
-		{Name: "g twice the peak", Share: 2},
+		{Name: "a steady 70 %", LoadFraction: 0.7},
+		{Name: "b report steps to 5x", LoadFraction: 0.4, StepTimes: 5},
+		{Name: "c group dies at the peak", LoadFraction: 0.7, Inject: func(fleet *Fleet) { fleet.killGroup() }},
+		{Name: "d data centre cut off", LoadFraction: 0.6, Inject: func(fleet *Fleet) { fleet.partitioned.Store(true) }},
+		{Name: "e reports stall 5 s", LoadFraction: 0.7, Inject: func(fleet *Fleet) { fleet.stallReports() }},
+		{Name: "f peak", LoadFraction: 1},
+		{Name: "g twice the peak", LoadFraction: 2},
 	}
 }
 
-// Rule is a way to decide.
+// Rule is a named set of policies that nodes decide by.
 type Rule struct {
 	Name     string
 	Policies func() node.Policies
 }
 
-// Rules are ours and the simpler ones.
+// Rules returns the default policies of hazelslip, then the simpler ones they are compared with.
 func Rules() []Rule {
 	return []Rule{
 		{"hazelslip", func() node.Policies { return node.Policies{} }},
 		{"round robin", roundRobin},
 		{"least reported load", func() node.Policies {
-			return node.Policies{Route: []route.Option{route.Predict(reported), route.Random(func(int) int { return 0 })}}
+			return node.Policies{Route: []route.Option{route.Predict(reportedLoad), route.Random(func(int) int { return 0 })}}
 		}},
 		{"no shares", func() node.Policies { return node.Policies{Admission: []admission.Option{admission.Open()}} }},
 		{"unlimited retries", func() node.Policies { return node.Policies{Retry: []retry.Option{retry.Endless()}} }},
@@ -104,125 +105,125 @@
 	}}
 }
 
-// reported ranks groups by what they last reported, and by nothing else.
-func reported(target *route.Target, _ route.Own, _ route.Request, _ time.Duration) time.Duration {
+// reportedLoad ranks groups only by the number of running calls that they last reported.
+func reportedLoad(target *route.Target, _ route.Own, _ route.Request, _ time.Duration) time.Duration {
 	return time.Duration(target.Running) * time.Second
 }
 
-// Result is what one rule did in one scenario.
+// Result holds the measurements of one rule in one scenario.
 type Result struct {
 	Scenario string
 	Rule     string
 	Report   load.Report
-	// Goodput is tokens a second of answers in target.
+	// Goodput is the number of tokens per second in responses that met their target.
 	Goodput float64
-	// Wasted is the part of generated tokens that reached nobody whole.
+	// Wasted is the fraction of generated tokens that are not part of a complete response.
 	Wasted float64
-	// Retries is attempts beyond the first, a request.
+	// Retries is the mean number of attempts per request beyond the first.
 	Retries float64
-	// UrgentBefore and UrgentAfter are the in-target shares of the class that
-	// does not surge, before and after the middle.
+	// UrgentBefore and UrgentAfter are the in-target shares of the class urgent,
+	// which does not surge, in the first and the second half of the run.
 	UrgentBefore float64
 	UrgentAfter  float64
 }
 
-// Fleet is two data centres of two nodes and two groups each.
+// Fleet is two data centres with two nodes and two groups each.
 type Fleet struct {
-	world *demo.World
-	nodes []*node.Node
-	// cut is set while the second data centre reaches nothing but itself.
-	cut     atomic.Bool
-	targets []string
+	environment *demo.Environment
+	nodes       []*node.Node
+	// partitioned is set while the second data centre can reach only itself.
+	partitioned atomic.Bool
+	targets     []string
 }
 
 func start(rule Rule) (*Fleet, error) {
-	world, err := demo.NewWorld(demo.BasePort(basePort), demo.Speed(engineRates), demo.Size(demo.Shape{
+	environment, err := demo.NewEnvironment(demo.BasePort(basePort), demo.Speed(engineRates), demo.Size(demo.Shape{
 		DataCentres: []string{"east", "west"}, Nodes: 2, Domains: 1, Engines: 8,
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
 	}))
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{world: world}
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	for index, tree := range world.Settings() {
-		tree.Stopping = settings.Stopping{DrainSeconds: 5}
-		options := []node.Option{node.Logger(quiet), node.Decide(rule.Policies())}
+	fleet := &Fleet{environment: environment}
+	discardLogger := slog.New(slog.NewTextHandler(io.Discard, nil))
+	for index, nodeSettings := range environment.Settings() {
+		nodeSettings.Stopping = settings.Stopping{DrainSeconds: 5}
+		options := []node.Option{node.Logger(discardLogger), node.Decide(rule.Policies())}
 		if index >= 2 {
-			options = append(options, node.Network(fleet.cuttable(world.Settings()), listen))
+			options = append(options, node.Network(fleet.partitionDialer(environment.Settings()), listen))
 		}
-		created, err := node.New(tree, options...)
+		entryNode, err := node.New(nodeSettings, options...)
 		if err != nil {
 			fleet.stop()
 			return nil, err
 		}
-		created.Start()
-		fleet.nodes = append(fleet.nodes, created)
-		fleet.targets = append(fleet.targets, "http://"+tree.Listen.Caller)
+		entryNode.Start()
+		fleet.nodes = append(fleet.nodes, entryNode)
+		fleet.targets = append(fleet.targets, "http://"+nodeSettings.Listen.Caller)
 	}
-	world.Log.Append("Config", body(urgent, 0.4, 20))
-	world.Log.Append("Config", body(report, 0.4, 10))
-	return fleet, fleet.awaitGroups()
+	environment.Log.Append("Config", classRecord(urgentClass, 0.4, 20))
+	environment.Log.Append("Config", classRecord(reportClass, 0.4, 10))
+	return fleet, fleet.waitForGroups()
 }
 
 func listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// cuttable is a dialler of the second data centre. While it is cut off, only
-// its own servers and nodes can be connected to, and open connections to
-// others carry nothing.
-func (fleet *Fleet) cuttable(trees []settings.Node) metering.Dialer {
-	outside := map[string]bool{}
-	for _, tree := range trees[:2] {
-		outside[tree.Listen.Peer] = true
+// partitionDialer returns the dialer for nodes of the second data centre. During a
+// partition, it connects only to servers and nodes of that data centre, and open
+// connections to others fail on use.
+func (fleet *Fleet) partitionDialer(allSettings []settings.Node) metering.Dialer {
+	external := map[string]bool{}
+	for _, nodeSettings := range allSettings[:2] {
+		external[nodeSettings.Listen.Peer] = true
 	}
-	platform := trees[0].Platform
+	platform := allSettings[0].Platform
 	for _, base := range []string{platform.LogService, platform.InstanceList, platform.WeightStore} {
-		outside[base[len("http://"):]] = true
+		external[base[len("http://"):]] = true
 	}
-	for _, server := range fleet.world.Engines[:8] {
-		outside[server.Report().Address] = true
+	for _, server := range fleet.environment.Engines[:8] {
+		external[server.Report().Address] = true
 	}
 	dialer := &net.Dialer{Timeout: 500 * time.Millisecond}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if outside[address] && fleet.cut.Load() {
-			return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("cut off")}
+		if external[address] && fleet.partitioned.Load() {
+			return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("network partition")}
 		}
 		conn, err := dialer.DialContext(ctx, network, address)
-		if err != nil || !outside[address] {
+		if err != nil || !external[address] {
 			return conn, err
 		}
-		return &cutConn{Conn: conn, cut: &fleet.cut}, nil
+		return &partitionConn{Conn: conn, partitioned: &fleet.partitioned}, nil
 	}
 }
 
-// cutConn breaks when its place is cut off.
-type cutConn struct {
+// partitionConn is a connection that fails during a partition.
+type partitionConn struct {
 	net.Conn
-	cut *atomic.Bool
+	partitioned *atomic.Bool
 }
 
-// Read fails once the place is cut off.
-func (conn *cutConn) Read(buffer []byte) (int, error) {
-	if conn.cut.Load() {
+// Read fails during a partition.
+func (partitionConn *partitionConn) Read(buffer []byte) (int, error) {
+	if partitionConn.partitioned.Load() {
 		return 0, net.ErrClosed
 	}
-	return conn.Conn.Read(buffer)
+	return partitionConn.Conn.Read(buffer)
 }
 
-// Write fails once the place is cut off.
-func (conn *cutConn) Write(buffer []byte) (int, error) {
-	if conn.cut.Load() {
+// Write fails during a partition.
+func (partitionConn *partitionConn) Write(buffer []byte) (int, error) {
+	if partitionConn.partitioned.Load() {
 		return 0, net.ErrClosed
 	}
-	return conn.Conn.Write(buffer)
+	return partitionConn.Conn.Write(buffer)
 }
 
-func body(share load.Share, guaranteed float64, priority int32) []byte {
+func classRecord(spec load.ClassSpec, guaranteed float64, priority int32) []byte {
 	encoded, err := proto.Marshal(&record.ConfigRecord{Kind: &record.ConfigRecord_Change{Change: &record.ConfigChange{
-		ChangeID: share.Class, Name: share.Class, Operator: "trial",
+		ChangeID: spec.Class, Name: spec.Class, Operator: "trial",
 		Target: &record.ClassTarget{
-			Name: share.Class, Model: "drafting", FirstTokenMs: uint32(share.FirstToken.Milliseconds()),
-			BetweenTokensMs: uint32(share.BetweenTokens.Milliseconds()), InTargetShare: 0.95, Priority: priority, GuaranteedShare: guaranteed,
+			Name: spec.Class, Model: "drafting", FirstTokenMs: uint32(spec.FirstToken.Milliseconds()),
+			BetweenTokensMs: uint32(spec.BetweenTokens.Milliseconds()), InTargetShare: 0.95, Priority: priority, GuaranteedShare: guaranteed,
 		},
 	}}})
 	if err != nil {
@@ -231,18 +232,18 @@
 	return encoded
 }
 
-func (fleet *Fleet) awaitGroups() error {
-	const wanted, tries = 2, 300
-	for range tries {
+func (fleet *Fleet) waitForGroups() error {
+	const wantedGroups, attempts = 2, 300
+	for range attempts {
 		ready := 0
-		for _, member := range fleet.nodes {
+		for _, entryNode := range fleet.nodes {
 			serving := 0
-			for _, group := range member.State().Groups {
+			for _, group := range entryNode.State().Groups {
 				if group.Serving {
 					serving++
 				}
 			}
-			if serving == wanted && member.Ready() == nil {
+			if serving == wantedGroups && entryNode.Ready() == nil {
 				ready++
 			}
 		}
@@ -253,21 +254,21 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	fleet.stop()
-	return errors.New("the groups did not form")
+	return errors.New("wait for the groups: not all groups formed in time")
 }
 
 func (fleet *Fleet) stop() {
 	stops := conc.NewWaitGroup()
-	for _, member := range fleet.nodes {
-		stops.Go(member.Stop)
+	for _, entryNode := range fleet.nodes {
+		stops.Go(entryNode.Stop)
 	}
 	stops.Wait()
-	fleet.world.Stop()
+	fleet.environment.Stop()
 }
 
 func (fleet *Fleet) killGroup() {
 	group := fleet.nodes[0].State().Groups[0]
-	for _, server := range fleet.world.Engines {
+	for _, server := range fleet.environment.Engines {
 		if server.Report().Group == group.Number {
 			server.SetFaults(engine.Faults{Dead: true})
 			return
@@ -275,24 +276,24 @@
 	}
 }
 
-const stallFor = 5 * time.Second
+const stallDuration = 5 * time.Second
 
 func (fleet *Fleet) stallReports() {
-	for _, server := range fleet.world.Engines {
+	for _, server := range fleet.environment.Engines {
 		server.SetFaults(engine.Faults{StallReports: true})
 	}
-	time.Sleep(stallFor)
-	for _, server := range fleet.world.Engines {
+	time.Sleep(stallDuration)
+	for _, server := range fleet.environment.Engines {
 		server.SetFaults(engine.Faults{})
 	}
 }
 
-// Run plays every scenario to every rule.
+// Run runs every scenario under every rule.
 func Run(scenarios []Scenario, rules []Rule, duration time.Duration, progress func(result Result)) ([]Result, error) {
 	results := []Result{}
 	for _, scenario := range scenarios {
 		for _, rule := range rules {
-			result, err := runOne(scenario, rule, duration)
+			result, err := runScenario(scenario, rule, duration)
 			if err != nil {
 				return results, errors.Wrapf(err, "%s, %s", scenario.Name, rule.Name)
 			}
@@ -303,64 +304,65 @@
 	return results, nil
 }
 
-func runOne(scenario Scenario, rule Rule, duration time.Duration) (Result, error) {
+func runScenario(scenario Scenario, rule Rule, duration time.Duration) (Result, error) {
 	fleet, err := start(rule)
 	if err != nil {
 		return Result{}, err
 	}
 	defer fleet.stop()
 	plan := load.Plan{
-		Targets: fleet.targets, Rate: scenario.Share * capacityRate, Duration: duration, Seed: 1,
-		Mix: []load.Share{urgent, report}, StepClass: report.Class, StepAt: duration / 2, StepTimes: max(1, scenario.StepTimes),
+		Targets: fleet.targets, Rate: scenario.LoadFraction * capacityRate, Duration: duration, Seed: 1,
+		Mix: []load.ClassSpec{urgentClass, reportClass}, StepClass: reportClass.Class, StepAt: duration / 2, StepTimes: max(1, scenario.StepTimes),
 	}
-	happening := conc.NewWaitGroup()
-	happening.Go(func() {
+	injection := conc.NewWaitGroup()
+	injection.Go(func() {
 		time.Sleep(duration / 2)
-		if scenario.Happen != nil {
-			scenario.Happen(fleet)
+		if scenario.Inject != nil {
+			scenario.Inject(fleet)
 		}
 	})
-	generated := fleet.generated()
-	answers, err := load.Run(context.Background(), plan)
-	happening.Wait()
+	generatedBefore := fleet.generatedTokens()
+	loadReport, err := load.Run(context.Background(), plan)
+	injection.Wait()
 	if err != nil {
 		return Result{}, err
 	}
-	return fleet.result(scenario, rule, answers, fleet.generated()-generated, int(duration.Seconds())), nil
+	return fleet.result(scenario, rule, loadReport, fleet.generatedTokens()-generatedBefore, int(duration.Seconds())), nil
 }
 
-func (fleet *Fleet) generated() uint64 {
+func (fleet *Fleet) generatedTokens() uint64 {
 	sum := uint64(0)
-	for _, server := range fleet.world.Engines {
+	for _, server := range fleet.environment.Engines {
 		sum += server.Generated()
 	}
 	return sum
 }
 
-func (fleet *Fleet) result(scenario Scenario, rule Rule, answers load.Report, generated uint64, seconds int) Result {
-	result := Result{Scenario: scenario.Name, Rule: rule.Name, Report: answers}
-	sent, inTarget, whole := 0, 0, 0
-	for _, class := range answers.Classes {
+func (fleet *Fleet) result(scenario Scenario, rule Rule, loadReport load.Report, generated uint64, seconds int) Result {
+	result := Result{Scenario: scenario.Name, Rule: rule.Name, Report: loadReport}
+	sent, inTarget, complete := 0, 0, 0
+	for _, class := range loadReport.Classes {
 		sent += class.Sent
 		inTarget += class.InTarget
-		whole += class.Whole
+		complete += class.Whole
 	}
-	result.Goodput = float64(inTarget*answerTokens) / float64(seconds)
-	result.Wasted = 1 - float64(whole*answerTokens)/float64(max(1, generated))
+	result.Goodput = float64(inTarget*completionTokens) / float64(seconds)
+	result.Wasted = 1 - float64(complete*completionTokens)/float64(max(1, generated))
 	resumed := uint64(0)
-	for _, member := range fleet.nodes {
-		resumed += member.State().Drafts.Resumed
+	for _, entryNode := range fleet.nodes {
+		resumed += entryNode.State().Drafts.Resumed
 	}
 	result.Retries = float64(resumed) / float64(max(1, sent))
-	result.UrgentBefore = inTargetOf(answers, urgent.Class, 0, seconds/2)
-	result.UrgentAfter = inTargetOf(answers, urgent.Class, seconds/2, seconds+1)
+	result.UrgentBefore = inTargetShare(loadReport, urgentClass.Class, 0, seconds/2)
+	result.UrgentAfter = inTargetShare(loadReport, urgentClass.Class, seconds/2, seconds+1)
 	return result
 }
 
-// inTargetOf is a class's in-target share of what was sent in some seconds.
-func inTargetOf(answers load.Report, class string, from, to int) float64 {
+// inTargetShare returns the in-target share of a class among the requests sent from one second up to another,
+// excluding the latter.
+func inTargetShare(loadReport load.Report, class string, from, to int) float64 {
 	sent, inTarget := 0, 0
-	for _, second := range answers.Timeline {
+	for _, second := range loadReport.Timeline {
 		if second.Class == class && second.At >= from && second.At < to {
 			sent += second.Sent
 			inTarget += second.InTarget
--- a/internal/testlib/fleet/fleet.go
+++ b/internal/testlib/fleet/fleet.go
@@ -37,7 +37,7 @@
 
 // Fleet is a running deployment.
 type Fleet struct {
-	World   *demo.World
+	World   *demo.Environment
 	Network *network.Network
 	Nodes   []*node.Node
 	Trees   []settings.Node
@@ -54,7 +54,7 @@
 func New(t *testing.T, shape demo.Shape) *Fleet {
 	t.Helper()
 	wires := network.New()
-	world, err := demo.NewWorld(demo.Size(shape), demo.Listen(wires.Listen))
+	world, err := demo.NewEnvironment(demo.Size(shape), demo.Listen(wires.Listen))
 	if err != nil {
 		t.Fatal(err)
 	}
