--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -58,8 +58,8 @@
 	offsets := map[string]int{"store": 0, "caller": 10, "readiness": 20, "operator": 30, "peer": 40, "detour": 60, "server": 100}
 	deployment := standin.New(
 		standin.Shape{Nodes: 3, Domains: 3, Servers: 8, Ledgers: 2, Seed: 1, Heartbeat: heartbeat},
-		standin.Addresses(func(place string, number int) string {
-			return fmt.Sprintf("127.0.0.1:%d", command.BasePort+offsets[place]+number)
+		standin.Addresses(func(role string, number int) string {
+			return fmt.Sprintf("127.0.0.1:%d", command.BasePort+offsets[role]+number)
 		}),
 		standin.Logger(newLogger(outputs.Err, command.LogLevel)),
 	)
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -70,8 +70,8 @@
 }
 
 func (command *loadCommand) parseClass(entry string) (load.ClassSpec, error) {
-	class, text, ok := strings.Cut(entry, "=")
-	weight, err := strconv.ParseFloat(text, 64)
+	class, weightText, ok := strings.Cut(entry, "=")
+	weight, err := strconv.ParseFloat(weightText, 64)
 	if !ok || err != nil || weight <= 0 {
 		return load.ClassSpec{}, errors.Newf("%q must be class=weight, such as urgent=1", entry)
 	}
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -65,8 +65,8 @@
 func (command *standinCommand) runPlatform(outputs *outputs) error {
 	stop := stopSignals()
 	offsets := map[string]int{"store": storeOffset, "server": serverOffset}
-	options := []standin.Option{standin.Addresses(func(place string, number int) string {
-		return fmt.Sprintf("127.0.0.1:%d", command.BasePort+offsets[place]+number)
+	options := []standin.Option{standin.Addresses(func(role string, number int) string {
+		return fmt.Sprintf("127.0.0.1:%d", command.BasePort+offsets[role]+number)
 	})}
 	if host := command.AdvertiseHost; host != "" {
 		options = append(options, standin.Advertised(func(address string) string {
--- a/internal/run/demo/demo.go
+++ b/internal/run/demo/demo.go
@@ -68,7 +68,7 @@
 // StandinLabel is the profiler label value of the stand-ins' goroutines.
 const StandinLabel = "standin"
 
-// Ports, as offsets from the base port.
+// Port offsets from the base port. Each node has nodePorts consecutive ports.
 const (
 	logPort     = 0
 	listPort    = 1
@@ -79,6 +79,8 @@
 	firstService = 80
 	firstEngine  = 100
 
+	// listLag is the delay until the instance list shows a change. The weight store runs up to weightSlots
+	// loads at once, and each takes weightLoadTime.
 	listLag        = time.Second
 	weightSlots    = 16
 	weightLoadTime = 500 * time.Millisecond
@@ -184,8 +186,8 @@
 	for index, dataCentre := range environment.shape.DataCentres {
 		environment.startEngines(index, dataCentre)
 		environment.startService(index, dataCentre)
-		for each := range environment.shape.Nodes {
-			environment.registerNode(index*environment.shape.Nodes+each, dataCentre)
+		for number := range environment.shape.Nodes {
+			environment.registerNode(index*environment.shape.Nodes+number, dataCentre)
 		}
 	}
 	if len(environment.listeners) != len(environment.servers) {
@@ -216,12 +218,12 @@
 	for domain := range environment.shape.Domains {
 		name := environment.domainName(index, domain)
 		environment.Domains[name] = engine.NewDomain(environment.Weights)
-		for each := range environment.shape.Engines {
-			offset := environment.offsetAfterNodes(firstEngine) + (index*environment.shape.Domains+domain)*environment.shape.Engines + each
-			id := fmt.Sprintf("%s-engine-%d", name, each+1)
-			created := engine.New(id, environment.address(offset), environment.Domains[name], engine.ChecksFencing(!slices.Contains(environment.uncheckedDomains(), name)), engine.Speed(environment.rates))
-			environment.Engines = append(environment.Engines, created)
-			environment.addServer(offset, created.Handler())
+		for number := range environment.shape.Engines {
+			offset := environment.offsetAfterNodes(firstEngine) + (index*environment.shape.Domains+domain)*environment.shape.Engines + number
+			id := fmt.Sprintf("%s-engine-%d", name, number+1)
+			engineServer := engine.New(id, environment.address(offset), environment.Domains[name], engine.ChecksFencing(!slices.Contains(environment.uncheckedDomains(), name)), engine.Speed(environment.rates))
+			environment.Engines = append(environment.Engines, engineServer)
+			environment.addServer(offset, engineServer.Handler())
 			environment.List.Put(instancelist.Instance{
 				ID: id, Address: environment.address(offset), Role: instancelist.RoleEngine, Region: environment.region(index),
 				DataCentre: dataCentre, FabricDomain: name,
@@ -232,9 +234,9 @@
 
 func (environment *Environment) startService(index int, dataCentre string) {
 	id := fmt.Sprintf("%s-%s", dataCentre, ServiceName)
-	created := service.New(id, environment.Book)
-	environment.Services = append(environment.Services, created)
-	environment.addServer(environment.offsetAfterNodes(firstService)+index, created.Handler())
+	plainService := service.New(id, environment.Book)
+	environment.Services = append(environment.Services, plainService)
+	environment.addServer(environment.offsetAfterNodes(firstService)+index, plainService.Handler())
 	environment.List.Put(instancelist.Instance{
 		ID: id, Address: environment.address(environment.offsetAfterNodes(firstService) + index), Role: instancelist.RoleService, Region: environment.region(index),
 		DataCentre: dataCentre, Service: ServiceName,
@@ -268,22 +270,22 @@
 	all := []settings.Node{}
 	for index := range len(environment.shape.DataCentres) * environment.shape.Nodes {
 		dataCentre := environment.shape.DataCentres[index/environment.shape.Nodes]
-		node := settings.Default()
-		node.Name, node.Region, node.DataCentre = environment.nodeName(index, dataCentre), environment.region(index/environment.shape.Nodes), dataCentre
-		node.Listen = settings.Listen{
+		nodeSettings := settings.Default()
+		nodeSettings.Name, nodeSettings.Region, nodeSettings.DataCentre = environment.nodeName(index, dataCentre), environment.region(index/environment.shape.Nodes), dataCentre
+		nodeSettings.Listen = settings.Listen{
 			Caller: environment.nodeAddress(index, callerPort), Operator: environment.nodeAddress(index, operatorPort),
 			Peer: environment.nodeAddress(index, peerPort),
 		}
-		node.Platform = settings.Platform{
+		nodeSettings.Platform = settings.Platform{
 			LogService: "http://" + environment.address(logPort), InstanceList: "http://" + environment.address(listPort),
 			WeightStore: "http://" + environment.address(weightsPort),
 		}
-		node.Peers.Seeds = []string{environment.nodeAddress(0, peerPort)}
-		node.Engines.UncheckedDomains = environment.uncheckedDomains()
-		node.Models = environment.shape.Models
-		node.Services = []settings.Service{{Name: ServiceName, Repeatable: []string{http.MethodGet}}}
-		node.Stopping = settings.Stopping{NoticeSeconds: 1, DrainSeconds: 60}
-		all = append(all, node)
+		nodeSettings.Peers.Seeds = []string{environment.nodeAddress(0, peerPort)}
+		nodeSettings.Engines.UncheckedDomains = environment.uncheckedDomains()
+		nodeSettings.Models = environment.shape.Models
+		nodeSettings.Services = []settings.Service{{Name: ServiceName, Repeatable: []string{http.MethodGet}}}
+		nodeSettings.Stopping = settings.Stopping{NoticeSeconds: 1, DrainSeconds: 60}
+		all = append(all, nodeSettings)
 	}
 	return all
 }
--- a/internal/run/load/load.go
+++ b/internal/run/load/load.go
@@ -53,7 +53,7 @@
 	BetweenTokens time.Duration
 }
 
-// Plan describes the load. From StepAt on, the rate of the class StepClass is
+// Plan describes the load. Rate is in requests per second over all classes. From StepAt on, the rate of the class StepClass is
 // multiplied by StepTimes.
 type Plan struct {
 	Targets   []string
--- a/internal/run/soak/backoff.go
+++ b/internal/run/soak/backoff.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// exerciseDrain makes the checked server report in its responses that it is draining, while its registry
-// entry does not.
+// exerciseDrain withdraws the limit of the checked server and makes the server report in its responses that
+// it is draining, while its registry entry does not say so.
 func (runner *runner) exerciseDrain(ctx context.Context, seed uint64) {
 	runner.fleet.sendControl(limitAnnouncement.path(runner.checkedServer(seed)))
 	runner.fleet.sendControl("/drains/" + runner.checkedServer(seed) + "?value=1")
--- a/internal/run/soak/datacentre.go
+++ b/internal/run/soak/datacentre.go
@@ -20,13 +20,13 @@
 // exerciseDataCentreDrain drains a data centre and ends the drain.
 func (runner *runner) exerciseDataCentreDrain(ctx context.Context) {
 	for _, step := range []struct {
-		change string
-		lasts  time.Duration
+		change   string
+		duration time.Duration
 	}{{"drain", standin.DrainKnown + drainDuration}, {"undrain", warmupDuration}} {
 		runner.fleet.sendControl("/data-centres/" + drainedDataCentre + "/" + step.change)
 		select {
 		case <-ctx.Done():
-		case <-time.After(step.lasts):
+		case <-time.After(step.duration):
 		}
 	}
 }
--- a/internal/run/soak/fault.go
+++ b/internal/run/soak/fault.go
@@ -41,7 +41,7 @@
 	PlainLost   Kind = "plain-lost"   // a plain server's responses are blocked, its calls run
 	PlainDrain  Kind = "plain-drain"  // a plain server announces that it is leaving
 	Configure   Kind = "configure"    // the operator writes a configuration version
-	// Harmful makes callers send a request again and again that crashes each server that runs it.
+	// Harmful makes callers repeatedly send a request that crashes every server that runs it.
 	Harmful Kind = "harmful"
 )
 
@@ -155,7 +155,7 @@
 		}
 		plan.Faults = append(plan.Faults, fault)
 	}
-	slices.SortStableFunc(plan.Faults, func(one, other Fault) int { return cmp.Compare(one.At, other.At) })
+	slices.SortStableFunc(plan.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
--- a/internal/run/soak/fleet.go
+++ b/internal/run/soak/fleet.go
@@ -101,7 +101,7 @@
 			"--control", fmt.Sprintf("127.0.0.1:%d", options.BasePort+controlPort), "--advertise-host", serverProxyHost,
 		},
 	}
-	// Report a port that is in use with its address, before the stand-in starts.
+	// Fail early if a port is in use, with its address in the error.
 	for _, port := range []int{storePort, controlPort, serverPort} {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", options.BasePort+port))
 		if err != nil {
@@ -358,8 +358,8 @@
 // changesPerOutage is the number of configuration changes that are confirmed in a row when the store is back.
 const changesPerOutage = 3
 
-// storeOutage puts the store into a mode without usable responses. Its end restores the store and writes
-// several configuration changes in a row.
+// storeOutage returns functions that begin and end an outage of the store in the given mode. The end also
+// writes several configuration versions in a row.
 func (fleet *fleet) storeOutage(mode string) (begin, end func()) {
 	return func() { fleet.sendControl("/store?mode=" + mode) }, func() {
 		fleet.sendControl("/store?mode=answering")
--- a/internal/run/soak/limit.go
+++ b/internal/run/soak/limit.go
@@ -15,8 +15,8 @@
 	// limitInterval is the mean time between two changes of server limits while faults are
 	// injected.
 	limitInterval = time.Second
-	// limitDuration is how long the checked server announces a limit after the faults. It is longer
-	// than nodes may take to learn of the limit, plus one window of the limit.
+	// limitDuration is how long the checked server announces a limit after the faults. It exceeds
+	// the time that nodes may take to learn of the limit plus one window of the limit.
 	limitDuration = 9 * time.Second
 	// minLimit and maxLimit bound a limit, in requests per second. Callers send each plain server
 	// about 4 requests per second.
@@ -45,7 +45,7 @@
 // limitAnnouncement makes servers announce, change and withdraw limits.
 var limitAnnouncement = announcement{
 	meanInterval: limitInterval, path: func(server string) string { return "/limits/" + server },
-	query: func(random *rand.Rand) string { return limitQuery(drawLimit(random)) },
+	query: func(random *rand.Rand) string { return limitQuery(randomLimit(random)) },
 }
 
 // announceRandomly makes servers announce and withdraw notices until the context ends, then withdraws all
@@ -70,7 +70,7 @@
 	}
 }
 
-func drawLimit(random *rand.Rand) float64 {
+func randomLimit(random *rand.Rand) float64 {
 	return minLimit + random.Float64()*(maxLimit-minLimit)
 }
 
@@ -81,7 +81,7 @@
 // exerciseLimit makes the checked server announce a limit once all faults have ended.
 func (runner *runner) exerciseLimit(ctx context.Context, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, limitStream+1))
-	runner.fleet.sendControl(limitAnnouncement.path(runner.checkedServer(seed)) + limitQuery(drawLimit(random)))
+	runner.fleet.sendControl(limitAnnouncement.path(runner.checkedServer(seed)) + limitQuery(randomLimit(random)))
 	select {
 	case <-ctx.Done():
 	case <-time.After(limitDuration):
--- a/internal/run/soak/process.go
+++ b/internal/run/soak/process.go
@@ -89,9 +89,9 @@
 		process.mu.Unlock()
 		<-ended
 		process.mu.Lock()
-		stopping, asked, state := process.stopping, process.endRequested, process.running.ProcessState
+		stopping, endRequested, state := process.stopping, process.endRequested, process.running.ProcessState
 		process.mu.Unlock()
-		if !asked {
+		if !endRequested {
 			process.recordViolation("%s exited unexpectedly: %s", process.name, state)
 		}
 		if stopping {
--- a/internal/run/soak/proxy.go
+++ b/internal/run/soak/proxy.go
@@ -63,10 +63,10 @@
 		return
 	}
 	defer proxy.untrack(client, upstream)
-	both := conc.WaitGroup{}
-	both.Go(func() { proxy.relay(upstream, client, func() bool { return proxy.holdIn > 0 }) })
-	both.Go(func() { proxy.relay(client, upstream, func() bool { return proxy.holdOut > 0 }) })
-	both.Wait()
+	directions := conc.WaitGroup{}
+	directions.Go(func() { proxy.relay(upstream, client, func() bool { return proxy.holdIn > 0 }) })
+	directions.Go(func() { proxy.relay(client, upstream, func() bool { return proxy.holdOut > 0 }) })
+	directions.Wait()
 }
 
 // relay copies data from one connection to the other, and closes both when either fails or ends.
--- a/internal/run/soak/soak_test.go
+++ b/internal/run/soak/soak_test.go
@@ -34,8 +34,8 @@
 			}
 		}
 	}
-	for _, share := range faultWeights {
-		expect.Expect(seen).To(gomega.HaveKey(share.kind))
+	for _, weighted := range faultWeights {
+		expect.Expect(seen).To(gomega.HaveKey(weighted.kind))
 	}
 	expect.Expect(seen).To(gomega.HaveKey(Harmful))
 	expect.Expect(overlapping).To(gomega.BeNumerically(">", 100))
@@ -62,21 +62,21 @@
 // Each check must report its kind of violation, and accept valid observations.
 func TestChecksReportViolations(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	book := standin.Answered{Asked: standin.Asked{ID: "book-1", Kind: standin.Book}, Status: 200, Whole: true}
+	booked := standin.Answered{Asked: standin.Asked{ID: "book-1", Kind: standin.Book}, Status: 200, Whole: true}
 	refused := standin.Answered{Asked: standin.Asked{ID: "ping-1", Kind: standin.Ping}, Status: 503}
 	mixed := standin.Answered{Asked: standin.Asked{ID: "draft-1", Kind: standin.Draft}, Wrong: "it belongs to another request"}
-	answers := []standin.Answered{book, refused, mixed}
+	results := []standin.Answered{booked, refused, mixed}
 	once := standin.Observed{Runs: []standin.Run{{ID: "book-1"}}}
-	expect.Expect(checkResponses(answers[:2], once)).To(gomega.BeEmpty())
+	expect.Expect(checkResponses(results[:2], once)).To(gomega.BeEmpty())
 	twice := standin.Observed{Runs: []standin.Run{{ID: "book-1"}, {ID: "book-1"}, {ID: "ping-1"}}, Violations: []string{"two groups"}}
-	expect.Expect(checkResponses(answers, twice)).To(gomega.HaveLen(4))
+	expect.Expect(checkResponses(results, twice)).To(gomega.HaveLen(4))
 
-	repeats := standin.Observed{}
+	retries := standin.Observed{}
 	for range 130 {
-		repeats.Runs = append(repeats.Runs, standin.Run{ID: "draft-1", At: time.Second})
+		retries.Runs = append(retries.Runs, standin.Run{ID: "draft-1", At: time.Second})
 	}
-	expect.Expect(checkBudget(repeats)).To(gomega.HaveLen(1))
-	expect.Expect(checkBudget(standin.Observed{Runs: repeats.Runs[:80]})).To(gomega.BeEmpty())
+	expect.Expect(checkBudget(retries)).To(gomega.HaveLen(1))
+	expect.Expect(checkBudget(standin.Observed{Runs: retries.Runs[:80]})).To(gomega.BeEmpty())
 
 	harmful := standin.Observed{}
 	for number := range 12 {
@@ -91,7 +91,7 @@
 	expect.Expect(checkDrains(drains, standin.Observed{Runs: []standin.Run{{Server: "l-1", At: 9 * time.Second}}})).To(gomega.HaveLen(1))
 }
 
-func TestOptionsAreChecked(t *testing.T) {
+func TestOptionsCheck(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	valid := Options{Program: "/proc/self/exe", Length: time.Minute, Nodes: 4, BasePort: 23000}
 	expect.Expect(valid.Check()).To(gomega.Succeed())
@@ -108,8 +108,8 @@
 }
 
 // A port of the test is in use, for example by an earlier soak test that is still stopping. Run must
-// return an error that says so. It panicked instead, because it stopped a process that had never
-// been started.
+// return an error that says so. Run used to panic, because it stopped a process that had
+// never been started.
 func TestBusyPortFailsBeforeAnyProcessStarts(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	const base = 25900
--- a/internal/run/trial/trial.go
+++ b/internal/run/trial/trial.go
@@ -358,8 +358,8 @@
 	return result
 }
 
-// inTargetShare returns the in-target share of a class among the requests sent from one second up to another,
-// excluding the latter.
+// inTargetShare returns the in-target share of a class among the requests that were sent from
+// second from up to, but excluding, second to.
 func inTargetShare(loadReport load.Report, class string, from, to int) float64 {
 	sent, inTarget := 0, 0
 	for _, second := range loadReport.Timeline {
