--- a/internal/run/settings/check.go
+++ b/internal/run/settings/check.go
@@ -8,57 +8,57 @@
 	"strconv"
 )
 
-// rule is one check: where it holds nothing is said.
+// rule is the result of one check. If valid is false, reason is reported for the key.
 type rule struct {
-	key      string
-	holds    bool
-	accepted string
+	key    string
+	valid  bool
+	reason string
 }
 
 const (
-	maxGroupSize    = 64
-	maxBodyLimit    = 64 << 20
-	maxJournal      = 1_000_000
-	maxPrice        = 1e6
-	maxGraceSeconds = 600
-	maxDrain        = 3600
-	maxWindow       = 7 * 24 * 60
+	maxGroupSize            = 64
+	maxBodyBytesLimit       = 64 << 20
+	maxJournalRequests      = 1_000_000
+	maxPrice                = 1e6
+	maxGraceSeconds         = 600
+	maxStoppingSeconds      = 3600
+	maxBookingWindowMinutes = 7 * 24 * 60
 )
 
-// check returns every value that is out of range.
-func check(node *Node, finder *finder) Mistakes {
-	rules := slices.Concat(placeRules(node), addressRules(node), modelRules(node), serviceRules(node), limitRules(node))
-	mistakes := Mistakes{}
+// check returns an error for each value that is missing, malformed or out of range.
+func check(node *Node, locator *keyLocator) ValidationErrors {
+	rules := slices.Concat(identityRules(node), addressRules(node), modelRules(node), serviceRules(node), limitRules(node))
+	validationErrors := ValidationErrors{}
 	for _, rule := range rules {
-		if !rule.holds {
-			mistakes = append(mistakes, finder.mistake(rule.key, rule.accepted))
+		if !rule.valid {
+			validationErrors = append(validationErrors, locator.errorAt(rule.key, rule.reason))
 		}
 	}
-	return mistakes
+	return validationErrors
 }
 
-func placeRules(node *Node) []rule {
-	const accepted = "must be set to a name"
+func identityRules(node *Node) []rule {
+	const reason = "must be set to a name"
 	return []rule{
-		{"Name", node.Name != "", accepted},
-		{"Region", node.Region != "", accepted},
-		{"DataCentre", node.DataCentre != "", accepted},
+		{"Name", node.Name != "", reason},
+		{"Region", node.Region != "", reason},
+		{"DataCentre", node.DataCentre != "", reason},
 	}
 }
 
 func addressRules(node *Node) []rule {
-	const address = "must be an IP address and port, such as 127.0.0.1:8080"
-	const base = "must be a base URL, such as http://127.0.0.1:7000"
+	const addressFormat = "must be an IP address and port, such as 127.0.0.1:8080"
+	const urlFormat = "must be a base URL, such as http://127.0.0.1:7000"
 	rules := []rule{
-		{"Listen.Caller", isAddress(node.Listen.Caller), address},
-		{"Listen.Operator", isAddress(node.Listen.Operator), address},
-		{"Listen.Peer", isAddress(node.Listen.Peer), address},
-		{"Platform.LogService", isURL(node.Platform.LogService), base},
-		{"Platform.InstanceList", isURL(node.Platform.InstanceList), base},
-		{"Platform.WeightStore", isURL(node.Platform.WeightStore), base},
+		{"Listen.Caller", isAddress(node.Listen.Caller), addressFormat},
+		{"Listen.Operator", isAddress(node.Listen.Operator), addressFormat},
+		{"Listen.Peer", isAddress(node.Listen.Peer), addressFormat},
+		{"Platform.LogService", isURL(node.Platform.LogService), urlFormat},
+		{"Platform.InstanceList", isURL(node.Platform.InstanceList), urlFormat},
+		{"Platform.WeightStore", isURL(node.Platform.WeightStore), urlFormat},
 	}
 	for _, seed := range node.Peers.Seeds {
-		rules = append(rules, rule{"Peers.Seeds", isAddress(seed), fmt.Sprintf("%q %s", seed, address)})
+		rules = append(rules, rule{"Peers.Seeds", isAddress(seed), fmt.Sprintf("%q %s", seed, addressFormat)})
 	}
 	return rules
 }
@@ -93,7 +93,7 @@
 	return rules
 }
 
-var methods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
+var httpMethods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 
 func serviceRules(node *Node) []rule {
 	rules := []rule{}
@@ -103,7 +103,7 @@
 		rules = append(rules, rule{key + ".Name", service.Name != "" && !seen[service.Name], "must be set, once for each service"})
 		seen[service.Name] = true
 		for _, method := range service.Repeatable {
-			rules = append(rules, rule{key + ".Repeatable", slices.Contains(methods, method), fmt.Sprintf("%q must be one of %v", method, methods)})
+			rules = append(rules, rule{key + ".Repeatable", slices.Contains(httpMethods, method), fmt.Sprintf("%q must be one of %v", method, httpMethods)})
 		}
 	}
 	return rules
@@ -111,17 +111,17 @@
 
 func limitRules(node *Node) []rule {
 	return []rule{
-		{"Engines.GraceSeconds", between(node.Engines.GraceSeconds, 1, maxGraceSeconds), fmt.Sprintf("must be 1 to %d", maxGraceSeconds)},
+		{"Engines.GraceSeconds", inRange(node.Engines.GraceSeconds, 1, maxGraceSeconds), fmt.Sprintf("must be 1 to %d", maxGraceSeconds)},
 		{"Prices.GroupDowntime", node.Prices.GroupDowntime > 0 && node.Prices.GroupDowntime <= maxPrice, fmt.Sprintf("must be over 0 and at most %g", maxPrice)},
 		{"Prices.StrandedInstance", node.Prices.StrandedInstance >= 0 && node.Prices.StrandedInstance <= maxPrice, fmt.Sprintf("must be 0 to %g", maxPrice)},
-		{"Limits.MaxBodyBytes", node.Limits.MaxBodyBytes >= 1024 && node.Limits.MaxBodyBytes <= maxBodyLimit, fmt.Sprintf("must be 1024 to %d", maxBodyLimit)},
-		{"Limits.BookingWindowMinutes", between(node.Limits.BookingWindowMinutes, 5, maxWindow), fmt.Sprintf("must be 5 to %d", maxWindow)},
-		{"Limits.JournalRequests", between(node.Limits.JournalRequests, 1, maxJournal), fmt.Sprintf("must be 1 to %d", maxJournal)},
-		{"Stopping.NoticeSeconds", between(node.Stopping.NoticeSeconds, 0, maxDrain), fmt.Sprintf("must be 0 to %d", maxDrain)},
-		{"Stopping.DrainSeconds", between(node.Stopping.DrainSeconds, 1, maxDrain), fmt.Sprintf("must be 1 to %d", maxDrain)},
+		{"Limits.MaxBodyBytes", node.Limits.MaxBodyBytes >= 1024 && node.Limits.MaxBodyBytes <= maxBodyBytesLimit, fmt.Sprintf("must be 1024 to %d", maxBodyBytesLimit)},
+		{"Limits.BookingWindowMinutes", inRange(node.Limits.BookingWindowMinutes, 5, maxBookingWindowMinutes), fmt.Sprintf("must be 5 to %d", maxBookingWindowMinutes)},
+		{"Limits.JournalRequests", inRange(node.Limits.JournalRequests, 1, maxJournalRequests), fmt.Sprintf("must be 1 to %d", maxJournalRequests)},
+		{"Stopping.NoticeSeconds", inRange(node.Stopping.NoticeSeconds, 0, maxStoppingSeconds), fmt.Sprintf("must be 0 to %d", maxStoppingSeconds)},
+		{"Stopping.DrainSeconds", inRange(node.Stopping.DrainSeconds, 1, maxStoppingSeconds), fmt.Sprintf("must be 1 to %d", maxStoppingSeconds)},
 	}
 }
 
-func between(value, least, most int) bool {
-	return value >= least && value <= most
+func inRange(value, minimum, maximum int) bool {
+	return value >= minimum && value <= maximum
 }
--- a/internal/run/settings/fuzz_test.go
+++ b/internal/run/settings/fuzz_test.go
@@ -8,8 +8,8 @@
 	"hazelslip/internal/run/settings"
 )
 
-// FuzzParse feeds any file as settings: it must be settings or mistakes, each
-// with a file and what is accepted.
+// FuzzParse parses arbitrary files. Parse must return either settings or ValidationErrors, each with a file and a
+// reason.
 func FuzzParse(f *testing.F) {
 	body, err := os.ReadFile(exampleFile)
 	if err != nil {
@@ -23,13 +23,13 @@
 		if err == nil {
 			return
 		}
-		var mistakes settings.Mistakes
-		if !errors.As(err, &mistakes) || len(mistakes) == 0 {
-			t.Fatalf("an error without mistakes: %v", err)
+		var validationErrors settings.ValidationErrors
+		if !errors.As(err, &validationErrors) || len(validationErrors) == 0 {
+			t.Fatalf("Parse returned an error that holds no ValidationErrors: %v", err)
 		}
-		for _, mistake := range mistakes {
-			if mistake.File == "" || mistake.Accepted == "" {
-				t.Fatalf("an empty mistake: %+v", mistake)
+		for _, validationError := range validationErrors {
+			if validationError.File == "" || validationError.Reason == "" {
+				t.Fatalf("validation error without file or reason: %+v", validationError)
 			}
 		}
 	})
--- a/internal/run/settings/settings.go
+++ b/internal/run/settings/settings.go
@@ -1,14 +1,13 @@
-// Package settings reads and checks the settings of a node.
+// Package settings reads and validates the settings of a node.
 //
-// Settings are TOML with Pascal case keys. Reading is strict: an unknown key, a
-// wrong type or a value out of range is an error that names the file, the line,
-// the key and what is accepted, and all the errors come at once. Defaults are
-// set in one place, before the file is read.
+// Settings are written in TOML with keys in PascalCase. Parsing is strict: an unknown key, a wrong type or a value out
+// of range is an error that names the file, the line, the key and what is accepted. All errors of a file are returned
+// together. Default holds all default values; the file overrides them.
 //
 // # Usage
 //
 //	node, err := settings.Load("node.toml")
-//	if err != nil { fmt.Println(err) } // one line for each mistake
+//	if err != nil { fmt.Println(err) } // one line for each validation error
 package settings
 
 import (
@@ -24,11 +23,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Node is the tree of a node's settings.
+// Node holds the settings of a node.
 type Node struct {
-	// Name is the node's name in logs and dumps.
+	// Name identifies the node in logs and state dumps.
 	Name string
-	// Region and DataCentre say where the node is.
+	// Region and DataCentre are the location of the node.
 	Region     string
 	DataCentre string
 	Listen     Listen
@@ -42,13 +41,13 @@
 	Stopping   Stopping
 }
 
-// Listen holds the addresses, host:port, that the node serves at.
+// Listen holds the addresses (host:port) at which the node listens.
 type Listen struct {
-	// Caller is for callers, behind the platform's balancer.
+	// Caller is the address for callers. It is reached through the platform's load balancer.
 	Caller string
-	// Operator is for operators and should not be reachable by callers.
+	// Operator is the address for operators. It should not be reachable by callers.
 	Operator string
-	// Peer is for other nodes, which must be able to connect to it.
+	// Peer is the address for other nodes. They must be able to connect to it.
 	Peer string
 }
 
@@ -59,66 +58,65 @@
 	WeightStore  string
 }
 
-// Peers names nodes to start from when the instance list does not answer.
+// Peers holds the addresses of seed nodes, through which the node finds its peers when the instance list does not
+// respond.
 type Peers struct {
 	Seeds []string
 }
 
-// Engines says how the engines behave.
+// Engines holds the settings for the engines.
 type Engines struct {
-	// UncheckedDomains are the fabric domains whose engines ignore fencing
-	// numbers; "*" stands for all.
+	// UncheckedDomains lists the fabric domains whose engines do not check fencing numbers; "*" stands for all domains.
 	UncheckedDomains []string
-	// GraceSeconds is how long a silent member is waited for before its group
-	// is taken apart.
+	// GraceSeconds is how long a member may be unresponsive before its group is retired.
 	GraceSeconds int
 }
 
-// Model is a model that classes can name.
+// Model describes a model that classes can refer to.
 type Model struct {
 	Name string
-	// GroupSize is how many instances one replica spans.
+	// GroupSize is the number of instances in one group, which runs one replica of the model.
 	GroupSize int
-	// GroupsWanted bounds the groups a fabric domain; 0 is as many as fit.
+	// GroupsWanted is the maximum number of groups in a fabric domain; 0 means as many as fit.
 	GroupsWanted int
 }
 
-// Service is a plain service beside the engines.
+// Service describes a service other than the engines, to which the node forwards calls.
 type Service struct {
 	Name string
-	// Repeatable lists the methods whose calls may be sent more than once.
+	// Repeatable lists the HTTP methods that are idempotent for this service: such a call may be sent more than once.
 	Repeatable []string
-	// ChecksFencing says whether its servers check fencing numbers.
+	// ChecksFencing states whether the servers of the service check fencing numbers.
 	ChecksFencing bool
 }
 
-// Prices weigh the two measures of the deployment against each other.
+// Prices weighs downtime of groups against idle instances.
 type Prices struct {
-	// GroupDowntime is the price of a second in which a group does not serve.
+	// GroupDowntime is the price of one second during which a group does not serve.
 	GroupDowntime float64
-	// StrandedInstance is the price of a second of a healthy idle instance.
+	// StrandedInstance is the price of one second during which a healthy instance is idle.
 	StrandedInstance float64
 }
 
-// Limits bounds what the node takes.
+// Limits bounds the requests that the node accepts and the records that it keeps.
 type Limits struct {
 	MaxBodyBytes int64
-	// BookingWindowMinutes is how long a key and its answer are kept.
+	// BookingWindowMinutes is how long an idempotency key and the response to its call are kept.
 	BookingWindowMinutes int
-	// Requests is how many requests are remembered for explanation.
+	// JournalRequests is the number of recent requests that the journal keeps, for operators to look up.
 	JournalRequests int
 }
 
-// Stopping says how the node shuts down.
+// Stopping holds the settings for a graceful shutdown.
 type Stopping struct {
-	// NoticeSeconds is how long the node goes on taking requests after it has
-	// said that it is not ready, so that the balancer can notice.
+	// NoticeSeconds is how long the node still accepts requests after it has begun to report that it is not ready, so
+	// that the load balancer has time to take it out of rotation.
 	NoticeSeconds int
-	// DrainSeconds bounds how long it waits for what is in flight.
+	// DrainSeconds is the maximum time that the node waits for requests in flight.
 	DrainSeconds int
 }
 
-// Default returns the settings before a file is read.
+// Default returns the default settings, which the settings file overrides.
 func Default() Node {
 	return Node{
 		Listen: Listen{Caller: "127.0.0.1:8080", Operator: "127.0.0.1:8081", Peer: "127.0.0.1:8082"},
@@ -132,31 +130,31 @@
 	}
 }
 
-// Mistake is one thing that is wrong in a file.
-type Mistake struct {
-	File     string
-	Line     int
-	Key      string
-	Accepted string
+// ValidationError describes one invalid entry in a settings file.
+type ValidationError struct {
+	File   string
+	Line   int
+	Key    string
+	Reason string
 }
 
-// Error tells where the mistake is and what would be accepted.
-func (mistake Mistake) Error() string {
-	place := mistake.File
-	if mistake.Line > 0 {
-		place = fmt.Sprintf("%s:%d", mistake.File, mistake.Line)
+// Error returns the location, the key and the reason, which states what is accepted.
+func (validationError ValidationError) Error() string {
+	location := validationError.File
+	if validationError.Line > 0 {
+		location = fmt.Sprintf("%s:%d", validationError.File, validationError.Line)
 	}
-	return fmt.Sprintf("%s: %s: %s", place, mistake.Key, mistake.Accepted)
+	return fmt.Sprintf("%s: %s: %s", location, validationError.Key, validationError.Reason)
 }
 
-// Mistakes is everything that is wrong in a file.
-type Mistakes []Mistake
+// ValidationErrors holds all validation errors of a file.
+type ValidationErrors []ValidationError
 
-// Error returns one line for each mistake.
-func (mistakes Mistakes) Error() string {
-	lines := make([]string, 0, len(mistakes))
-	for _, mistake := range mistakes {
-		lines = append(lines, mistake.Error())
+// Error returns one line for each validation error.
+func (validationErrors ValidationErrors) Error() string {
+	lines := make([]string, 0, len(validationErrors))
+	for _, validationError := range validationErrors {
+		lines = append(lines, validationError.Error())
 	}
 	return strings.Join(lines, "\n")
 }
@@ -165,84 +163,84 @@
 func Load(path string) (Node, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return Node{}, errors.Wrap(err, "read settings; name a TOML file with --settings")
+		return Node{}, errors.Wrap(err, "read the settings file; set the path of a TOML file with --settings")
 	}
 	return Parse(path, body)
 }
 
-// Parse reads a node's settings from the body of a file. The error is Mistakes.
+// Parse reads a node's settings from the body of a file. An error is of type ValidationErrors, sorted by line.
 func Parse(file string, body []byte) (Node, error) {
 	node := Default()
 	tree := map[string]any{}
 	if err := toml.NewDecoder(bytes.NewReader(body)).Decode(&tree); err != nil {
-		return Node{}, Mistakes{syntaxMistake(file, err)}
+		return Node{}, ValidationErrors{newSyntaxError(file, err)}
 	}
-	finder := &finder{file: file, lines: keyLines(body)}
-	mistakes := decode(tree, &node, finder)
-	if len(mistakes) == 0 {
-		mistakes = check(&node, finder)
+	locator := &keyLocator{file: file, lines: keyLines(body)}
+	validationErrors := decode(tree, &node, locator)
+	if len(validationErrors) == 0 {
+		validationErrors = check(&node, locator)
 	}
-	if len(mistakes) == 0 {
+	if len(validationErrors) == 0 {
 		return node, nil
 	}
-	slices.SortStableFunc(mistakes, func(a, b Mistake) int { return a.Line - b.Line })
-	return Node{}, mistakes
+	slices.SortStableFunc(validationErrors, func(a, b ValidationError) int { return a.Line - b.Line })
+	return Node{}, validationErrors
 }
 
-func syntaxMistake(file string, err error) Mistake {
-	var syntax *toml.DecodeError
-	if !errors.As(err, &syntax) {
-		return Mistake{File: file, Key: "syntax", Accepted: err.Error()}
+func newSyntaxError(file string, err error) ValidationError {
+	var decodeError *toml.DecodeError
+	if !errors.As(err, &decodeError) {
+		return ValidationError{File: file, Key: "syntax", Reason: err.Error()}
 	}
-	line, _ := syntax.Position()
-	return Mistake{File: file, Line: line, Key: strings.Join(syntax.Key(), "."), Accepted: "not TOML: " + syntax.Error()}
+	line, _ := decodeError.Position()
+	return ValidationError{File: file, Line: line, Key: strings.Join(decodeError.Key(), "."), Reason: "invalid TOML: " + decodeError.Error()}
 }
 
-// decode fills the tree of settings and returns every key that does not fit.
-func decode(tree map[string]any, node *Node, finder *finder) Mistakes {
+// decode copies a decoded TOML tree into node. It returns an error for each key that is unknown or has the wrong type.
+func decode(tree map[string]any, node *Node, locator *keyLocator) ValidationErrors {
 	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
 		Result: node, MatchName: func(key, field string) bool { return key == field },
 	})
 	if err != nil {
-		return Mistakes{{File: finder.file, Accepted: err.Error()}}
+		return ValidationErrors{{File: locator.file, Reason: err.Error()}}
 	}
-	mistakes := Mistakes{}
-	for _, cause := range flatten(decoder.Decode(tree)) {
-		mistakes = append(mistakes, typeMistake(cause, finder))
+	validationErrors := ValidationErrors{}
+	for _, cause := range flattenErrors(decoder.Decode(tree)) {
+		validationErrors = append(validationErrors, newTypeError(cause, locator))
 	}
 	for _, key := range unknownKeys(tree, reflect.TypeFor[Node](), "") {
-		mistakes = append(mistakes, finder.mistake(key, "there is no such key; "+acceptedKeys(key)))
+		validationErrors = append(validationErrors, locator.errorAt(key, "unknown key; "+acceptedKeys(key)))
 	}
-	return mistakes
+	return validationErrors
 }
 
-func typeMistake(cause error, finder *finder) Mistake {
-	var wrong *mapstructure.DecodeError
-	if !errors.As(cause, &wrong) {
-		return Mistake{File: finder.file, Accepted: cause.Error()}
+func newTypeError(cause error, locator *keyLocator) ValidationError {
+	var decodeError *mapstructure.DecodeError
+	if !errors.As(cause, &decodeError) {
+		return ValidationError{File: locator.file, Reason: cause.Error()}
 	}
-	var unconvertible *mapstructure.UnconvertibleTypeError
-	if errors.As(cause, &unconvertible) {
-		return finder.mistake(wrong.Name(), fmt.Sprintf("must be of type %s, not %T", unconvertible.Expected.Type(), unconvertible.Value))
+	var typeError *mapstructure.UnconvertibleTypeError
+	if errors.As(cause, &typeError) {
+		return locator.errorAt(decodeError.Name(), fmt.Sprintf("must be of type %s, not %T", typeError.Expected.Type(), typeError.Value))
 	}
-	return finder.mistake(wrong.Name(), wrong.Unwrap().Error())
+	return locator.errorAt(decodeError.Name(), decodeError.Unwrap().Error())
 }
 
-// flatten returns the single errors of a tree of joined and wrapped ones.
-func flatten(err error) []error {
+// flattenErrors returns the individual errors in a tree of joined and wrapped errors.
+func flattenErrors(err error) []error {
 	if err == nil {
 		return nil
 	}
 	causes := []error{}
-	switch wrapper := any(err).(type) {
+	switch wrapping := any(err).(type) {
 	case *mapstructure.DecodeError:
 		return []error{err}
 	case interface{ Unwrap() []error }:
-		for _, cause := range wrapper.Unwrap() {
-			causes = append(causes, flatten(cause)...)
+		for _, cause := range wrapping.Unwrap() {
+			causes = append(causes, flattenErrors(cause)...)
 		}
 	case interface{ Unwrap() error }:
-		causes = flatten(wrapper.Unwrap())
+		causes = flattenErrors(wrapping.Unwrap())
 	}
 	if len(causes) == 0 {
 		return []error{err}
