--- a/internal/run/node/view.go
+++ b/internal/run/node/view.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// viewEvery is how often groups are judged anew even if no report came, so
-	// that a silent member stops its group on time.
-	viewEvery     = 250 * time.Millisecond
+	// viewInterval is the interval at which the groups are assembled again even if no report has arrived, so that a
+	// group with an unresponsive member stops serving in time.
+	viewInterval  = 250 * time.Millisecond
 	recordTimeout = 5 * time.Second
 )
 
-// startView keeps the groups and the router's table up to date.
+// startView starts the goroutine that updates the groups and the router's targets, after each change of the reports and
+// at least once per viewInterval.
 func (node *Node) startView() {
-	node.GoAs("view", func() {
-		ticker := time.NewTicker(viewEvery)
+	node.GoNamed("view", func() {
+		ticker := time.NewTicker(viewInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-node.Stopping:
 				return
 			case <-ticker.C:
-			case <-node.facts.Changed():
+			case <-node.serverStatuses.Changed():
 			}
 			node.updateView()
 		}
@@ -41,93 +42,94 @@
 func (node *Node) updateView() {
 	now := node.now()
 	node.members.Refresh()
-	snapshot := replica.Assemble(node.facts.Snapshot(), now)
+	snapshot := replica.Assemble(node.serverStatuses.Snapshot(), now)
 	node.groups.Store(snapshot)
 	node.tally.Add(snapshot, now)
 	for _, violation := range snapshot.Violations {
-		node.logger.Error("replica: a promise was broken.", "Violation", violation)
+		node.logger.Error("replica: an invariant was violated.", "Violation", violation)
 	}
-	node.router.Update(node.targets(snapshot, now), len(node.members.Live()))
+	node.router.Update(node.routeTargets(snapshot, now), len(node.members.Live()))
 }
 
-// targets lists the groups that may take new work: those of this data centre,
-// and those that other data centres say they have.
-func (node *Node) targets(snapshot *replica.Snapshot, now time.Duration) []route.Target {
+// routeTargets lists the groups that accept new work: those of this data centre, and those that nodes of other data
+// centres have reported.
+func (node *Node) routeTargets(snapshot *replica.Snapshot, now time.Duration) []route.Target {
 	targets := []route.Target{}
-	sent := node.exchange.sentByPeers(now)
-	for _, group := range snapshot.Open(node.draining(now)) {
+	groupLoads := node.exchanger.peerGroupLoads(now)
+	for _, group := range snapshot.Open(node.drainingGroups(now)) {
 		targets = append(targets, route.Target{
 			Number: group.Number, Model: group.Model, Leader: group.Leader, DataCentre: node.settings.DataCentre,
 			Running: group.Running, QueuedTokens: group.QueuedTokens, TokensPerSecond: group.TokensPerSecond,
 			PrefillPerSecond: group.PrefillPerSecond, Concurrency: group.Concurrency, ReadAt: group.ReadAt,
-			PeerTokens: sent[group.Number].tokens, PeerRunning: sent[group.Number].running,
+			PeerTokens: groupLoads[group.Number].tokens, PeerRunning: groupLoads[group.Number].running,
 		})
 	}
-	return append(targets, node.exchange.remoteTargets(now)...)
+	return append(targets, node.exchanger.remoteTargets(now)...)
 }
 
-// draining lists the groups that this node or a peer is about to retire.
-func (node *Node) draining(now time.Duration) []uint64 {
-	return append(node.former.Draining(), node.exchange.drainingAtPeers(now)...)
+// drainingGroups lists the groups that this node or a peer is about to retire.
+func (node *Node) drainingGroups(now time.Duration) []uint64 {
+	return append(node.groupController.Draining(), node.exchanger.peerDrainingGroups(now)...)
 }
 
-// models returns the models that classes in force ask for, with their worth.
-func (node *Node) models() []repair.Model {
+// requestedModels returns the models that the classes in force use, each with the price of downtime of its groups.
+func (node *Node) requestedModels() []repair.Model {
 	snapshot := node.classes.Snapshot()
-	worth := map[string]float64{}
+	prices := map[string]float64{}
 	for _, name := range snapshot.Names() {
 		target, _ := snapshot.Target(name)
-		worth[target.Model] += node.settings.Prices.GroupDowntime * (target.GuaranteedShare + baseWorth)
+		prices[target.Model] += node.settings.Prices.GroupDowntime * (target.GuaranteedShare + baseShare)
 	}
 	models := []repair.Model{}
 	for _, model := range node.settings.Models {
-		if worth[model.Name] > 0 {
+		if prices[model.Name] > 0 {
 			models = append(models, repair.Model{
-				Name: model.Name, Size: model.GroupSize, Worth: worth[model.Name], Wanted: model.GroupsWanted,
+				Name: model.Name, Size: model.GroupSize, Worth: prices[model.Name], Wanted: model.GroupsWanted,
 			})
 		}
 	}
 	return models
 }
 
-// baseWorth is what a class without a guaranteed share counts for.
-const baseWorth = 0.1
+// baseShare is added to the guaranteed share of each class, so that a class without a guaranteed share counts as well.
+const baseShare = 0.1
 
-// storeCrowded asks the weight store; without its word nothing is held back.
-func (node *Node) storeCrowded(ctx context.Context) bool {
-	status, err := node.weights.Status(ctx)
+// weightStoreBusy returns true if all load slots of the weight store are in use. If the store does not respond, it
+// returns false, so that no load is delayed.
+func (node *Node) weightStoreBusy(ctx context.Context) bool {
+	status, err := node.weightClient.Status(ctx)
 	return err == nil && status.Slots > 0 && status.Loading >= status.Slots
 }
 
-// mayForm keeps a node that is leaving from beginning new orders, and one that
-// has just started: until it has heard its peers every duty looks like its own,
-// and it would plan against the node whose duty the domain is.
-func (node *Node) mayForm(duty string) bool {
-	settledIn := node.now()-node.startedAt >= member.LiveFor
-	return settledIn && !node.stopping.Load() && node.members.Mine(duty)
+// mayPlan returns true if this node may plan for a domain. A node that is shutting down must not start new orders, and
+// neither must a node that has just started. Until it has heard from its peers, every duty seems to be assigned to it,
+// and its orders would conflict with those of the assigned node.
+func (node *Node) mayPlan(duty string) bool {
+	startupOver := node.now()-node.startedAt >= member.LiveFor
+	return startupOver && !node.stopping.Load() && node.members.Mine(duty)
 }
 
-// right tells whether this node may give orders in a domain. Engines that
-// check fencing numbers judge for themselves; for the others a lease on the
-// log is needed, asked again before each order.
-func (node *Node) right(ctx context.Context, domain string) (func() bool, error) {
-	if !node.unchecked(domain) {
+// acquireOrderRight acquires the right to send orders in a domain, and returns a function that checks the right again
+// before each order. Engines that check fencing numbers reject stale orders themselves. For other engines the node
+// needs a lease recorded in the log.
+func (node *Node) acquireOrderRight(ctx context.Context, domain string) (func() bool, error) {
+	if !node.ignoresFencing(domain) {
 		return func() bool { return true }, nil
 	}
-	if err := node.leaseHold.Acquire(ctx, domain); err != nil {
+	if err := node.leaseManager.Acquire(ctx, domain); err != nil {
 		return nil, err
 	}
-	return func() bool { return node.leaseHold.Holds(domain) }, nil
+	return func() bool { return node.leaseManager.Holds(domain) }, nil
 }
 
-func (node *Node) unchecked(domain string) bool {
+func (node *Node) ignoresFencing(domain string) bool {
 	return slices.Contains(node.settings.Engines.UncheckedDomains, domain) ||
 		slices.Contains(node.settings.Engines.UncheckedDomains, "*")
 }
 
-// recordGroup writes what was done to a group to the log, for explanation
-// only: nothing waits for it and nothing depends on it.
-func (node *Node) recordGroup(event replica.Event) {
+// recordGroupEvent appends an event of a group to the log. The record serves only to explain to operators what
+// happened: nothing waits for the append and nothing depends on it.
+func (node *Node) recordGroupEvent(event replica.Event) {
 	body, err := proto.Marshal(&record.GroupRecord{Kind: &record.GroupRecord_Event{Event: &record.GroupEvent{
 		Number: event.Number, FabricDomain: event.FabricDomain, Model: event.Model, Members: event.Members,
 		Event: event.Kind, Cause: event.Cause, Node: node.Incarnation, UnixMs: time.Now().UnixMilli(),
@@ -135,17 +137,17 @@
 	if err != nil {
 		return
 	}
-	node.logger.Info("replica: a group was "+lowerKind(event.Kind)+".", "Group", event.Number, "FabricDomain", event.FabricDomain, "Cause", event.Cause)
+	node.logger.Info("replica: a group was "+eventVerb(event.Kind)+".", "Group", event.Number, "FabricDomain", event.FabricDomain, "Cause", event.Cause)
 	node.Go(func() {
-		ctx, cancel := node.Context(recordTimeout)
+		ctx, cancel := node.ContextWithTimeout(recordTimeout)
 		defer cancel()
 		if _, err := node.streams[groupStream].Append(ctx, body); err != nil {
-			node.logger.Warn("replica: a group event was not recorded.", "Group", event.Number, "Error", err.Error())
+			node.logger.Warn("replica: failed to append a group event to the log.", "Group", event.Number, "Error", err.Error())
 		}
 	})
 }
 
-func lowerKind(kind string) string {
+func eventVerb(kind string) string {
 	if kind == "Formed" {
 		return "formed"
 	}
--- a/internal/run/node/wire.go
+++ b/internal/run/node/wire.go
@@ -12,7 +12,7 @@
 	return uint32(min(max(duration.Milliseconds(), 0), 1<<31))
 }
 
-func toWire(report engine.Report, age time.Duration) *exchange.Report {
+func toWireReport(report engine.Report, age time.Duration) *exchange.Report {
 	return &exchange.Report{
 		Instance: report.Instance, Address: report.Address, Incarnation: report.Incarnation, State: report.State,
 		Group: report.Group, Highest: report.Highest, Model: report.Model, Members: report.Members,
@@ -22,7 +22,7 @@
 	}
 }
 
-func fromWire(wire *exchange.Report) engine.Report {
+func fromWireReport(wire *exchange.Report) engine.Report {
 	return engine.Report{
 		Instance: wire.Instance, Address: wire.Address, Incarnation: wire.Incarnation, State: wire.State,
 		Group: wire.Group, Highest: wire.Highest, Model: wire.Model, Members: wire.Members,
@@ -31,19 +31,20 @@
 	}
 }
 
-// domainReport is what a peer needs to know of a reading, given what it holds.
-func domainReport(reading *fabric.Reading, held *exchange.DomainVersion, watcher uint64, now time.Duration) *exchange.DomainReport {
+// domainReport returns the part of a reading that a peer needs: only the ages of the reports if the peer already holds
+// this version, else the reports.
+func domainReport(reading *fabric.Reading, heldVersion *exchange.DomainVersion, watcher uint64, now time.Duration) *exchange.DomainReport {
 	report := &exchange.DomainReport{
 		FabricDomain: reading.FabricDomain, Watcher: watcher, Sequence: reading.Version, Missed: reading.Missed,
 	}
-	report.Same = held != nil && held.Watcher == watcher && held.Sequence == reading.Version
+	report.Same = heldVersion != nil && heldVersion.Watcher == watcher && heldVersion.Sequence == reading.Version
 	for index := range reading.Facts {
-		fact := &reading.Facts[index]
+		status := &reading.Facts[index]
 		if report.Same {
-			report.Ages = append(report.Ages, milliseconds(now-fact.At))
+			report.Ages = append(report.Ages, milliseconds(now-status.At))
 			continue
 		}
-		report.Reports = append(report.Reports, toWire(fact.Report, now-fact.At))
+		report.Reports = append(report.Reports, toWireReport(status.Report, now-status.At))
 	}
 	return report
 }
--- a/internal/run/trial/trial.go
+++ b/internal/run/trial/trial.go
@@ -147,7 +147,7 @@
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for index, tree := range world.Settings() {
 		tree.Stopping = settings.Stopping{DrainSeconds: 5}
-		options := []node.Option{node.Logger(quiet), node.Decide(rule.Policies())}
+		options := []node.Option{node.Logger(quiet), node.UsePolicies(rule.Policies())}
 		if index >= 2 {
 			options = append(options, node.Network(fleet.cuttable(world.Settings()), listen))
 		}
@@ -170,7 +170,7 @@
 // cuttable is a dialler of the second data centre. While it is cut off, only
 // its own servers and nodes can be connected to, and open connections to
 // others carry nothing.
-func (fleet *Fleet) cuttable(trees []settings.Node) metering.Dialer {
+func (fleet *Fleet) cuttable(trees []settings.Node) metering.DialFunc {
 	outside := map[string]bool{}
 	for _, tree := range trees[:2] {
 		outside[tree.Listen.Peer] = true
--- a/internal/state/booking/batch.go
+++ b/internal/state/booking/batch.go
@@ -35,7 +35,7 @@
 // and shared by everybody, so it keeps one append in the air, and waits longer
 // between appends each time the log refuses one.
 type Batcher struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	// write appends one batch, or gives it to the node that does.
 	write func(ctx context.Context, batch *record.BookingBatch) error
 
@@ -59,7 +59,7 @@
 
 // NewBatcher returns a batcher that writes through the function.
 func NewBatcher(write func(ctx context.Context, batch *record.BookingBatch) error) *Batcher {
-	return &Batcher{Part: lifecycle.New("booking"), write: write, interval: batchFirst, wake: make(chan struct{}, 1)}
+	return &Batcher{Component: lifecycle.New("booking"), write: write, interval: batchFirst, wake: make(chan struct{}, 1)}
 }
 
 // Start begins to write.
--- a/internal/state/booking/booking.go
+++ b/internal/state/booking/booking.go
@@ -106,7 +106,7 @@
 
 // Keeper runs calls that may not be repeated on one node.
 type Keeper struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	incarnation uint64
 	table       *Table
 	follower    Follower
@@ -149,7 +149,7 @@
 // New returns a Keeper for one incarnation of a node.
 func New(incarnation uint64, table *Table, follower Follower, batcher *Batcher, options ...Option) *Keeper {
 	keeper := &Keeper{
-		Part: lifecycle.New("booking"), incarnation: incarnation, table: table, follower: follower, batcher: batcher,
+		Component: lifecycle.New("booking"), incarnation: incarnation, table: table, follower: follower, batcher: batcher,
 		now: clock.Boot, running: map[string]*run{}, abandoned: map[claimRef]time.Duration{}, tickets: newTickets(),
 		askHolder: func(context.Context, uint64, string) (HolderReply, bool) { return HolderReply{}, false },
 	}
--- a/internal/state/stream/checkpoint.go
+++ b/internal/state/stream/checkpoint.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := follower.Context(checkpointBudget)
+	ctx, cancel := follower.ContextWithTimeout(checkpointBudget)
 	defer cancel()
 	if err := follower.appendParts(ctx, body); err != nil {
 		return err
--- a/internal/state/stream/stream.go
+++ b/internal/state/stream/stream.go
@@ -83,7 +83,7 @@
 
 // Follower folds one stream.
 type Follower struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	// Name is the stream's.
 	Name   string
 	fold   Fold
@@ -140,7 +140,7 @@
 // New returns a follower that has read nothing.
 func New(name string, fold Fold, options ...Option) *Follower {
 	follower := &Follower{
-		Part: lifecycle.New("stream"), Name: name, fold: fold, now: clock.Boot,
+		Component: lifecycle.New("stream"), Name: name, fold: fold, now: clock.Boot,
 		logger: slog.Default(), advanced: make(chan struct{}),
 	}
 	for _, option := range options {
@@ -186,7 +186,7 @@
 		wait = 0
 	}
 	follower.mu.Unlock()
-	ctx, cancel := follower.Context(wait + 5*time.Second)
+	ctx, cancel := follower.ContextWithTimeout(wait + 5*time.Second)
 	defer cancel()
 	page, err := follower.read(ctx, follower.Name, from, pageRecords, wait)
 	if err != nil {
