--- a/internal/run/node/exchange.go
+++ b/internal/run/node/exchange.go
@@ -34,8 +34,8 @@
 	maxPullsBehind = 2
 )
 
-// exchanger pulls state from the other nodes that this node does not have. The age of pulled state is counted from the
-// time before the request was sent, which is an upper bound of the real age.
+// exchanger pulls from the other nodes the state that this node lacks. The age of pulled state is counted from before
+// the request was sent, so state is never taken to be newer than it is.
 type exchanger struct {
 	*lifecycle.Component
 	node *Node
@@ -54,7 +54,7 @@
 	reports []engine.Report
 }
 
-// peerLoad is the load that a peer reported to have at each group, and the groups that the peer is about to retire.
+// peerLoad is the load that a peer itself has placed on each group, and the groups that the peer is about to retire.
 type peerLoad struct {
 	requestedAt time.Duration
 	groups      []*exchange.Sent
@@ -195,7 +195,7 @@
 
 func (exchanger *exchanger) storeRemoteGroupsLocked(peerNode member.Peer, sentAt time.Duration, groups []*exchange.GroupSummary) {
 	if peerNode.Region != exchanger.node.settings.Region {
-		// Drafts don't spill to other regions, which are too far away. Those are pulled from for configuration only.
+		// Other regions are too far away for spilling drafts. Nodes there are pulled for configuration only.
 		return
 	}
 	for _, group := range groups {
--- a/internal/run/node/input_test.go
+++ b/internal/run/node/input_test.go
@@ -102,8 +102,8 @@
 	})
 }
 
-// Each stream contains a record that cannot be decoded. Every node must skip and count the record, and apply the records
-// after it.
+// Each stream contains a record that cannot be decoded. Every node must skip and count the record, and apply the
+// records after it.
 func TestUndecodableRecordIsSkipped(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		for _, name := range []string{"Config", "Groups.lakes-a", "Bookings." + "great-lakes"} {
@@ -122,8 +122,8 @@
 	})
 }
 
-// A service refuses a call, executes it but loses the reply, or is slow. The outcome in the response must match what the
-// service did: a call that was executed must not be reported as NotRun, nor executed again.
+// A service refuses a call, executes it but loses the reply, or is slow. The outcome in the response must match what
+// the service did: a call that was executed must not be reported as NotRun, nor executed again.
 func TestServiceFaultsYieldAccurateOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		faults   service.Faults
--- a/internal/run/node/node_test.go
+++ b/internal/run/node/node_test.go
@@ -20,8 +20,8 @@
 // logOutage makes the log unavailable.
 var logOutage = platform.LogFaults{Dark: true}
 
-// smallShape is one data centre with two nodes and one fabric domain of eight engines. In the given number of domains, 0
-// or 1, the engines ignore fencing numbers.
+// smallShape is one data centre with two nodes and one fabric domain of eight engines. In the given number of
+// domains, 0 or 1, the engines ignore fencing numbers.
 func smallShape(unchecked int) demo.Shape {
 	return demo.Shape{
 		DataCentres: []string{"lakes-a"}, Nodes: 2, Domains: 1, Engines: 8, Unchecked: unchecked,
--- a/internal/run/node/repair_test.go
+++ b/internal/run/node/repair_test.go
@@ -72,8 +72,8 @@
 	})
 }
 
-// The log is unavailable and the node that formed the groups has crashed. If the engines check fencing numbers, the
-// other node must still repair the groups, because the engines reject stale orders without the log.
+// The log is unavailable for minutes and the node that formed the groups has crashed. If the engines check fencing
+// numbers, the other node must still repair the groups, because the engines reject stale orders without the log.
 func TestRepairContinuesInLogOutageWithFencing(t *testing.T) {
 	withFleet(t, spareShape(0), func(_ *testing.T, running *fleet.Fleet, _ *gomega.WithT) {
 		running.World.Log.SetFaults(platform.LogFaults{Dark: true})
@@ -85,8 +85,8 @@
 }
 
 // Engines that ignore fencing numbers are sent orders only by the holder of a lease in the log. While the log is
-// unavailable, no node can acquire the lease: existing groups keep serving, and a broken group is rebuilt only after the
-// log has recovered.
+// unavailable, no node can acquire the lease: existing groups keep serving, and a broken group is rebuilt only after
+// the log has recovered.
 func TestRepairWaitsForLogWithoutFencing(t *testing.T) {
 	withFleet(t, spareShape(1), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		running.World.Log.SetFaults(platform.LogFaults{Dark: true})
@@ -167,7 +167,8 @@
 }
 
 // All engines of a fabric domain fail and later restart, as after a power failure of a rack. The groups of the domain
-// must stop at once, those of the other domain must keep serving, and the groups must be formed again after the restart.
+// must stop at once, those of the other domain must keep serving, and the groups must be formed again after the
+// restart.
 func TestGroupsAreFormedAgainAfterDomainOutage(t *testing.T) {
 	shape := demo.Shape{
 		DataCentres: []string{"lakes-a"}, Nodes: 2, Domains: 2, Engines: 4,
@@ -253,9 +254,9 @@
 	})
 }
 
-// A node is paused until its lease has expired and then sends an order that it had prepared, to an engine that ignores
-// fencing numbers. This cannot be prevented. It may cost the downtime of one group, but no group may serve with a member
-// that has left it, and no engine may be in two groups.
+// A node is paused until its lease has expired and then sends an order that it had prepared, to an engine that
+// ignores fencing numbers. This cannot be prevented. It may cost the downtime of one group, but no group may serve
+// with a member that has left it, and no engine may be in two groups.
 func TestStaleOrderStopsOnlyOneGroupWithoutFencing(t *testing.T) {
 	withFleet(t, spareShape(1), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		member, number := lastMemberOfServingGroup(running, 0)
@@ -303,8 +304,8 @@
 	})
 }
 
-// A node that has just started has not heard from any peer, so every domain seems to be assigned to it. It must not send
-// orders that conflict with those of the assigned node, which is forming a group at that moment.
+// A node that has just started has not heard from any peer, so every domain seems to be assigned to it. It must not
+// send orders that conflict with those of the assigned node, which is forming a group at that moment.
 func TestNewlyStartedNodeSendsNoOrders(t *testing.T) {
 	withFleet(t, spareShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		member, _ := lastMemberOfServingGroup(running, 0)
--- a/internal/run/node/state_bench_test.go
+++ b/internal/run/node/state_bench_test.go
@@ -21,8 +21,8 @@
 
 const stateBenchPort = 27_000
 
-// startNodes starts nodes of one data centre over loopback and waits until they are ready. With viaPeer, all nodes but the
-// first have no access to the log.
+// startNodes starts nodes of one data centre over loopback and waits until they are ready. With viaPeer, all nodes
+// but the first have no access to the log.
 func startNodes(b *testing.B, count int, viaPeer bool) ([]*node.Node, *demo.World) {
 	b.Helper()
 	world, err := demo.NewWorld(demo.BasePort(stateBenchPort), demo.Size(demo.Shape{
@@ -70,8 +70,8 @@
 	return nodes, world
 }
 
-// BenchmarkInForce measures the time from the append of a configuration change until it is in force at each node. In one
-// variant all nodes read the log; in the other, all nodes but one receive the change from peers only.
+// BenchmarkInForce measures the time from the append of a configuration change until it is in force at each node. In
+// one variant all nodes read the log; in the other, all nodes but one receive the change from peers only.
 func BenchmarkInForce(b *testing.B) {
 	for _, count := range []int{8, 60} {
 		for _, viaPeer := range []bool{false, true} {
--- a/internal/run/node/view.go
+++ b/internal/run/node/view.go
@@ -101,9 +101,9 @@
 	return err == nil && status.Slots > 0 && status.Loading >= status.Slots
 }
 
-// mayPlan returns true if this node may plan for a domain. A node that is shutting down must not start new orders, and
-// neither must a node that has just started. Until it has heard from its peers, every duty seems to be assigned to it,
-// and its orders would conflict with those of the assigned node.
+// mayPlan returns true if this node may plan for the domain of a duty. A node that is shutting down must not start new
+// orders, and neither must a node that has just started. Until a new node has heard from its peers, every duty seems to
+// be assigned to it, and its orders would conflict with those of the assigned node.
 func (node *Node) mayPlan(duty string) bool {
 	startupOver := node.now()-node.startedAt >= member.LiveFor
 	return startupOver && !node.stopping.Load() && node.members.Mine(duty)
--- a/internal/run/node/wire.go
+++ b/internal/run/node/wire.go
@@ -32,7 +32,7 @@
 }
 
 // domainReport returns the part of a reading that a peer needs: only the ages of the reports if the peer already holds
-// this version, else the reports.
+// this version, otherwise the reports.
 func domainReport(reading *fabric.Reading, heldVersion *exchange.DomainVersion, watcher uint64, now time.Duration) *exchange.DomainReport {
 	report := &exchange.DomainReport{
 		FabricDomain: reading.FabricDomain, Watcher: watcher, Sequence: reading.Version, Missed: reading.Missed,
