--- a/internal/fleet/fabric/watcher.go
+++ b/internal/fleet/fabric/watcher.go
@@ -48,7 +48,7 @@
 
 // Watcher reads the servers of the domains that this node owns.
 type Watcher struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	table *StatusTable
 	now   clock.Now
 	owns  func(key string) bool
@@ -73,7 +73,7 @@
 	probe func(ctx context.Context, address string) (engine.Report, time.Duration, bool),
 ) *Watcher {
 	return &Watcher{
-		Part: lifecycle.New("watcher"), table: table, now: table.now, owns: owns, read: read, probe: probe,
+		Component: lifecycle.New("watcher"), table: table, now: table.now, owns: owns, read: read, probe: probe,
 		readings: map[string]*Reading{}, probing: map[string]bool{},
 	}
 }
@@ -127,7 +127,7 @@
 }
 
 func (watcher *Watcher) readReport(server *ServerStatus) {
-	ctx, cancel := watcher.Context(readTimeout)
+	ctx, cancel := watcher.ContextWithTimeout(readTimeout)
 	defer cancel()
 	requestedAt := watcher.now()
 	watcher.reads.Add(1)
@@ -149,7 +149,7 @@
 	}
 	watcher.Go(func() {
 		defer watcher.endProbe(address)
-		ctx, cancel := watcher.Context(2 * readTimeout)
+		ctx, cancel := watcher.ContextWithTimeout(2 * readTimeout)
 		defer cancel()
 		report, age, ok := watcher.probe(ctx, address)
 		if !ok {
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -66,7 +66,7 @@
 
 // Follower keeps a node's copy of the store's data up to date.
 type Follower struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	Dependencies
 
 	startedAt time.Duration
@@ -105,7 +105,7 @@
 
 // New returns a follower that has not been started.
 func New(dependencies Dependencies) *Follower {
-	follower := &Follower{Part: lifecycle.New("follower"), Dependencies: dependencies, recheck: make(chan struct{}, 1), askLoggedAt: map[string]time.Duration{}}
+	follower := &Follower{Component: lifecycle.New("follower"), Dependencies: dependencies, recheck: make(chan struct{}, 1), askLoggedAt: map[string]time.Duration{}}
 	follower.confirmedAt.Store(-infiniteAge)
 	follower.listReadAt.Store(-infiniteAge)
 	follower.era.Store(unknownEra)
@@ -115,8 +115,8 @@
 // Start starts to follow the store.
 func (follower *Follower) Start() {
 	follower.startedAt = follower.Now()
-	follower.GoAs("configuration", follower.followConfiguration)
-	follower.PacedAs("list", follower.TickInterval(ListCheckInterval), follower.refreshList)
+	follower.GoNamed("configuration", follower.followConfiguration)
+	follower.RepeatNamed("list", follower.TickInterval(ListCheckInterval), follower.refreshList)
 }
 
 // Recheck makes the follower check immediately whether it should ask the store.
@@ -192,7 +192,7 @@
 		case errors.Is(err, store.ErrExpired) && position.Known():
 			next = storelog.Unknown
 		case err != nil:
-			if !rest.Wait(follower.Part) {
+			if !rest.Wait(follower.Component) {
 				return
 			}
 			continue
@@ -274,7 +274,7 @@
 	if !position.Known() || follower.Calls.Away() {
 		wait = 0
 	}
-	version, err := store.Ask(follower.Calls, follower.Part, store.Question[store.Version]{
+	version, err := store.Ask(follower.Calls, follower.Component, store.Question[store.Version]{
 		Name: "configuration", Wait: wait, Limits: follower.storeLimits(), Wanted: func() bool { return follower.shouldAsk(0) },
 		Call: func(ctx context.Context, wait time.Duration) (store.Version, error) {
 			began := follower.Now()
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -27,13 +27,13 @@
 		return
 	}
 	follower.logNonReaderAsk("servers", follower.ListAge())
-	follower.GoAs("list", func() {
+	follower.GoNamed("list", func() {
 		defer follower.readingList.Store(false)
 		limits := follower.storeLimits()
 		limits.OutageInterval = unavailableListInterval
 		rest := follower.Calls.Rest(limits)
 		if err := follower.readList(limits); err != nil && !errors.Is(err, store.ErrExpired) {
-			rest.Wait(follower.Part)
+			rest.Wait(follower.Component)
 		}
 	})
 }
@@ -67,7 +67,7 @@
 func (follower *Follower) readList(limits patience.Timing) error {
 	readAll := follower.shouldReadAllAgain(follower.Now())
 	from := follower.listPosition(readAll)
-	listing, err := store.Ask(follower.Calls, follower.Part, store.Question[store.Listing]{
+	listing, err := store.Ask(follower.Calls, follower.Component, store.Question[store.Listing]{
 		Name: "servers", Limits: limits, Wanted: follower.listDue,
 		Call: func(ctx context.Context, _ time.Duration) (store.Listing, error) {
 			began := follower.Now()
--- a/internal/fleet/formation/controller.go
+++ b/internal/fleet/formation/controller.go
@@ -72,7 +72,7 @@
 
 // Controller sends the orders that form and repair groups.
 type Controller struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	Dependencies
 	loadLimiter loadLimiter
 
@@ -136,7 +136,7 @@
 // New returns a Controller that has not been started.
 func New(dependencies Dependencies) *Controller {
 	controller := &Controller{
-		Part: lifecycle.New("former"), Dependencies: dependencies,
+		Component: lifecycle.New("former"), Dependencies: dependencies,
 		joining: map[string]string{}, staging: map[string]string{}, lost: map[string]exclusion{}, settling: map[string]exclusion{}, forming: map[string]Group{},
 		groupsInWork: map[string]bool{}, planLoggedAt: map[string]time.Duration{}, foundCompleteAt: map[string]time.Duration{}, transientSince: map[string]time.Duration{},
 		lastComplete: map[string]Group{}, usageAverages: map[string]usageAverage{}, lastModels: map[string]string{}, headLeft: map[string]bool{}, plannedLayouts: map[string]map[string]int{},
@@ -147,7 +147,7 @@
 
 // Start begins the reconciliation rounds. A round sends orders only while this node is the leader.
 func (controller *Controller) Start() {
-	controller.PacedAs("former", controller.roundInterval, controller.reconcile)
+	controller.RepeatNamed("former", controller.roundInterval, controller.reconcile)
 }
 
 func (controller *Controller) roundInterval() time.Duration {
--- a/internal/fleet/formation/repair.go
+++ b/internal/fleet/formation/repair.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		waiters.Go(func() {
-			ctx, cancel := controller.Context(callTimeout)
+			ctx, cancel := controller.ContextWithTimeout(callTimeout)
 			defer cancel()
 			controller.Counts.Reports.Add(1)
 			report, err := controller.Report(ctx, server)
@@ -67,7 +67,7 @@
 		if controller.Term() != order.Term {
 			return Outdated, nil
 		}
-		ctx, cancel := controller.Context(2 * callTimeout)
+		ctx, cancel := controller.ContextWithTimeout(2 * callTimeout)
 		controller.Counts.Orders.Add(1)
 		result, err := controller.Order(ctx, server, order)
 		cancel()
--- a/internal/fleet/overlay/directory.go
+++ b/internal/fleet/overlay/directory.go
@@ -363,7 +363,7 @@
 
 // readDirectory adds the nodes of the store's directory, and reports whether the read succeeded.
 func (overlay *Overlay) readDirectory() bool {
-	ctx, cancel := overlay.Context(storeTimeout)
+	ctx, cancel := overlay.ContextWithTimeout(storeTimeout)
 	defer cancel()
 	members, err := overlay.ListNodes(ctx)
 	if err != nil {
@@ -395,7 +395,7 @@
 	if registered {
 		return
 	}
-	ctx, cancel := overlay.Context(storeTimeout)
+	ctx, cancel := overlay.ContextWithTimeout(storeTimeout)
 	defer cancel()
 	if err := overlay.Register(ctx); err != nil {
 		overlay.Logger.Warn("overlay: cannot register the node in the store's directory.", "Error", err.Error())
--- a/internal/fleet/overlay/overlay.go
+++ b/internal/fleet/overlay/overlay.go
@@ -123,7 +123,7 @@
 
 // Overlay manages a node's links to other nodes.
 type Overlay struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	Dependencies
 	Counters Counters
 
@@ -155,7 +155,7 @@
 // New returns an overlay that has not been started.
 func New(listener net.Listener, dependencies Dependencies) *Overlay {
 	overlay := &Overlay{
-		Part: lifecycle.New("overlay"), Dependencies: dependencies, reselect: make(chan struct{}, 1),
+		Component: lifecycle.New("overlay"), Dependencies: dependencies, reselect: make(chan struct{}, 1),
 		directory: map[string]*directoryEntry{}, links: map[*Link]struct{}{}, roots: map[string]string{},
 		unlinkedSince: map[string]time.Duration{}, connecting: map[string]bool{},
 	}
@@ -168,7 +168,7 @@
 	overlay.startedAt = overlay.Now()
 	overlay.server.Start()
 	overlay.Go(overlay.maintainUpstream)
-	overlay.PacedAs("meet", overlay.rootConnectPause, overlay.connectRoots)
+	overlay.RepeatNamed("meet", overlay.rootConnectPause, overlay.connectRoots)
 	overlay.Every(directoryInterval, overlay.refreshDirectory)
 }
 
@@ -180,14 +180,14 @@
 
 // Stop closes all connections and waits for the overlay's goroutines.
 func (overlay *Overlay) Stop() {
-	overlay.Ask()
+	overlay.RequestStop()
 	overlay.mu.Lock()
 	for link := range overlay.links {
 		link.close()
 	}
 	overlay.mu.Unlock()
 	overlay.server.Stop()
-	overlay.Part.Stop()
+	overlay.Component.Stop()
 }
 
 // Role returns the node's current role.
--- a/internal/fleet/replica/controller.go
+++ b/internal/fleet/replica/controller.go
@@ -55,7 +55,7 @@
 
 // Controller plans the fabric domains that this node owns, and orders their servers to join and leave groups.
 type Controller struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	// Incarnation identifies this run of the node.
 	Incarnation uint64
 	// Snapshot returns the groups as this node sees them.
@@ -102,7 +102,7 @@
 
 // Start starts planning at PlanInterval.
 func (controller *Controller) Start() {
-	controller.Part = lifecycle.New("former")
+	controller.Component = lifecycle.New("former")
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
 	controller.observed = newObservations(controller.Now)
@@ -153,7 +153,7 @@
 	if len(actions) == 0 || !controller.reportsCaughtUp(domain, servers) {
 		return
 	}
-	ctx, cancel := controller.Context(orderTimeout * time.Duration(2+len(actions)))
+	ctx, cancel := controller.ContextWithTimeout(orderTimeout * time.Duration(2+len(actions)))
 	defer cancel()
 	authorized, err := controller.AuthorizeOrders(ctx, domain)
 	if err != nil {
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -340,7 +340,7 @@
 	}
 	return &localState{
 		now: board.now, record: board.serverRecord(spec.serverRun()), calls: map[*Call]struct{}{},
-		warmupDraw: rendezvous.Draw(targetKey(spec), board.incarnation),
+		warmupDraw: rendezvous.UnitHash(targetKey(spec), board.incarnation),
 	}
 }
 
--- a/internal/policy/warmup/warmup_test.go
+++ b/internal/policy/warmup/warmup_test.go
@@ -24,7 +24,7 @@
 	const length = 4 * time.Second
 	arrivals := make([]int, int(length/time.Millisecond)+400)
 	for range nodes {
-		limit := bound.NodeLimit(nodes, rendezvous.Draw(server, draw.Uint64()))
+		limit := bound.NodeLimit(nodes, rendezvous.UnitHash(server, draw.Uint64()))
 		if limit == 0 {
 			continue
 		}
--- a/internal/run/gateway/background.go
+++ b/internal/run/gateway/background.go
@@ -241,7 +241,7 @@
 	node.updatePaces()
 	node.detours.check()
 	for _, probe := range node.board.DueDataCentreProbes() {
-		node.GoAs("probe", func() { node.probeDataCentre(&probe) })
+		node.GoNamed("probe", func() { node.probeDataCentre(&probe) })
 	}
 	for _, stalled := range node.board.WatchGroups() {
 		if stalled.PathUnhealthy || !node.peers.stallReportDue(stalled.Group) {
@@ -262,7 +262,7 @@
 func (node *Node) probeAll(names []string, try func(name string) bool, enough func(reached int) bool) []string {
 	answers := make(chan string, len(names))
 	for _, name := range names {
-		node.GoAs("probe", func() {
+		node.GoNamed("probe", func() {
 			if !try(name) {
 				name = ""
 			}
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -137,7 +137,7 @@
 	targets := detours.queryTargets()
 	answers := make(chan bool, len(targets))
 	for _, address := range targets {
-		detours.node.GoAs("detours", func() {
+		detours.node.GoNamed("detours", func() {
 			found := detours.node.peers.overlay.QueryDetours(address)
 			for _, answered := range found {
 				detours.record(answered)
@@ -221,6 +221,6 @@
 		if probe.Path.Status() == reach.Suspected {
 			detours.requestQuery()
 		}
-		detours.node.GoAs("probe", func() { detours.probe(probe) })
+		detours.node.GoNamed("probe", func() { detours.probe(probe) })
 	}
 }
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -80,7 +80,7 @@
 
 // Node is an entry node of the fleet.
 type Node struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	Incarnation uint64
 
 	settings   Settings
@@ -179,7 +179,7 @@
 // New returns a node whose listeners are open. Start runs it.
 func New(settings Settings, platform Platform, options ...Option) (*Node, error) {
 	node := &Node{
-		Part: lifecycle.New("gateway"), Incarnation: rand.Uint64() | 1, settings: settings, platform: platform,
+		Component: lifecycle.New("gateway"), Incarnation: rand.Uint64() | 1, settings: settings, platform: platform,
 		logger: slog.New(slog.DiscardHandler), now: clock.Boot, listen: listenTCP,
 		configuration: configuration.NewTable(), retryBudgets: map[string]*retry.WindowBudget{},
 		targetsDirty: make(chan struct{}, 1), stateKnown: make(chan struct{}), suspectsDirty: make(chan struct{}, 1), requestMetrics: newRequestMetrics(), relayCount: tree.Relays,
@@ -312,20 +312,20 @@
 	node.startedAt = node.now()
 	node.peers.start()
 	node.follower.Start()
-	node.GoAs("targets", node.runTargetUpdates)
-	node.PacedAs("watch", node.nextWatchInterval, node.watch)
-	node.PacedAs("tenure", node.leafAwareInterval(leadershipInterval), node.updateLeadership)
-	node.EveryAs("sweep", time.Second, node.sweep)
-	node.GoAs("suspects", node.runSuspectSync)
+	node.GoNamed("targets", node.runTargetUpdates)
+	node.RepeatNamed("watch", node.nextWatchInterval, node.watch)
+	node.RepeatNamed("tenure", node.leafAwareInterval(leadershipInterval), node.updateLeadership)
+	node.EveryNamed("sweep", time.Second, node.sweep)
+	node.GoNamed("suspects", node.runSuspectSync)
 	node.groupController.Start()
-	node.GoAs("detours", node.detours.runQueries)
+	node.GoNamed("detours", node.detours.runQueries)
 	if detourServer := node.detours.server; detourServer != nil {
-		node.GoAs("http", func() { node.serve(detourServer, node.detours.listener) })
+		node.GoNamed("http", func() { node.serve(detourServer, node.detours.listener) })
 	}
 	servers := []*http.Server{node.callerServer, node.readinessServer, nil, node.operatorServer}
 	for number, listener := range node.listeners {
 		if server := servers[number]; server != nil {
-			node.GoAs("http", func() { node.serve(server, listener) })
+			node.GoNamed("http", func() { node.serve(server, listener) })
 		}
 	}
 	node.logger.Info("gateway: the node started.", "Name", node.settings.Name, "DataCentre", node.settings.DataCentre, "Incarnation", node.Incarnation)
@@ -370,7 +370,7 @@
 	if !ok {
 		bounds := node.settings.Bounds
 		window = retry.NewWindowBudget(retry.Allowance{Ratio: bounds.RetryRatio, Base: bounds.RetryBase, Window: bounds.RetryWindow}, node.peers.budgetNodes, node.now,
-			retry.RoundingOffset(rendezvous.Draw(service, node.Incarnation)))
+			retry.RoundingOffset(rendezvous.UnitHash(service, node.Incarnation)))
 		node.retryBudgets[service] = window
 	}
 	return window
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -194,7 +194,7 @@
 
 func (peers *peers) start() {
 	peers.overlay.Start()
-	peers.overlay.PacedAs("spread", peers.node.leafAwareInterval(peerLoadInterval), peers.applyPeerLoads)
+	peers.overlay.RepeatNamed("spread", peers.node.leafAwareInterval(peerLoadInterval), peers.applyPeerLoads)
 }
 
 // register adds this node to the store's directory.
--- a/internal/run/gateway/stop.go
+++ b/internal/run/gateway/stop.go
@@ -63,13 +63,13 @@
 func (node *Node) stopParts() {
 	node.readinessServer.Close()
 	node.operatorServer.Close()
-	node.groupController.Ask()
-	node.follower.Ask()
-	node.Ask()
+	node.groupController.RequestStop()
+	node.follower.RequestStop()
+	node.RequestStop()
 	node.peers.overlay.Stop()
 	node.groupController.Stop()
 	node.follower.Stop()
-	node.Part.Stop()
+	node.Component.Stop()
 	node.pool.Sweep(func(string) bool { return false })
 	node.detours.pool.Sweep(func(string) bool { return false })
 	if node.platform.Close != nil {
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -51,7 +51,7 @@
 
 // callStore makes a single call to the store with a timeout, and records its result.
 func (node *Node) callStore(call *store.Call, timeout time.Duration, request func(ctx context.Context) error) error {
-	ctx, cancel := node.Context(timeout)
+	ctx, cancel := node.ContextWithTimeout(timeout)
 	defer cancel()
 	err := request(ctx)
 	call.End(err)
--- a/internal/run/trial/trial.go
+++ b/internal/run/trial/trial.go
@@ -148,7 +148,7 @@
 	discardLogger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for index, nodeSettings := range environment.Settings() {
 		nodeSettings.Stopping = settings.Stopping{DrainSeconds: 5}
-		options := []node.Option{node.Logger(discardLogger), node.Decide(rule.Policies())}
+		options := []node.Option{node.Logger(discardLogger), node.UsePolicies(rule.Policies())}
 		if index >= 2 {
 			options = append(options, node.Network(fleet.partitionDialer(environment.Settings()), listen))
 		}
@@ -171,7 +171,7 @@
 // partitionDialer returns the dialer for nodes of the second data centre. During a
 // partition, it connects only to servers and nodes of that data centre, and open
 // connections to others fail on use.
-func (fleet *Fleet) partitionDialer(allSettings []settings.Node) metering.Dialer {
+func (fleet *Fleet) partitionDialer(allSettings []settings.Node) metering.DialFunc {
 	external := map[string]bool{}
 	for _, nodeSettings := range allSettings[:2] {
 		external[nodeSettings.Listen.Peer] = true
--- a/internal/state/booking/batch.go
+++ b/internal/state/booking/batch.go
@@ -35,7 +35,7 @@
 // Batcher merges queued intents and outcomes into few appends. The log takes few appends a second, and all nodes share
 // them. The Batcher therefore runs one append at a time and doubles the interval between appends whenever one fails.
 type Batcher struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	// write appends one batch, or forwards it to the node that appends for the data centre.
 	write func(ctx context.Context, batch *record.BookingBatch) error
 
@@ -59,7 +59,7 @@
 
 // NewBatcher returns a Batcher that appends merged batches by calling write.
 func NewBatcher(write func(ctx context.Context, batch *record.BookingBatch) error) *Batcher {
-	return &Batcher{Part: lifecycle.New("booking"), write: write, interval: minAppendInterval, wake: make(chan struct{}, 1)}
+	return &Batcher{Component: lifecycle.New("booking"), write: write, interval: minAppendInterval, wake: make(chan struct{}, 1)}
 }
 
 // Start starts the goroutine that appends queued batches.
--- a/internal/state/booking/booking.go
+++ b/internal/state/booking/booking.go
@@ -112,7 +112,7 @@
 
 // Executor runs the non-idempotent calls of one node.
 type Executor struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	incarnation uint64
 	table       *Table
 	stream      StreamStatus
@@ -155,7 +155,7 @@
 // New returns an Executor for one incarnation of a node.
 func New(incarnation uint64, table *Table, status StreamStatus, batcher *Batcher, options ...Option) *Executor {
 	executor := &Executor{
-		Part: lifecycle.New("booking"), incarnation: incarnation, table: table, stream: status, batcher: batcher,
+		Component: lifecycle.New("booking"), incarnation: incarnation, table: table, stream: status, batcher: batcher,
 		now: clock.Boot, running: map[string]*execution{}, abandoned: map[claimID]time.Duration{}, tickets: newTickets(),
 		askHolder: func(context.Context, uint64, string) (HolderReply, bool) { return HolderReply{}, false },
 	}
--- a/internal/state/stream/checkpoint.go
+++ b/internal/state/stream/checkpoint.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := follower.Context(checkpointTimeout)
+	ctx, cancel := follower.ContextWithTimeout(checkpointTimeout)
 	defer cancel()
 	if err := follower.appendParts(ctx, body); err != nil {
 		return err
--- a/internal/state/stream/stream.go
+++ b/internal/state/stream/stream.go
@@ -85,7 +85,7 @@
 
 // Follower applies one stream to a state machine.
 type Follower struct {
-	*lifecycle.Part
+	*lifecycle.Component
 	// Name is the name of the stream.
 	Name         string
 	stateMachine StateMachine
@@ -146,7 +146,7 @@
 // New returns a follower that has read no record.
 func New(name string, stateMachine StateMachine, options ...Option) *Follower {
 	follower := &Follower{
-		Part: lifecycle.New("stream"), Name: name, stateMachine: stateMachine, now: clock.Boot,
+		Component: lifecycle.New("stream"), Name: name, stateMachine: stateMachine, now: clock.Boot,
 		logger: slog.Default(), advanced: make(chan struct{}),
 	}
 	for _, option := range options {
@@ -195,7 +195,7 @@
 		wait = 0
 	}
 	follower.mu.Unlock()
-	ctx, cancel := follower.Context(wait + 5*time.Second)
+	ctx, cancel := follower.ContextWithTimeout(wait + 5*time.Second)
 	defer cancel()
 	page, err := follower.read(ctx, follower.Name, from, maxPageRecords, wait)
 	if err != nil {
