--- a/internal/run/soak/callers.go
+++ b/internal/run/soak/callers.go
@@ -31,7 +31,7 @@
 	nodes   int
 
 	mu       sync.Mutex
-	answers  []standin.Answered
+	answers  []standin.Result
 	waiting  conc.WaitGroup
 	stopping chan struct{}
 }
@@ -59,13 +59,13 @@
 			node = draw.IntN(callers.nodes)
 		}
 		kind := []standin.Kind{standin.Draft, standin.Draft, standin.Book, standin.Ping}[draw.IntN(4)]
-		asked := standin.Asked{ID: fmt.Sprintf("%s-%d-%d", kind, number, turn), Kind: kind, Body: strings.Repeat("x", 1+draw.IntN(bodyMost)), Events: draftEvents}
+		asked := standin.Request{ID: fmt.Sprintf("%s-%d-%d", kind, number, turn), Kind: kind, Body: strings.Repeat("x", 1+draw.IntN(bodyMost)), Events: draftEvents}
 		callers.ask(client, node, asked)
 	}
 }
 
-func (callers *callers) ask(client *http.Client, node int, asked standin.Asked) standin.Answered {
-	answered := standin.Ask(context.Background(), client, callers.address(node), asked)
+func (callers *callers) ask(client *http.Client, node int, asked standin.Request) standin.Result {
+	answered := standin.Send(context.Background(), client, callers.address(node), asked)
 	answered.Node = node
 	callers.mu.Lock()
 	defer callers.mu.Unlock()
@@ -78,13 +78,13 @@
 	client := standin.NewCaller()
 	defer client.CloseIdleConnections()
 	for turn, began := 0, time.Now(); time.Since(began) < span && ctx.Err() == nil; turn++ {
-		callers.ask(client, turn%callers.nodes, standin.Asked{ID: fmt.Sprintf("harm-%d", turn), Kind: standin.Draft, Body: standin.EndsServer, Events: draftEvents})
+		callers.ask(client, turn%callers.nodes, standin.Request{ID: fmt.Sprintf("harm-%d", turn), Kind: standin.Draft, Body: standin.CrashServerBody, Events: draftEvents})
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
 // stop ends the load and returns what was answered.
-func (callers *callers) stop() []standin.Answered {
+func (callers *callers) stop() []standin.Result {
 	close(callers.stopping)
 	callers.waiting.Wait()
 	return callers.answers
@@ -98,8 +98,8 @@
 	left := map[standin.Kind]bool{standin.Draft: true, standin.Book: true, standin.Ping: true}
 	for turn, began := 0, time.Now(); len(left) > 0 && time.Since(began) < within; turn++ {
 		for kind := range left {
-			asked := standin.Asked{ID: fmt.Sprintf("%s-%s-%d-%d", moment, kind, node, turn), Kind: kind, Body: moment, Events: draftEvents}
-			if callers.ask(client, node, asked).Whole {
+			asked := standin.Request{ID: fmt.Sprintf("%s-%s-%d-%d", moment, kind, node, turn), Kind: kind, Body: moment, Events: draftEvents}
+			if callers.ask(client, node, asked).Complete {
 				delete(left, kind)
 			}
 		}
--- a/internal/run/soak/check.go
+++ b/internal/run/soak/check.go
@@ -20,7 +20,7 @@
 )
 
 // checkAnswers finds what callers got that they never may, beside what servers ran.
-func checkAnswers(answers []standin.Answered, seen standin.Observed) []string {
+func checkAnswers(answers []standin.Result, seen standin.Observed) []string {
 	wrong := []string{}
 	runs := map[string]int{}
 	for _, run := range seen.Runs {
@@ -28,10 +28,10 @@
 	}
 	for number := range answers {
 		answered := &answers[number]
-		if answered.Wrong != "" {
-			wrong = append(wrong, fmt.Sprintf("%s at node %d: %s", answered.ID, answered.Node+1, answered.Wrong))
+		if answered.Violation != "" {
+			wrong = append(wrong, fmt.Sprintf("%s at node %d: %s", answered.ID, answered.Node+1, answered.Violation))
 		}
-		if standin.NotRun(answered.Status) && runs[answered.ID] > 0 {
+		if standin.GuaranteesNotRun(answered.Status) && runs[answered.ID] > 0 {
 			wrong = append(wrong, fmt.Sprintf("%s at node %d was said not to have run, and ran %d times", answered.ID, answered.Node+1, runs[answered.ID]))
 		}
 		if answered.Kind == standin.Book && runs[answered.ID] > 1 {
@@ -84,7 +84,7 @@
 
 // checkHarmful finds a request that went on to servers after it had ended three.
 func checkHarmful(seen standin.Observed) []string {
-	late := standin.LateSends(seen.Harmful, toldWithin)
+	late := standin.LateCalls(seen.Harmful, toldWithin)
 	if late <= lateMost {
 		return nil
 	}
--- a/internal/run/soak/fleet.go
+++ b/internal/run/soak/fleet.go
@@ -70,7 +70,7 @@
 const serversHost = "127.0.2.1"
 
 func (fleet *fleet) start() error {
-	fleet.engines, fleet.plain = standin.ServersOf(fleet.shape)
+	fleet.engines, fleet.plain = standin.ServerIDs(fleet.shape)
 	if err := fleet.startStandin(); err != nil {
 		return err
 	}
--- a/internal/run/soak/notices.go
+++ b/internal/run/soak/notices.go
@@ -68,7 +68,7 @@
 // it is draining: each node may have had to be told by a call of its own.
 func checkDrainTold(server string, nodes int, seen standin.Observed) []string {
 	if late := seen.ToldDrain[server]; late > nodes {
-		return []string{fmt.Sprintf("server %s said that it was draining, and got %d calls later than %v after that from %d nodes", server, late, standin.Bound.Drain, nodes)}
+		return []string{fmt.Sprintf("server %s said that it was draining, and got %d calls later than %v after that from %d nodes", server, late, standin.WorstCaseTolerance.DrainGrace, nodes)}
 	}
 	return nil
 }
--- a/internal/run/soak/places.go
+++ b/internal/run/soak/places.go
@@ -22,7 +22,7 @@
 	for _, step := range []struct {
 		change string
 		lasts  time.Duration
-	}{{"drain", standin.DrainKnown + drainedFor}, {"undrain", warmedFor}} {
+	}{{"drain", standin.DrainDeadline + drainedFor}, {"undrain", warmedFor}} {
 		soak.fleet.tell("/data-centres/" + drainedCentre + "/" + step.change)
 		select {
 		case <-ctx.Done():
--- a/internal/run/soak/soak.go
+++ b/internal/run/soak/soak.go
@@ -116,7 +116,7 @@
 		return Report{}, err
 	}
 	shape := standin.Shape{Domains: 3, Servers: 8, Ledgers: 4, Seed: options.Seed}
-	engines, plain := standin.ServersOf(shape)
+	engines, plain := standin.ServerIDs(shape)
 	plan := Draw(options.Seed, options.Length, options.Nodes, len(engines), len(plain))
 	_, _ = fmt.Fprintf(options.Out, "seed %d: %d nodes, %s, %d faults\n", plan.Seed, plan.Nodes, plan.Length, len(plan.Faults))
 	for _, fault := range plan.Faults {
@@ -213,7 +213,7 @@
 	report := Report{Seed: plan.Seed, Faults: len(plan.Faults), Requests: len(answers), Statuses: map[int]int{}}
 	for number := range answers {
 		report.Statuses[answers[number].Status]++
-		if answers[number].Whole {
+		if answers[number].Complete {
 			report.Whole++
 		}
 	}
--- a/internal/run/soak/soak_test.go
+++ b/internal/run/soak/soak_test.go
@@ -62,10 +62,10 @@
 // Each check must find what it is for.
 func TestChecksFindWhatIsWrong(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	book := standin.Answered{Asked: standin.Asked{ID: "book-1", Kind: standin.Book}, Status: 200, Whole: true}
-	refused := standin.Answered{Asked: standin.Asked{ID: "ping-1", Kind: standin.Ping}, Status: 503}
-	mixed := standin.Answered{Asked: standin.Asked{ID: "draft-1", Kind: standin.Draft}, Wrong: "it belongs to another request"}
-	answers := []standin.Answered{book, refused, mixed}
+	book := standin.Result{Request: standin.Request{ID: "book-1", Kind: standin.Book}, Status: 200, Complete: true}
+	refused := standin.Result{Request: standin.Request{ID: "ping-1", Kind: standin.Ping}, Status: 503}
+	mixed := standin.Result{Request: standin.Request{ID: "draft-1", Kind: standin.Draft}, Violation: "it belongs to another request"}
+	answers := []standin.Result{book, refused, mixed}
 	once := standin.Observed{Runs: []standin.Run{{ID: "book-1"}}}
 	expect.Expect(checkAnswers(answers[:2], once)).To(gomega.BeEmpty())
 	twice := standin.Observed{Runs: []standin.Run{{ID: "book-1"}, {ID: "book-1"}, {ID: "ping-1"}}, Violations: []string{"two groups"}}
@@ -81,7 +81,7 @@
 	harmful := standin.Observed{}
 	for number := range 12 {
 		at := time.Duration(number) * time.Second
-		harmful.Harmful = append(harmful.Harmful, standin.Harmful{At: at, EndedAt: at + time.Millisecond})
+		harmful.Harmful = append(harmful.Harmful, standin.HarmfulCall{At: at, EndedAt: at + time.Millisecond})
 	}
 	expect.Expect(checkHarmful(harmful)).To(gomega.HaveLen(1))
 	expect.Expect(checkHarmful(standin.Observed{Harmful: harmful.Harmful[:6]})).To(gomega.BeEmpty())
