--- a/internal/run/soak/backoff.go
+++ b/internal/run/soak/backoff.go
@@ -71,7 +71,7 @@
 // from a call of its own.
 func checkDrainNotice(server string, nodes int, observed standin.Observed) []string {
 	if late := observed.ToldDrain[server]; late > nodes {
-		return []string{fmt.Sprintf("server %s announced that it is draining and got %d calls more than %v later, from %d nodes", server, late, standin.Bound.Drain, nodes)}
+		return []string{fmt.Sprintf("server %s announced that it is draining and got %d calls more than %v later, from %d nodes", server, late, standin.WorstCaseTolerance.DrainGrace, nodes)}
 	}
 	return nil
 }
--- a/internal/run/soak/callers.go
+++ b/internal/run/soak/callers.go
@@ -31,7 +31,7 @@
 	nodes   int
 
 	mu       sync.Mutex
-	results  []standin.Answered
+	results  []standin.Result
 	running  conc.WaitGroup
 	stopping chan struct{}
 }
@@ -59,13 +59,13 @@
 			node = random.IntN(callerPool.nodes)
 		}
 		kind := []standin.Kind{standin.Draft, standin.Draft, standin.Book, standin.Ping}[random.IntN(4)]
-		request := standin.Asked{ID: fmt.Sprintf("%s-%d-%d", kind, caller, number), Kind: kind, Body: strings.Repeat("x", 1+random.IntN(maxBodyLength)), Events: draftEvents}
+		request := standin.Request{ID: fmt.Sprintf("%s-%d-%d", kind, caller, number), Kind: kind, Body: strings.Repeat("x", 1+random.IntN(maxBodyLength)), Events: draftEvents}
 		callerPool.send(client, node, request)
 	}
 }
 
-func (callerPool *callerPool) send(client *http.Client, node int, request standin.Asked) standin.Answered {
-	result := standin.Ask(context.Background(), client, callerPool.address(node), request)
+func (callerPool *callerPool) send(client *http.Client, node int, request standin.Request) standin.Result {
+	result := standin.Send(context.Background(), client, callerPool.address(node), request)
 	result.Node = node
 	callerPool.mu.Lock()
 	defer callerPool.mu.Unlock()
@@ -78,13 +78,13 @@
 	client := standin.NewCaller()
 	defer client.CloseIdleConnections()
 	for number, start := 0, time.Now(); time.Since(start) < duration && ctx.Err() == nil; number++ {
-		callerPool.send(client, number%callerPool.nodes, standin.Asked{ID: fmt.Sprintf("harm-%d", number), Kind: standin.Draft, Body: standin.EndsServer, Events: draftEvents})
+		callerPool.send(client, number%callerPool.nodes, standin.Request{ID: fmt.Sprintf("harm-%d", number), Kind: standin.Draft, Body: standin.CrashServerBody, Events: draftEvents})
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
 // stop ends the load and returns the results of all requests.
-func (callerPool *callerPool) stop() []standin.Answered {
+func (callerPool *callerPool) stop() []standin.Result {
 	close(callerPool.stopping)
 	callerPool.running.Wait()
 	return callerPool.results
@@ -98,8 +98,8 @@
 	pending := map[standin.Kind]bool{standin.Draft: true, standin.Book: true, standin.Ping: true}
 	for number, start := 0, time.Now(); len(pending) > 0 && time.Since(start) < timeout; number++ {
 		for kind := range pending {
-			request := standin.Asked{ID: fmt.Sprintf("%s-%s-%d-%d", phase, kind, node, number), Kind: kind, Body: phase, Events: draftEvents}
-			if callerPool.send(client, node, request).Whole {
+			request := standin.Request{ID: fmt.Sprintf("%s-%s-%d-%d", phase, kind, node, number), Kind: kind, Body: phase, Events: draftEvents}
+			if callerPool.send(client, node, request).Complete {
 				delete(pending, kind)
 			}
 		}
--- a/internal/run/soak/check.go
+++ b/internal/run/soak/check.go
@@ -20,7 +20,7 @@
 )
 
 // checkResponses reports invalid responses, by comparing what callers received with what servers ran.
-func checkResponses(results []standin.Answered, observed standin.Observed) []string {
+func checkResponses(results []standin.Result, observed standin.Observed) []string {
 	violations := []string{}
 	runs := map[string]int{}
 	for _, run := range observed.Runs {
@@ -28,10 +28,10 @@
 	}
 	for number := range results {
 		result := &results[number]
-		if result.Wrong != "" {
-			violations = append(violations, fmt.Sprintf("%s at node %d: %s", result.ID, result.Node+1, result.Wrong))
+		if result.Violation != "" {
+			violations = append(violations, fmt.Sprintf("%s at node %d: %s", result.ID, result.Node+1, result.Violation))
 		}
-		if standin.NotRun(result.Status) && runs[result.ID] > 0 {
+		if standin.GuaranteesNotRun(result.Status) && runs[result.ID] > 0 {
 			violations = append(violations, fmt.Sprintf("%s at node %d was reported as not run but ran %d times", result.ID, result.Node+1, runs[result.ID]))
 		}
 		if result.Kind == standin.Book && runs[result.ID] > 1 {
@@ -84,7 +84,7 @@
 
 // checkHarmful reports a request that still reached servers after it had crashed three of them.
 func checkHarmful(observed standin.Observed) []string {
-	late := standin.LateSends(observed.Harmful, quarantineDelay)
+	late := standin.LateCalls(observed.Harmful, quarantineDelay)
 	if late <= maxLateSends {
 		return nil
 	}
--- a/internal/run/soak/datacentre.go
+++ b/internal/run/soak/datacentre.go
@@ -22,7 +22,7 @@
 	for _, step := range []struct {
 		change   string
 		duration time.Duration
-	}{{"drain", standin.DrainKnown + drainDuration}, {"undrain", warmupDuration}} {
+	}{{"drain", standin.DrainDeadline + drainDuration}, {"undrain", warmupDuration}} {
 		runner.fleet.sendControl("/data-centres/" + drainedDataCentre + "/" + step.change)
 		select {
 		case <-ctx.Done():
--- a/internal/run/soak/fleet.go
+++ b/internal/run/soak/fleet.go
@@ -71,7 +71,7 @@
 const serverProxyHost = "127.0.2.1"
 
 func (fleet *fleet) start() error {
-	fleet.engines, fleet.plainServers = standin.ServersOf(fleet.shape)
+	fleet.engines, fleet.plainServers = standin.ServerIDs(fleet.shape)
 	if err := fleet.startStandin(); err != nil {
 		return err
 	}
--- a/internal/run/soak/soak.go
+++ b/internal/run/soak/soak.go
@@ -123,7 +123,7 @@
 		return Report{}, err
 	}
 	shape := standin.Shape{Domains: 3, Servers: 8, Ledgers: 4, Seed: options.Seed}
-	engines, plain := standin.ServersOf(shape)
+	engines, plain := standin.ServerIDs(shape)
 	plan := GeneratePlan(options.Seed, options.Length, options.Nodes, len(engines), len(plain))
 	_, _ = fmt.Fprintf(options.Out, "seed %d: %d nodes, %s, %d faults\n", plan.Seed, plan.Nodes, plan.Length, len(plan.Faults))
 	for _, fault := range plan.Faults {
@@ -220,7 +220,7 @@
 	report := Report{Seed: plan.Seed, Faults: len(plan.Faults), Requests: len(results), Statuses: map[int]int{}}
 	for number := range results {
 		report.Statuses[results[number].Status]++
-		if results[number].Whole {
+		if results[number].Complete {
 			report.Complete++
 		}
 	}
