--- a/internal/peer/backendserver/admit_test.go
+++ b/internal/peer/backendserver/admit_test.go
@@ -15,38 +15,40 @@
 	"hazelslip/internal/peer/backendserver"
 )
 
-// Guards against a call that was chosen before a server asked for a backoff and is sent after
-// it, since connecting took that long; and against a connection that is lost by it.
+// Guards against a call that is sent after its server asked for a backoff, because Admit was checked before the slow
+// connect. Also guards against losing the new connection: it must stay in the pool for the next call.
 func TestCallThatIsNotAdmittedIsNotWritten(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	serving := conc.WaitGroup{}
-	reached, dialled := 0, 0
+	requests, dialled := 0, 0
 	dial := func(string, time.Duration) (net.Conn, error) {
 		dialled++
-		near, far := net.Pipe()
+		clientSide, serverSide := net.Pipe()
 		serving.Go(func() {
-			reader := bufio.NewReader(far)
+			reader := bufio.NewReader(serverSide)
 			for {
 				request, err := http.ReadRequest(reader)
 				if err != nil {
 					return
 				}
-				reached++
+				requests++
 				_, _ = io.Copy(io.Discard, request.Body)
-				_, _ = io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+				_, _ = io.WriteString(serverSide, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			}
 		})
-		return near, nil
+		return clientSide, nil
 	}
 	pool := backendserver.New(backendserver.Codec{
 		Encode: func(call *backendserver.Call) http.Header { return call.Header },
-		Decode: func(*backendserver.Call, int, http.Header) backendserver.Verdict { return backendserver.Verdict{} },
+		Decode: func(*backendserver.Call, int, http.Header) backendserver.DecodedHead {
+			return backendserver.DecodedHead{}
+		},
 	}, backendserver.Dial(dial))
 	withheld := errors.New("withheld")
 	call := &backendserver.Call{Method: http.MethodPost, Target: "/", Header: http.Header{}, Address: "a"}
 
 	call.Admit = func() error {
-		expect.Expect(dialled).To(gomega.Equal(1), "asked once the connection is up")
+		expect.Expect(dialled).To(gomega.Equal(1), "Admit is called once the connection is open")
 		return withheld
 	}
 	for range 2 {
@@ -61,5 +63,5 @@
 	reply.Close()
 	pool.Sweep(func(string) bool { return false })
 	serving.Wait()
-	expect.Expect([]int{dialled, reached}).To(gomega.Equal([]int{1, 1}))
+	expect.Expect([]int{dialled, requests}).To(gomega.Equal([]int{1, 1}))
 }
--- a/internal/peer/backendserver/backendserver.go
+++ b/internal/peer/backendserver/backendserver.go
@@ -1,24 +1,22 @@
-// Package backendserver sends calls to backend servers over kept connections
-// and tells, of every call that fails, whether the server may have run it.
+// Package backendserver sends calls to backend servers over pooled keep-alive
+// connections. Its errors tell whether the server may have executed a failed call.
 //
-// The package has its own pool in place of http.Transport, because the
-// transport decides two things that must be decided here: it sends a GET again
-// by itself when a kept connection breaks, which runs a call twice, and it
-// can't say whether a byte of a failed call had left. Requests and answers are
-// read and written by net/http.
+// The package has a connection pool of its own because http.Transport has two
+// drawbacks: it retries a GET by itself when a keep-alive connection breaks, which
+// can execute a call twice, and it does not report whether any byte of a failed
+// call was sent. Headers are written, and responses are parsed, by net/http.
 //
-// A connection carries one call at a time and goes back to the pool only after
-// the whole answer was read, with nothing left over. Before it is used again it
-// is looked at: one that the server closed, or on which bytes came that nobody
-// asked for, is thrown away.
+// A connection carries one call at a time and returns to the pool only after the
+// whole response was read and no bytes are left over. The pool checks a connection
+// before reuse and discards it if the server closed it or sent unsolicited bytes.
 //
 // # Usage
 //
 //	pool := backendserver.New(backendserver.Codec{Encode: encode, Decode: decode})
 //	reply, err := pool.Send(call)
 //	switch {
-//	case errors.Is(err, backendserver.ErrNotSent): // may be sent elsewhere
-//	case err != nil: // may have run
+//	case errors.Is(err, backendserver.ErrNotSent): // may be sent to another server
+//	case err != nil: // the server may have executed the call
 //	}
 //	defer reply.Close()
 package backendserver
@@ -40,13 +38,13 @@
 var (
 	// ErrNotSent means that no byte of the call left this process.
 	ErrNotSent = errors.New("the call was not sent")
-	// ErrNotOpened means that it wasn't since no connection was opened.
-	ErrNotOpened = errors.New("no connection was opened")
-	// ErrNotKept means that it should have gone over an open connection, and there is none.
-	ErrNotKept = errors.New("no connection is open")
-	// ErrNoAnswer means that the call was sent, at least in part, and no whole
-	// head of an answer came.
-	ErrNoAnswer = errors.New("the call was sent and got no answer")
+	// ErrConnectFailed means that no connection to the server was available. A call that fails with it
+	// also matches ErrNotSent.
+	ErrConnectFailed = errors.New("could not connect to the backend server")
+	// ErrNoIdleConnection means that Call.ReuseOnly is set and the pool has no usable connection to the server.
+	ErrNoIdleConnection = errors.New("no connection is open")
+	// ErrNoResponse means that the call was sent, at least in part, and no complete response head was received.
+	ErrNoResponse = errors.New("the call was sent and got no response")
 )
 
 // Call is one call to one server.
@@ -58,108 +56,107 @@
 	Header  http.Header
 	Body    []byte
 	Address string
-	// Server is the ID of the server that the call is for. A server that took
-	// over the address refuses it.
+	// Server is the ID of the server that the call is for. A different server that has taken over the address
+	// refuses the call.
 	Server string
-	// Workspace is empty on routes that ask for no key.
+	// Workspace is empty on routes that require no API key.
 	Workspace string
-	// Left is how long the caller will wait from now; 0 is unknown.
-	Left time.Duration
-	// Urgency ranks the call at the server, 0 the most urgent.
+	// TimeLeft is how long the caller still waits, counted from now; 0 means unknown.
+	TimeLeft time.Duration
+	// Urgency is the scheduling priority of the call at the server; 0 is the most urgent.
 	Urgency int
-	// After is the last event that the caller has, where Continues is set.
-	After     int64
-	Continues bool
-	// Cancel, when set, is given a function that ends the call at once from
-	// another goroutine. It is called before anything is sent.
-	Cancel func(end func())
-	// Kept sends the call over an open connection or not at all.
-	Kept bool
-	// Opened, when set, is told that a new connection was opened for the call.
-	Opened func()
-	// Admit, when set, is asked just before the call is written, and ends it by an error:
-	// connecting takes a while, in which the server may have said that it wants no more.
+	// LastEventID is the last event that the caller has received. It is used only if Resumes is set, which
+	// asks the server to continue the stream after that event.
+	LastEventID int64
+	Resumes     bool
+	// SetCancel, if set, receives a function that aborts the call immediately from another goroutine. It is
+	// called before anything is sent.
+	SetCancel func(end func())
+	// ReuseOnly sends the call over an idle connection or fails with ErrNoIdleConnection.
+	ReuseOnly bool
+	// OnConnect, if set, is called when a new connection was opened for the call.
+	OnConnect func()
+	// Admit, if set, is called just before the call is written. An error ends the call unsent. The check comes
+	// this late because the server may have asked for no more calls while the connection was being opened.
 	Admit func() error
-	// Heard, when set, is told of the head of each answer that comes, also of one that
+	// OnResponseHead, if set, is called with the head of each response that is received, including one that
 	// belongs to an earlier call.
-	Heard func(status int, verdict *Verdict)
+	OnResponseHead func(status int, decoded *DecodedHead)
 }
 
-// dialTime is how long connecting may take: not all of what the caller has
-// left, so that another server can still be tried.
+// dialTime returns the timeout for connecting. It is only a part of the caller's remaining time, so that another
+// server can still be tried.
 func (call *Call) dialTime() time.Duration {
-	if call.Left <= 0 {
+	if call.TimeLeft <= 0 {
 		return dialTimeout
 	}
-	return min(dialTimeout, call.Left/dialPart)
+	return min(dialTimeout, call.TimeLeft/dialTimeDivisor)
 }
 
-// Verdict is what the head of an answer says.
-type Verdict struct {
-	// NotRun means that the server did not run the call and never will.
+// DecodedHead is the information that a response head carries.
+type DecodedHead struct {
+	// NotRun means that the server did not execute the call and never will.
 	NotRun bool
-	// WrongServer means that another server has the address, or that the group
-	// is not there.
+	// WrongServer means that another server now has the address, or that the addressed group is not on this
+	// server.
 	WrongServer bool
-	// Other marks an answer that belongs to another call.
-	Other bool
-	// Culprit names the server at fault for a refusal, if the server says so.
+	// ForOtherCall means that the response belongs to another call.
+	ForOtherCall bool
+	// Culprit is the server that caused a refusal; empty if the response does not name one.
 	Culprit string
-	// KeepAlive is how long the server keeps the connection; 0 if it didn't say.
+	// KeepAlive is how long the server keeps the idle connection open; 0 if the response does not say.
 	KeepAlive time.Duration
-	Said      Said
+	Signals   ServerSignals
 }
 
-// Codec speaks for the pool: names of headers and what they mean.
+// Codec translates between calls and the headers of the wire protocol.
 type Codec struct {
 	// Encode returns the headers to send.
 	Encode func(call *Call) http.Header
-	// Decode reads the head of an answer.
-	Decode func(call *Call, status int, header http.Header) Verdict
+	// Decode interprets a response head.
+	Decode func(call *Call, status int, header http.Header) DecodedHead
 }
 
 // Timeouts and limits of a connection.
 const (
-	// dialTimeout bounds connecting. Within a region it takes a few
-	// milliseconds; a lost first packet comes again only after a second, by
-	// which time another server has answered.
+	// dialTimeout bounds connecting. Connecting within a region takes a few milliseconds. TCP retransmits a lost
+	// SYN only after a second, and another server can respond sooner than that.
 	dialTimeout = 400 * time.Millisecond
-	// dialPart is the part of the caller's time that connecting may take, as a
-	// divisor.
-	dialPart = 3
-	// userTimeout ends a connection whose sent bytes are not acknowledged: a
-	// host that lost power answers nothing.
-	userTimeout = 3 * time.Second
-	// writeTimeout bounds sending. A call fits into the buffers of a connection
-	// unless its body is long and the server doesn't read it.
+	// dialTimeDivisor is the divisor of the caller's remaining time that gives the time for connecting.
+	dialTimeDivisor = 3
+	// tcpUserTimeout ends a connection whose sent bytes are not acknowledged, for example because the host lost
+	// power.
+	tcpUserTimeout = 3 * time.Second
+	// writeTimeout bounds sending. A call fits into the socket buffers unless its body is long and the server
+	// does not read it.
 	writeTimeout = 2 * time.Second
-	// readBuffer holds the head of an answer and some events.
-	readBuffer = 2 << 10
-	// idleUnsaid is how long an idle connection is trusted when the server
-	// didn't say how long it keeps it.
-	idleUnsaid = 4 * time.Second
-	// idleMargin is taken off what the server said, for the way there.
+	// readBufferSize fits a response head and some events.
+	readBufferSize = 2 << 10
+	// defaultIdleTimeout is how long an idle connection may be reused if the server announced no keep-alive time.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the announced keep-alive time to allow for network delay.
 	idleMargin = time.Second
-	// idlePerServer bounds the idle connections to one server.
-	idlePerServer = 24
-	// strayAnswers is how many answers of earlier calls are skipped.
-	strayAnswers = 2
+	// maxIdlePerServer bounds the idle connections to one server.
+	maxIdlePerServer = 24
+	// maxStrayResponses is how many responses to earlier calls are skipped before the call fails.
+	maxStrayResponses = 2
 )
 
-// Counts are the pool's counters; they only grow.
-type Counts struct {
-	Dialled     atomic.Uint64
-	Reused      atomic.Uint64
-	DialFailed  atomic.Uint64
-	Discarded   atomic.Uint64
-	StrayAnswer atomic.Uint64
+// Counters count the events of a pool; they only grow. Discarded counts idle connections that were no longer usable.
+// StrayResponses counts responses that belong to another call.
+type Counters struct {
+	Dialled        atomic.Uint64
+	Reused         atomic.Uint64
+	DialFailed     atomic.Uint64
+	Discarded      atomic.Uint64
+	StrayResponses atomic.Uint64
 }
 
-// Pool sends calls.
+// Pool sends calls to backend servers and keeps idle connections for reuse.
 type Pool struct {
-	codec  Codec
-	dial   Dialler
-	Counts Counts
+	codec    Codec
+	dial     DialFunc
+	Counters Counters
 
 	mu   sync.Mutex
 	idle map[string][]*conn
@@ -168,32 +165,34 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// until is when the server may close the connection for being idle.
-	until time.Time
-	// cut says that only a part of the last call was sent.
-	cut bool
+	// idleDeadline is when the server may close the idle connection.
+	idleDeadline time.Time
+	// partlySent is set if only a part of the last call was sent.
+	partlySent bool
 }
 
-// Option changes how a Pool is built.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// Dialler connects to an address within a time.
-type Dialler func(address string, within time.Duration) (net.Conn, error)
+// DialFunc connects to an address within a timeout.
+type DialFunc func(address string, timeout time.Duration) (net.Conn, error)
 
-// Dial makes the pool connect through the given function.
-func Dial(dial Dialler) Option {
+// Dial sets the function that opens connections.
+func Dial(dial DialFunc) Option {
 	return func(pool *Pool) { pool.dial = dial }
 }
 
-// ConnectWithin bounds connecting beside what a call allows.
-func ConnectWithin(most time.Duration) Option {
+// MaxDialTime bounds the time for connecting, in addition to the limit that follows from the call.
+func MaxDialTime(limit time.Duration) Option {
 	return func(pool *Pool) {
 		dial := pool.dial
-		pool.dial = func(address string, within time.Duration) (net.Conn, error) { return dial(address, min(within, most)) }
+		pool.dial = func(address string, timeout time.Duration) (net.Conn, error) {
+			return dial(address, min(timeout, limit))
+		}
 	}
 }
 
-// New returns a pool with no connections.
+// New returns a pool without connections.
 func New(codec Codec, options ...Option) *Pool {
 	pool := &Pool{codec: codec, dial: dialTCP, idle: map[string][]*conn{}}
 	for _, option := range options {
@@ -202,37 +201,36 @@
 	return pool
 }
 
-// Reply is the head of an answer and the way to its body. Close must be
-// called.
+// Reply is a response head and a reader of its body. The caller must call Close.
 type Reply struct {
-	Verdict
+	DecodedHead
 	Status int
 	Header http.Header
-	// Length is -1 where the head doesn't tell it.
+	// Length is the length of the body, or -1 if the head does not state it.
 	Length int64
 
 	response *http.Response
 	pool     *Pool
 	conn     *conn
 	address  string
-	whole    bool
+	complete bool
 }
 
-// Send sends a call and reads the head of its answer.
+// Send sends a call and reads the head of its response.
 func (pool *Pool) Send(call *Call) (*Reply, error) {
-	connection, fresh, err := pool.connection(call)
+	connection, isNew, err := pool.acquire(call)
 	if err != nil {
-		return nil, errors.Mark(errors.Mark(errors.Wrapf(err, "connect to %s", call.Address), ErrNotOpened), ErrNotSent)
+		return nil, errors.Mark(errors.Mark(errors.Wrapf(err, "connect to %s", call.Address), ErrConnectFailed), ErrNotSent)
 	}
-	if fresh && call.Opened != nil {
-		call.Opened()
+	if isNew && call.OnConnect != nil {
+		call.OnConnect()
 	}
-	if call.Cancel != nil {
-		call.Cancel(func() { _ = connection.SetDeadline(longAgo) })
+	if call.SetCancel != nil {
+		call.SetCancel(func() { _ = connection.SetDeadline(pastDeadline) })
 	}
 	if call.Admit != nil {
 		if err := call.Admit(); err != nil {
-			pool.giveBack(call.Address, connection)
+			pool.returnUnused(call.Address, connection)
 			return nil, errors.Mark(errors.Wrapf(err, "send to %s", call.Address), ErrNotSent)
 		}
 	}
@@ -243,18 +241,17 @@
 	reply, err := pool.read(connection, call)
 	if err != nil {
 		connection.Close()
-		return nil, errors.Mark(errors.Wrapf(err, "answer of %s", call.Address), ErrNoAnswer)
+		return nil, errors.Mark(errors.Wrapf(err, "answer of %s", call.Address), ErrNoResponse)
 	}
 	return reply, nil
 }
 
-// longAgo as a deadline ends reads and writes that are under way.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that interrupts reads and writes in progress.
+var pastDeadline = time.Unix(1, 0)
 
-// write sends the call. If the first write fails without having
-// taken a byte, the call provably did not leave. A server may answer before it
-// has read a long body and then read no further: what was written stays at
-// that, the answer is read, and the connection is not used again.
+// write sends the call. If it fails before the first byte was sent, the error is ErrNotSent. A failure after that
+// is not an error: a server may respond before it has read a long body and stop reading. The response is then
+// still read, but the connection is not reused.
 func (pool *Pool) write(connection *conn, call *Call) error {
 	message := encode(call, pool.codec.Encode(call))
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -265,36 +262,36 @@
 	case sent == 0:
 		return errors.Mark(errors.Wrapf(err, "send to %s", call.Address), ErrNotSent)
 	}
-	connection.cut = true
+	connection.partlySent = true
 	return nil
 }
 
 func (pool *Pool) read(connection *conn, call *Call) (*Reply, error) {
-	asked := &http.Request{Method: call.Method}
+	request := &http.Request{Method: call.Method}
 	for stray := 0; ; {
-		// Reply.Close ends the body, or the connection is closed on an error.
-		response, err := http.ReadResponse(connection.reader, asked) //nolint:bodyclose // see above
+		// Reply.Close closes the body; after an error the connection is closed.
+		response, err := http.ReadResponse(connection.reader, request) //nolint:bodyclose // see above
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		verdict := pool.codec.Decode(call, response.StatusCode, response.Header)
-		if call.Heard != nil {
-			call.Heard(response.StatusCode, &verdict)
+		decoded := pool.codec.Decode(call, response.StatusCode, response.Header)
+		if call.OnResponseHead != nil {
+			call.OnResponseHead(response.StatusCode, &decoded)
 		}
-		if !verdict.Other {
+		if !decoded.ForOtherCall {
 			return &Reply{
-				Verdict: verdict, Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
+				DecodedHead: decoded, Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
 				response: response, pool: pool, conn: connection, address: call.Address,
 			}, nil
 		}
-		// A server may answer an earlier call twice; its second answer then
-		// stands where ours is due. It names the call that it belongs to.
-		pool.Counts.StrayAnswer.Add(1)
+		// A server may respond to an earlier call twice. The second response then arrives in place of the
+		// response to this call. It names the call that it belongs to.
+		pool.Counters.StrayResponses.Add(1)
 		stray++
-		if stray > strayAnswers || response.ContentLength < 0 {
+		if stray > maxStrayResponses || response.ContentLength < 0 {
 			return nil, errors.New("answers of other calls came")
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
@@ -303,22 +300,22 @@
 	}
 }
 
-// Read reads the body. It returns io.EOF only after a whole body.
+// Read reads the body. It returns io.EOF only after the complete body.
 func (reply *Reply) Read(buffer []byte) (int, error) {
 	n, err := reply.response.Body.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		reply.whole = true
+		reply.complete = true
 	}
 	return n, err
 }
 
-// Framed says whether the end of the body can be told from a broken
-// connection.
+// Framed reports whether the response has message framing, a length or a transfer encoding. Without framing the end
+// of the body can't be distinguished from a broken connection.
 func (reply *Reply) Framed() bool {
 	return reply.Length >= 0 || len(reply.response.TransferEncoding) > 0
 }
 
-// SetDeadline ends reads that have not returned by then.
+// SetDeadline sets the deadline for reading the body.
 func (reply *Reply) SetDeadline(deadline time.Time) {
 	_ = reply.conn.SetReadDeadline(deadline)
 }
@@ -328,106 +325,105 @@
 	reply.conn.Close()
 }
 
-// Close gives the connection back if the whole body was read, else ends it,
-// at which most servers stop working on the call.
+// Close returns the connection to the pool if the complete body was read. Otherwise it closes the connection, upon
+// which most servers stop working on the call.
 func (reply *Reply) Close() {
-	reusable := reply.whole && !reply.conn.cut && reply.Framed() && !reply.response.Close && reply.conn.reader.Buffered() == 0
+	reusable := reply.complete && !reply.conn.partlySent && reply.Framed() && !reply.response.Close && reply.conn.reader.Buffered() == 0
 	if !reusable {
 		reply.conn.Close()
 		return
 	}
-	keep := idleUnsaid
+	keep := defaultIdleTimeout
 	if reply.KeepAlive > 0 {
 		keep = reply.KeepAlive - idleMargin
 	}
-	reply.pool.put(reply.address, reply.conn, keep)
+	reply.pool.putIdle(reply.address, reply.conn, keep)
 }
 
-func (pool *Pool) put(address string, connection *conn, keep time.Duration) {
+func (pool *Pool) putIdle(address string, connection *conn, keep time.Duration) {
 	if keep <= 0 || connection.SetDeadline(time.Time{}) != nil {
 		connection.Close()
 		return
 	}
-	connection.until = time.Now().Add(keep)
+	connection.idleDeadline = time.Now().Add(keep)
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if len(pool.idle[address]) >= idlePerServer {
+	if len(pool.idle[address]) >= maxIdlePerServer {
 		connection.Close()
 		return
 	}
 	pool.idle[address] = append(pool.idle[address], connection)
 }
 
-// giveBack keeps a connection on which nothing was sent.
-func (pool *Pool) giveBack(address string, connection *conn) {
-	keep := idleUnsaid
-	if !connection.until.IsZero() {
-		keep = time.Until(connection.until)
+// returnUnused returns a connection to the pool on which nothing was sent.
+func (pool *Pool) returnUnused(address string, connection *conn) {
+	keep := defaultIdleTimeout
+	if !connection.idleDeadline.IsZero() {
+		keep = time.Until(connection.idleDeadline)
 	}
-	pool.put(address, connection, keep)
+	pool.putIdle(address, connection, keep)
 }
 
-// connection returns a connection to a server, and whether it is a new one.
-func (pool *Pool) connection(call *Call) (connection *conn, fresh bool, err error) {
+// acquire returns an idle connection to the call's server or opens one, and reports whether the connection is new.
+func (pool *Pool) acquire(call *Call) (connection *conn, isNew bool, err error) {
 	address := call.Address
 	for {
-		connection := pool.take(address)
+		connection := pool.takeIdle(address)
 		if connection == nil {
 			break
 		}
-		if time.Now().Before(connection.until) && quiet(connection.Conn) {
-			pool.Counts.Reused.Add(1)
+		if time.Now().Before(connection.idleDeadline) && isReusable(connection.Conn) {
+			pool.Counters.Reused.Add(1)
 			return connection, false, nil
 		}
-		pool.Counts.Discarded.Add(1)
+		pool.Counters.Discarded.Add(1)
 		connection.Close()
 	}
-	if call.Kept {
-		return nil, false, ErrNotKept
+	if call.ReuseOnly {
+		return nil, false, ErrNoIdleConnection
 	}
-	pool.Counts.Dialled.Add(1)
+	pool.Counters.Dialled.Add(1)
 	dialled, err := pool.dial(address, call.dialTime())
 	if err != nil {
-		pool.Counts.DialFailed.Add(1)
+		pool.Counters.DialFailed.Add(1)
 		return nil, false, err
 	}
-	return &conn{Conn: dialled, reader: bufio.NewReaderSize(dialled, readBuffer)}, true, nil
+	return &conn{Conn: dialled, reader: bufio.NewReaderSize(dialled, readBufferSize)}, true, nil
 }
 
-// Reaches says whether a server takes a connection within a time. One that it takes is
-// kept for calls; one that it refuses shows that its host is reached.
-func (pool *Pool) Reaches(address string, within time.Duration) bool {
-	err := pool.open(address, within)
+// HostReachable reports whether the host of a server responds to a connection attempt within the timeout. A connection
+// that is accepted is kept for calls. A refused or reset connection also shows that the host is reachable.
+func (pool *Pool) HostReachable(address string, timeout time.Duration) bool {
+	err := pool.connect(address, timeout)
 	return err == nil || errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// Opens says whether a server takes a connection within a time, which is kept for calls.
-func (pool *Pool) Opens(address string, within time.Duration) bool {
-	return pool.open(address, within) == nil
+// CanConnect reports whether a server accepts a connection within the timeout. The connection is kept for calls.
+func (pool *Pool) CanConnect(address string, timeout time.Duration) bool {
+	return pool.connect(address, timeout) == nil
 }
 
-// open connects to a server and keeps the connection.
-func (pool *Pool) open(address string, within time.Duration) error {
-	pool.Counts.Dialled.Add(1)
-	dialled, err := pool.dial(address, within)
+// connect opens a connection to a server and adds it to the pool.
+func (pool *Pool) connect(address string, timeout time.Duration) error {
+	pool.Counters.Dialled.Add(1)
+	dialled, err := pool.dial(address, timeout)
 	if err != nil {
-		pool.Counts.DialFailed.Add(1)
+		pool.Counters.DialFailed.Add(1)
 		return err
 	}
-	pool.put(address, &conn{Conn: dialled, reader: bufio.NewReaderSize(dialled, readBuffer)}, idleUnsaid)
+	pool.putIdle(address, &conn{Conn: dialled, reader: bufio.NewReaderSize(dialled, readBufferSize)}, defaultIdleTimeout)
 	return nil
 }
 
-// Idle says whether there is an open connection to a server that carries no call.
-func (pool *Pool) Idle(address string) bool {
+// HasIdle reports whether the pool has an idle connection to a server.
+func (pool *Pool) HasIdle(address string) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return len(pool.idle[address]) > 0
 }
 
-// take returns the connection used last, which is the least likely to have
-// been closed.
-func (pool *Pool) take(address string) *conn {
+// takeIdle removes and returns the most recently used idle connection, which is the least likely to have been closed.
+func (pool *Pool) takeIdle(address string) *conn {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	idle := pool.idle[address]
@@ -440,8 +436,8 @@
 	return connection
 }
 
-// Sweep closes idle connections that have run out, and all of those to servers
-// that are not wanted any more.
+// Sweep closes the idle connections that have passed their idle deadline and all those to servers that are no longer
+// wanted.
 func (pool *Pool) Sweep(wanted func(address string) bool) {
 	now := time.Now()
 	pool.mu.Lock()
@@ -449,7 +445,7 @@
 	for address, idle := range pool.idle {
 		kept := idle[:0]
 		for _, connection := range idle {
-			if now.Before(connection.until) && wanted(address) {
+			if now.Before(connection.idleDeadline) && wanted(address) {
 				kept = append(kept, connection)
 				continue
 			}
@@ -463,9 +459,8 @@
 	}
 }
 
-// Drop closes the idle connections to one server, after one of them went
-// silent.
-func (pool *Pool) Drop(address string) {
+// CloseIdle closes the idle connections to one server. It is used after one of the connections became unresponsive.
+func (pool *Pool) CloseIdle(address string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	for _, connection := range pool.idle[address] {
--- a/internal/peer/backendserver/socket.go
+++ b/internal/peer/backendserver/socket.go
@@ -11,22 +11,21 @@
 	"golang.org/x/sys/unix"
 )
 
-func dialTCP(address string, within time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: within, KeepAlive: -1}
+func dialTCP(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	connection, err := dialer.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	setUserTimeout(connection, userTimeout)
+	setUserTimeout(connection, tcpUserTimeout)
 	return connection, nil
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged. Without
-// it a connection to a host that lost power hangs for minutes. A platform that
-// refuses the option leaves the package's own deadlines, which are shorter
-// wherever a caller waits.
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent bytes may stay unacknowledged. Without it a
+// connection to a host that lost power hangs for minutes. If a platform rejects the option, the package's own
+// deadlines still apply; they are shorter wherever a caller waits.
 func setUserTimeout(connection net.Conn, timeout time.Duration) {
-	raw := rawOf(connection)
+	raw := rawConn(connection)
 	if raw == nil {
 		return
 	}
@@ -35,7 +34,7 @@
 	})
 }
 
-func rawOf(connection net.Conn) syscall.RawConn {
+func rawConn(connection net.Conn) syscall.RawConn {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
 		return nil
@@ -47,35 +46,33 @@
 	return raw
 }
 
-// quiet says whether an idle connection is still open with nothing to read.
-// A closed one would take the call's bytes and lose them, after which nobody
-// could tell whether the call ran; and bytes that wait belong to no call of
-// ours.
-func quiet(connection net.Conn) bool {
-	raw := rawOf(connection)
+// isReusable reports whether an idle connection is still open and has no unread bytes. A connection that the server
+// has closed would accept the call's bytes and lose them, and whether the call was executed would be unknown. Unread
+// bytes belong to no call of this node.
+func isReusable(connection net.Conn) bool {
+	raw := rawConn(connection)
 	if raw == nil {
 		return true
 	}
-	waiting := false
+	wouldBlock := false
 	err := raw.Read(func(descriptor uintptr) bool {
-		one := []byte{0}
-		_, _, err := unix.Recvfrom(int(descriptor), one, unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		waiting = err == unix.EAGAIN
+		buffer := []byte{0}
+		_, _, err := unix.Recvfrom(int(descriptor), buffer, unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		wouldBlock = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && waiting
+	return err == nil && wouldBlock
 }
 
-// inlineBody is up to which length a body is copied behind its head, so that both leave in
-// one packet. Longer ones are written from where they are: a copy of each body under way
-// would double what the node holds for calls.
-const inlineBody = 16 << 10
+// maxInlineBody is the length up to which a body is copied after its head, so that both are sent in one packet. Longer
+// bodies are written without a copy, since a copy of each body in flight would double the memory that calls use.
+const maxInlineBody = 16 << 10
 
-// encode returns a call as one message with a length, whatever way the caller
-// sent it, so that no server can take part of a body for another call.
+// encode returns a call as one message with a Content-Length, regardless of how the caller framed the body, so that no
+// server can interpret a part of the body as another call.
 func encode(call *Call, header http.Header) net.Buffers {
 	message := &bytes.Buffer{}
-	inline := len(call.Body) <= inlineBody
+	inline := len(call.Body) <= maxInlineBody
 	if inline {
 		message.Grow(512 + len(call.Body))
 	}
@@ -85,7 +82,7 @@
 	message.WriteString(" HTTP/1.1\r\nHost: ")
 	message.WriteString(call.Host)
 	message.WriteString("\r\n")
-	// Writes to a buffer don't fail.
+	// Writes to a bytes.Buffer do not fail.
 	_ = header.Write(message)
 	if len(call.Body) > 0 || (call.Method != http.MethodGet && call.Method != http.MethodHead) {
 		message.WriteString("Content-Length: ")
--- a/internal/peer/backendserver/socket_test.go
+++ b/internal/peer/backendserver/socket_test.go
@@ -9,17 +9,17 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against a long body that is copied for each call, which doubles what the node holds for
-// it, and against a message that differs by how it is written.
+// Guards against a copy of a long body for each call, which doubles the memory that the call uses, and against a message
+// that depends on whether the body is copied.
 func TestLongBodyIsNotCopied(t *testing.T) {
-	for _, length := range []int{0, inlineBody, inlineBody + 1, 1 << 20} {
+	for _, length := range []int{0, maxInlineBody, maxInlineBody + 1, 1 << 20} {
 		expect := gomega.NewWithT(t)
 		body := bytes.Repeat([]byte("x"), length)
 		message := encode(&Call{Method: http.MethodPost, Target: "/a?b", Host: "h", Body: body}, http.Header{"Id": {"1"}})
-		if length > inlineBody {
+		if length > maxInlineBody {
 			expect.Expect(&message[len(message)-1][0]).To(gomega.BeIdenticalTo(&body[0]))
 		} else {
-			expect.Expect(message).To(gomega.HaveLen(1), "it leaves in one packet")
+			expect.Expect(message).To(gomega.HaveLen(1), "head and body are sent in one packet")
 		}
 		written := &bytes.Buffer{}
 		_, err := message.WriteTo(written)
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -62,9 +62,11 @@
 	}
 	codec := backendserver.Codec{
 		Encode: node.platform.Codec.Encode,
-		Decode: func(*backendserver.Call, int, http.Header) backendserver.Verdict { return backendserver.Verdict{} },
+		Decode: func(*backendserver.Call, int, http.Header) backendserver.DecodedHead {
+			return backendserver.DecodedHead{}
+		},
 	}
-	made.pool = backendserver.New(codec, append(node.poolOptions(), backendserver.ConnectWithin(detourConnect))...)
+	made.pool = backendserver.New(codec, append(node.poolOptions(), backendserver.MaxDialTime(detourConnect))...)
 	return made
 }
 
@@ -207,7 +209,7 @@
 	detours.node.board.WatchWays()
 	for _, address := range detours.table.Stalled(detourStill, detourUnanswered) {
 		detours.node.logger.Warn("gateway: a node that requests go through stands still.", "Peer", address)
-		detours.pool.Drop(address)
+		detours.pool.CloseIdle(address)
 	}
 	probes := detours.node.board.WayProbes()
 	for number := range probes {
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -60,7 +60,7 @@
 	Codec backendserver.Codec
 	// Hear sets who is told what servers say of themselves in answers to questions and
 	// orders.
-	Hear func(heard func(server *roster.Server, source string, said backendserver.Said))
+	Hear func(heard func(server *roster.Server, source string, said backendserver.ServerSignals))
 	// DecodeCaller reads a caller's request but for its body.
 	DecodeCaller func(request *http.Request) *forward.Request
 	// ReadinessPath is where the balancer asks.
@@ -193,7 +193,7 @@
 	node.demand = demand.New(demand.Clock(node.now))
 	node.detours = newDetours(node)
 	node.board = dispatch.New(dispatch.Clock(node.now), dispatch.DataCentre(settings.DataCentre), dispatch.Notices(node.notices), dispatch.Demands(node.demand), dispatch.Ways(node.detours.ways),
-		dispatch.Idle(func(address string) bool { return node.pool.Idle(address) }),
+		dispatch.Idle(func(address string) bool { return node.pool.HasIdle(address) }),
 		dispatch.Drains(node.drained.Mark), dispatch.Lots(node.Incarnation, func() int { return node.peers.nodes() }),
 		dispatch.Counted(func() int { return int(node.peers.counted.Load()) }))
 	node.pool = backendserver.New(platform.Codec, node.poolOptions()...)
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -143,8 +143,8 @@
 
 // heardControl takes what a server says of itself in its answer to a question or an order,
 // which say nothing of whether it takes calls.
-func (node *Node) heardControl(server *roster.Server, source string, said backendserver.Said) {
-	if said == (backendserver.Said{}) {
+func (node *Node) heardControl(server *roster.Server, source string, said backendserver.ServerSignals) {
+	if said == (backendserver.ServerSignals{}) {
 		return
 	}
 	now := node.now()
--- a/internal/run/gateway/ways.go
+++ b/internal/run/gateway/ways.go
@@ -22,7 +22,7 @@
 
 // probe connects to servers of a way.
 func (detours *detours) probe(probe *dispatch.WayProbe) {
-	opens := func(server string) bool { return detours.node.pool.Opens(probe.Addresses[server], probeTime) }
+	opens := func(server string) bool { return detours.node.pool.CanConnect(probe.Addresses[server], probeTime) }
 	reached := detours.node.tryAll(probe.Servers, opens, probe.Whole)
 	if result := probe.Done(reached); result.Changed() {
 		detours.changed(probe.Way, &result)
--- a/internal/run/gateway/work.go
+++ b/internal/run/gateway/work.go
@@ -283,7 +283,7 @@
 
 // probe connects to servers of a data centre.
 func (node *Node) probe(probe *dispatch.Probe) {
-	reaches := func(address string) bool { return node.pool.Reaches(address, probeTime) }
+	reaches := func(address string) bool { return node.pool.HostReachable(address, probeTime) }
 	reached := node.tryAll(probe.Addresses, reaches, func(int) bool { return false })
 	if moved, news := probe.Done(len(reached) > 0); news {
 		node.logger.Warn("gateway: a data centre is not reached.", "DataCentre", probe.DataCentre, "Tried", len(probe.Addresses), "CallsMoved", moved)
--- a/internal/serve/forward/call.go
+++ b/internal/serve/forward/call.go
@@ -157,7 +157,7 @@
 func (exchange *exchange) lateAnswer(leg *leg) {
 	if !exchange.gone() && !leg.withheld && leg.peer == nil {
 		leg.target.Avoid(avoidUnreachable)
-		exchange.forwarder.Pool.Drop(leg.target.Address)
+		exchange.forwarder.Pool.CloseIdle(leg.target.Address)
 	}
 }
 
--- a/internal/serve/forward/detour.go
+++ b/internal/serve/forward/detour.go
@@ -140,7 +140,7 @@
 		Sender: forwarder.Name, Version: exchange.snapshot.Configuration.Version, KeyDigest: configuration.KeyDigest(exchange.request.Key),
 		Runs: exchange.runs, GoesOn: exchange.begun, Counted: exchange.asked,
 	}).encode())
-	call.Cancel = leg.ender.set
+	call.SetCancel = leg.ender.set
 	call.Admit = func() error {
 		if leg.ender.over() {
 			return errGivenUp
@@ -156,7 +156,7 @@
 	exchange.cause = "node " + peer.Address + ": " + err.Error()
 	if !exchange.gone() {
 		forwarder.Detours.Failed(peer.Address)
-		forwarder.DetourPool.Drop(peer.Address)
+		forwarder.DetourPool.CloseIdle(peer.Address)
 	}
 	if !errors.Is(err, backendserver.ErrNotSent) {
 		exchange.arrivals++
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -67,7 +67,9 @@
 	dial := made.wires.Dialer("first")
 	pool := backendserver.New(backendserver.Codec{
 		Encode: func(call *backendserver.Call) http.Header { return call.Header },
-		Decode: func(*backendserver.Call, int, http.Header) backendserver.Verdict { return backendserver.Verdict{} },
+		Decode: func(*backendserver.Call, int, http.Header) backendserver.DecodedHead {
+			return backendserver.DecodedHead{}
+		},
 	}, backendserver.Dial(func(address string, within time.Duration) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), within)
 		defer cancel()
--- a/internal/serve/forward/exchange.go
+++ b/internal/serve/forward/exchange.go
@@ -284,8 +284,8 @@
 	return &backendserver.Call{
 		ID: request.ID, Method: request.Method, Target: request.Target, Host: request.Host, Header: request.Header,
 		Body: request.Body, Address: target.Address, Server: target.ID, Workspace: exchange.workspace,
-		Left: exchange.left() - hopAllowance, Urgency: exchange.urgency(),
-		After: request.After, Continues: request.Continues,
+		TimeLeft: exchange.left() - hopAllowance, Urgency: exchange.urgency(),
+		LastEventID: request.After, Resumes: request.Continues,
 	}
 }
 
--- a/internal/serve/forward/heard.go
+++ b/internal/serve/forward/heard.go
@@ -11,7 +11,7 @@
 // Heard is what the head of an answer says of its server.
 type Heard struct {
 	Record *notice.Record
-	Said   backendserver.Said
+	Said   backendserver.ServerSignals
 	// Source is what was answered, Group the one that the call was for, RequestID the
 	// caller's request.
 	Source    string
@@ -47,11 +47,11 @@
 }
 
 // hear makes the node take what an answer to a leg says of its server.
-func (exchange *exchange) hear(leg *leg) func(status int, verdict *backendserver.Verdict) {
-	return func(status int, verdict *backendserver.Verdict) {
+func (exchange *exchange) hear(leg *leg) func(status int, verdict *backendserver.DecodedHead) {
+	return func(status int, verdict *backendserver.DecodedHead) {
 		exchange.forwarder.Heard(Heard{
-			Record: leg.target.Record(), Said: verdict.Said, Source: sourceCall, Group: leg.target.Group, RequestID: exchange.request.ID,
-			Taken: !verdict.NotRun && !verdict.Other && status < http.StatusInternalServerError, Stray: verdict.Other, Chosen: leg.sent, Sent: leg.admitted,
+			Record: leg.target.Record(), Said: verdict.Signals, Source: sourceCall, Group: leg.target.Group, RequestID: exchange.request.ID,
+			Taken: !verdict.NotRun && !verdict.ForOtherCall && status < http.StatusInternalServerError, Stray: verdict.ForOtherCall, Chosen: leg.sent, Sent: leg.admitted,
 		})
 	}
 }
--- a/internal/serve/forward/leg.go
+++ b/internal/serve/forward/leg.go
@@ -118,9 +118,9 @@
 	call := exchange.newCall(target)
 	exchange.last = dispatched{server: target.ID, group: target.Group, taken: target.Taken()}
 	leg := exchange.newLeg(target, within)
-	call.Cancel, call.Heard = leg.ender.set, exchange.hear(leg)
-	call.Admit, call.Opened = exchange.admitLeg(leg), target.Opened
-	call.Kept = !exchange.straight && exchange.forwarder.Board.LivesOn(target)
+	call.SetCancel, call.OnResponseHead = leg.ender.set, exchange.hear(leg)
+	call.Admit, call.OnConnect = exchange.admitLeg(leg), target.Opened
+	call.ReuseOnly = !exchange.straight && exchange.forwarder.Board.LivesOn(target)
 	reply, err := exchange.forwarder.Pool.Send(call)
 	if err == nil {
 		exchange.arrivals++
@@ -147,7 +147,7 @@
 	target := leg.target
 	exchange.cause = err.Error()
 	exchange.exclude = append(exchange.exclude, target.ID)
-	if leg.withheld = errors.Is(err, notice.ErrWithheld) || errors.Is(err, backendserver.ErrNotKept); leg.withheld {
+	if leg.withheld = errors.Is(err, notice.ErrWithheld) || errors.Is(err, backendserver.ErrNoIdleConnection); leg.withheld {
 		return
 	}
 	givenUp := errors.Is(err, errGivenUp)
@@ -158,7 +158,7 @@
 		return
 	}
 	if errors.Is(err, backendserver.ErrNotSent) {
-		if errors.Is(err, backendserver.ErrNotOpened) && !exchange.gone() {
+		if errors.Is(err, backendserver.ErrConnectFailed) && !exchange.gone() {
 			target.Unopened(leg.sent)
 		}
 		target.Avoid(avoidUnreachable)
--- a/internal/serve/forward/rig_test.go
+++ b/internal/serve/forward/rig_test.go
@@ -68,7 +68,9 @@
 	dial := rig.wires.Dialer("node")
 	rig.pool = backendserver.New(backendserver.Codec{
 		Encode: func(call *backendserver.Call) http.Header { return call.Header },
-		Decode: func(*backendserver.Call, int, http.Header) backendserver.Verdict { return backendserver.Verdict{} },
+		Decode: func(*backendserver.Call, int, http.Header) backendserver.DecodedHead {
+			return backendserver.DecodedHead{}
+		},
 	}, backendserver.Dial(func(address string, within time.Duration) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), within)
 		defer cancel()
