--- a/internal/peer/caller/caller.go
+++ b/internal/peer/caller/caller.go
@@ -1,13 +1,14 @@
-// Package caller serves callers over HTTP: the chat-completions protocol for
-// drafts, plain services under /services, and tickets.
+// Package caller is the HTTP API for callers: chat completions under
+// /v1/chat/completions, plain services under /services, and idempotency tickets
+// under /tickets.
 //
-// The published protocols keep their own names. Errors have the shape of the
-// chat-completions protocol, and every refusal or failure carries the header
-// Hazelslip-Outcome and, where it helps, Retry-After.
+// Fields of published protocols keep their published names. Errors have the format
+// of the chat-completions protocol. Each refusal or failure carries the header
+// Hazelslip-Outcome, and Retry-After if a retry may succeed.
 //
 // # Usage
 //
-//	handler := caller.New(drafts, services, caller.Classes(table.Snapshot))
+//	handler := &caller.Handler{Classes: table.Snapshot, Drafts: drafts, Services: services, ...}
 //	http.Serve(listener, handler.Handler())
 package caller
 
@@ -33,7 +34,7 @@
 	"hazelslip/internal/wire/record"
 )
 
-// The headers of the system's own.
+// Headers that are specific to this system.
 const (
 	HeaderClass     = "Hazelslip-Class"
 	HeaderWorkspace = "Hazelslip-Workspace"
@@ -42,25 +43,25 @@
 
 const (
 	defaultMaxTokens = 128
-	mostMaxTokens    = 8192
+	maxTokensLimit   = 8192
 	defaultWorkspace = "default"
 )
 
-// Handler serves callers.
+// Handler holds the dependencies of the caller API.
 type Handler struct {
 	// Classes returns the configuration in force.
 	Classes func() *class.Snapshot
 	// Drafts runs model requests.
 	Drafts *draft.Server
-	// Services runs calls to plain services.
+	// Services handles calls to plain services.
 	Services *Services
-	// Journal keeps the stories of requests.
+	// Journal records the processing steps of requests.
 	Journal *journal.Journal
-	// Ready returns nil when requests can be taken, else why not.
+	// Ready returns nil if the node can accept requests, otherwise the reason why it can't.
 	Ready func() error
-	// Begin counts a request as under way until the returned function is
-	// called, and reports false when the node has stopped taking any.
-	Begin func() (func(), bool)
+	// TrackRequest counts a request as in flight until the returned function is called. It returns false if the
+	// node no longer accepts requests.
+	TrackRequest func() (func(), bool)
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
 }
@@ -68,30 +69,30 @@
 // Handler returns the HTTP handler.
 func (handler *Handler) Handler() http.Handler {
 	router := httprouter.New()
-	router.POST("/v1/chat/completions", handler.counted(handler.serveChat))
+	router.POST("/v1/chat/completions", handler.tracked(handler.serveChat))
 	router.GET("/v1/models", handler.serveModels)
-	router.POST("/tickets", handler.counted(handler.Services.serveTicket))
+	router.POST("/tickets", handler.tracked(handler.Services.serveTicket))
 	for _, method := range []string{
 		http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 		http.MethodPatch, http.MethodDelete, http.MethodOptions,
 	} {
-		router.Handle(method, "/services/:Service/*Path", handler.counted(handler.Services.serve))
+		router.Handle(method, "/services/:Service/*Path", handler.tracked(handler.Services.serve))
 	}
 	router.GET("/readyz", handler.serveReady)
 	router.NotFound = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		Refuse(writer, http.StatusNotFound, Problem{Message: fmt.Sprintf("there is nothing at %s", request.URL.Path), Outcome: outcome.NotRun})
+		WriteProblem(writer, http.StatusNotFound, Problem{Message: fmt.Sprintf("there is nothing at %s", request.URL.Path), Outcome: outcome.NotRun})
 	})
 	return router
 }
 
-// counted refuses requests once the node has stopped taking any, and lets a
-// graceful shutdown wait for those that were taken.
-func (handler *Handler) counted(next httprouter.Handle) httprouter.Handle {
+// tracked refuses requests once the node no longer accepts any, and lets a graceful shutdown wait for the requests in
+// flight.
+func (handler *Handler) tracked(next httprouter.Handle) httprouter.Handle {
 	return func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
-		end, ok := handler.Begin()
+		end, ok := handler.TrackRequest()
 		if !ok {
 			writer.Header().Set("Connection", "close")
-			Refuse(writer, http.StatusServiceUnavailable, Problem{
+			WriteProblem(writer, http.StatusServiceUnavailable, Problem{
 				Message: "this node is shutting down", Outcome: outcome.NotRun, RetryAfter: time.Second,
 			})
 			return
@@ -127,25 +128,26 @@
 	request.Body = http.MaxBytesReader(writer, request.Body, handler.MaxBodyBytes)
 	chat, problem := decodeChat(request)
 	if problem != nil {
-		Refuse(writer, problem.Status, *problem)
+		WriteProblem(writer, problem.Status, *problem)
 		return
 	}
-	className, target, problem := handler.classOf(request, chat)
+	className, target, problem := handler.selectClass(request, chat)
 	if problem != nil {
-		Refuse(writer, problem.Status, *problem)
+		WriteProblem(writer, problem.Status, *problem)
 		return
 	}
-	work := handler.draftRequest(request, chat, className, target)
-	writer.Header().Set(HeaderRequest, work.ID)
+	job := handler.draftRequest(request, chat, className, target)
+	writer.Header().Set(HeaderRequest, job.ID)
 	if chat.Stream {
-		handler.streamed(writer, request, work)
+		handler.serveStreaming(writer, request, job)
 		return
 	}
-	handler.whole(writer, request, work)
+	handler.serveBuffered(writer, request, job)
 }
 
-// classOf finds the class that a request names, or the only one of its model.
-func (handler *Handler) classOf(request *http.Request, chat *chatRequest) (string, *record.ClassTarget, *Problem) {
+// selectClass returns the class that a request names. If it names none, selectClass returns the class of the model,
+// provided that the model has only one.
+func (handler *Handler) selectClass(request *http.Request, chat *chatRequest) (string, *record.ClassTarget, *Problem) {
 	for _, name := range []string{HeaderClass, HeaderWorkspace} {
 		if len(request.Header.Values(name)) > 1 {
 			return "", nil, badRequest("the header %s stands more than once", name)
@@ -154,7 +156,7 @@
 	snapshot := handler.Classes()
 	name := request.Header.Get(HeaderClass)
 	if name == "" {
-		return onlyClassOf(snapshot, chat.Model)
+		return soleClassOf(snapshot, chat.Model)
 	}
 	target, ok := snapshot.Target(name)
 	if !ok {
@@ -166,7 +168,7 @@
 	return name, target, nil
 }
 
-func onlyClassOf(snapshot *class.Snapshot, model string) (string, *record.ClassTarget, *Problem) {
+func soleClassOf(snapshot *class.Snapshot, model string) (string, *record.ClassTarget, *Problem) {
 	found := []string{}
 	for _, name := range snapshot.Names() {
 		if target, _ := snapshot.Target(name); target.Model == model {
@@ -191,10 +193,10 @@
 	id := newID("req-")
 	firstToken := time.Duration(target.FirstTokenMs) * time.Millisecond
 	return draft.Request{
-		ID: id, Workspace: workspace, Prompt: chat.prompt(), MaxTokens: chat.tokens(), Priority: target.Priority,
+		ID: id, Workspace: workspace, Prompt: chat.prompt(), MaxTokens: chat.maxTokens(), Priority: target.Priority,
 		FirstToken: firstToken, BetweenTokens: time.Duration(target.BetweenTokensMs) * time.Millisecond,
-		// A request may wait for room for a part of its target; the rest is
-		// left for the group to make its first token.
+		// A request may wait for capacity for half of its first-token target. The other half is left for the
+		// group to produce the first token.
 		Class: admission.Class{Name: className, Model: target.Model, Share: target.GuaranteedShare, Patience: firstToken / 2},
 		Entry: handler.Journal.Begin(id, className, workspace),
 	}
@@ -202,44 +204,43 @@
 
 func newID(prefix string) string {
 	random := make([]byte, 10)
-	// crypto/rand.Read never fails on the systems that Go supports.
+	// crypto/rand.Read never fails on the platforms that Go supports.
 	_, _ = rand.Read(random)
 	return prefix + hex.EncodeToString(random)
 }
 
-// streamed passes tokens on as server-sent events. A draft that fails in the
-// middle ends in an error event; a stream without the [DONE] event or an error
-// event was cut off on its way.
-func (handler *Handler) streamed(writer http.ResponseWriter, request *http.Request, work draft.Request) {
-	events := &eventWriter{writer: writer, controller: http.NewResponseController(writer), id: work.ID, model: work.Class.Model, created: time.Now().Unix()}
-	result := handler.Drafts.Run(request.Context(), work, events.token)
+// serveStreaming sends the tokens of a draft as server-sent events. A draft that fails after the first token ends with
+// an error event. A caller that receives neither [DONE] nor an error event has lost a part of the stream.
+func (handler *Handler) serveStreaming(writer http.ResponseWriter, request *http.Request, job draft.Request) {
+	events := &eventWriter{writer: writer, controller: http.NewResponseController(writer), id: job.ID, model: job.Class.Model, created: time.Now().Unix()}
+	result := handler.Drafts.Run(request.Context(), job, events.writeToken)
 	if result.Failure == nil {
-		events.end(result)
+		events.finish(result)
 		return
 	}
-	problem := problemOf(result.Failure)
-	if !events.begun {
-		Refuse(writer, problem.Status, problem)
+	problem := draftProblem(result.Failure)
+	if !events.started {
+		WriteProblem(writer, problem.Status, problem)
 		return
 	}
-	events.fail(problem)
+	events.writeError(problem)
 }
 
-func (handler *Handler) whole(writer http.ResponseWriter, request *http.Request, work draft.Request) {
+func (handler *Handler) serveBuffered(writer http.ResponseWriter, request *http.Request, job draft.Request) {
 	var text strings.Builder
-	result := handler.Drafts.Run(request.Context(), work, func(token string) error {
+	result := handler.Drafts.Run(request.Context(), job, func(token string) error {
 		text.WriteString(token)
 		return nil
 	})
 	if result.Failure != nil {
-		problem := problemOf(result.Failure)
-		Refuse(writer, problem.Status, problem)
+		problem := draftProblem(result.Failure)
+		WriteProblem(writer, problem.Status, problem)
 		return
 	}
-	writeJSON(writer, wholeAnswer(work, text.String(), result))
+	writeJSON(writer, completeResponse(job, text.String(), result))
 }
 
-func problemOf(failure *draft.Failure) Problem {
+func draftProblem(failure *draft.Failure) Problem {
 	status := http.StatusBadGateway
 	if failure.Outcome == outcome.NotRun {
 		status = http.StatusServiceUnavailable
@@ -247,7 +248,7 @@
 	return Problem{Status: status, Message: failure.Cause, Outcome: failure.Outcome, RetryAfter: failure.RetryAfter}
 }
 
-// Problem is a refusal or failure as a caller sees it.
+// Problem is a refusal or failure as reported to a caller.
 type Problem struct {
 	Status     int
 	Message    string
@@ -259,8 +260,8 @@
 	return &Problem{Status: http.StatusBadRequest, Message: fmt.Sprintf(format, arguments...), Outcome: outcome.NotRun}
 }
 
-// Refuse writes a refusal or failure.
-func Refuse(writer http.ResponseWriter, status int, problem Problem) {
+// WriteProblem writes a refusal or failure as the response.
+func WriteProblem(writer http.ResponseWriter, status int, problem Problem) {
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(outcome.Header, string(problem.Outcome))
@@ -276,8 +277,8 @@
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// bodyProblem sorts an error of reading a request's body.
-func bodyProblem(err error) *Problem {
+// bodyReadProblem returns the problem for an error from reading a request body.
+func bodyReadProblem(err error) *Problem {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return &Problem{Status: http.StatusRequestEntityTooLarge, Message: fmt.Sprintf("the body is over %d bytes", tooLarge.Limit), Outcome: outcome.NotRun}
--- a/internal/peer/caller/chat.go
+++ b/internal/peer/caller/chat.go
@@ -10,8 +10,7 @@
 	"hazelslip/internal/serve/draft"
 )
 
-// The types below follow the published chat-completions protocol and keep its
-// names.
+// The types below are the messages of the published chat-completions protocol.
 
 type chatMessage struct {
 	Role    string `json:"role"`
@@ -74,16 +73,16 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// decodeChat reads and checks a request.
+// decodeChat reads and validates a chat-completions request.
 func decodeChat(request *http.Request) (*chatRequest, *Problem) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		return nil, bodyProblem(err)
+		return nil, bodyReadProblem(err)
 	}
 	return ParseChat(body)
 }
 
-// ParseChat checks the body of a chat-completions request.
+// ParseChat decodes and validates the body of a chat-completions request.
 func ParseChat(body []byte) (*chatRequest, *Problem) {
 	chat := &chatRequest{}
 	if err := json.Unmarshal(body, chat); err != nil {
@@ -92,8 +91,8 @@
 	if len(chat.Messages) == 0 {
 		return nil, badRequest("messages must hold at least one message")
 	}
-	if asked := max(chat.MaxTokens, chat.MaxCompletionTokens); asked > mostMaxTokens || chat.MaxTokens < 0 || chat.MaxCompletionTokens < 0 {
-		return nil, badRequest("max_tokens must be 1 to %d", mostMaxTokens)
+	if requested := max(chat.MaxTokens, chat.MaxCompletionTokens); requested > maxTokensLimit || chat.MaxTokens < 0 || chat.MaxCompletionTokens < 0 {
+		return nil, badRequest("max_tokens must be 1 to %d", maxTokensLimit)
 	}
 	return chat, nil
 }
@@ -109,9 +108,9 @@
 	return prompt.String()
 }
 
-func (chat *chatRequest) tokens() int {
-	if asked := max(chat.MaxTokens, chat.MaxCompletionTokens); asked > 0 {
-		return asked
+func (chat *chatRequest) maxTokens() int {
+	if requested := max(chat.MaxTokens, chat.MaxCompletionTokens); requested > 0 {
+		return requested
 	}
 	return defaultMaxTokens
 }
@@ -124,63 +123,63 @@
 	return chatError{Error: chatErrorDetail{Message: problem.Message, Type: kind, Outcome: string(problem.Outcome)}}
 }
 
-func wholeAnswer(work draft.Request, text string, result draft.Result) chatResponse {
+func completeResponse(job draft.Request, text string, result draft.Result) chatResponse {
 	return chatResponse{
-		ID: work.ID, Object: "chat.completion", Created: time.Now().Unix(), Model: work.Class.Model,
+		ID: job.ID, Object: "chat.completion", Created: time.Now().Unix(), Model: job.Class.Model,
 		Choices: []chatChoice{{Message: &chatMessage{Role: "assistant", Content: text}, FinishReason: &result.Reason}},
-		Usage:   usageOf(work.Prompt, result.Tokens),
+		Usage:   estimateUsage(job.Prompt, result.Tokens),
 	}
 }
 
-// usageOf counts the answer's tokens; those of the prompt are estimated, since
-// only the engine's tokenizer knows.
-func usageOf(prompt string, tokens int) *chatUsage {
+// estimateUsage returns the token usage of a request. The number of prompt tokens is an estimate, since only the engine
+// has the tokenizer.
+func estimateUsage(prompt string, tokens int) *chatUsage {
 	const bytesPerToken = 4
 	estimated := len(prompt) / bytesPerToken
 	return &chatUsage{PromptTokens: estimated, CompletionTokens: tokens, TotalTokens: estimated + tokens}
 }
 
-// eventWriter writes a draft as server-sent events.
+// eventWriter writes the tokens of a draft to a caller as server-sent events.
 type eventWriter struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
 	id         string
 	model      string
 	created    int64
-	begun      bool
+	started    bool
 	buffer     []byte
 }
 
-// writeTimeout bounds one write to a caller that does not read.
+// writeTimeout bounds each write, in case the caller does not read.
 const writeTimeout = 20 * time.Second
 
-func (events *eventWriter) token(token string) error {
+func (events *eventWriter) writeToken(token string) error {
 	delta := &chatDelta{Content: token}
-	if !events.begun {
-		events.begun = true
+	if !events.started {
+		events.started = true
 		delta.Role = "assistant"
 		events.writer.Header().Set("Content-Type", "text/event-stream")
 		events.writer.Header().Set("Cache-Control", "no-store")
 	}
-	return events.chunk(chatChoice{Delta: delta})
+	return events.writeChunk(chatChoice{Delta: delta})
 }
 
-func (events *eventWriter) chunk(choice chatChoice) error {
-	return events.event(chatResponse{
+func (events *eventWriter) writeChunk(choice chatChoice) error {
+	return events.writeEvent(chatResponse{
 		ID: events.id, Object: "chat.completion.chunk", Created: events.created, Model: events.model,
 		Choices: []chatChoice{choice},
 	})
 }
 
-func (events *eventWriter) event(value any) error {
+func (events *eventWriter) writeEvent(value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	return events.line(body)
+	return events.writeData(body)
 }
 
-func (events *eventWriter) line(body []byte) error {
+func (events *eventWriter) writeData(body []byte) error {
 	events.buffer = append(events.buffer[:0], "data: "...)
 	events.buffer = append(events.buffer, body...)
 	events.buffer = append(events.buffer, "\n\n"...)
@@ -191,16 +190,16 @@
 	return events.controller.Flush()
 }
 
-func (events *eventWriter) end(result draft.Result) {
-	if !events.begun {
+func (events *eventWriter) finish(result draft.Result) {
+	if !events.started {
 		events.writer.Header().Set("Content-Type", "text/event-stream")
 	}
-	if err := events.chunk(chatChoice{Delta: &chatDelta{}, FinishReason: &result.Reason}); err != nil {
+	if err := events.writeChunk(chatChoice{Delta: &chatDelta{}, FinishReason: &result.Reason}); err != nil {
 		return
 	}
-	_ = events.line([]byte("[DONE]"))
+	_ = events.writeData([]byte("[DONE]"))
 }
 
-func (events *eventWriter) fail(problem Problem) {
-	_ = events.event(errorBody(problem.Status, problem))
+func (events *eventWriter) writeError(problem Problem) {
+	_ = events.writeEvent(errorBody(problem.Status, problem))
 }
--- a/internal/peer/caller/services.go
+++ b/internal/peer/caller/services.go
@@ -19,47 +19,47 @@
 	"hazelslip/internal/state/booking"
 )
 
-// HeaderKey is the usual header for a key under which a call runs once.
-const HeaderKey = "Idempotency-Key"
+// HeaderIdempotencyKey is the conventional header for a key under which a call is executed at most once.
+const HeaderIdempotencyKey = "Idempotency-Key"
 
 const (
-	maxKeyBytes     = 256
-	maxAnswerBytes  = 8 << 20
-	repeatableTries = 3
-	serviceTimeout  = 30 * time.Second
+	maxKeyBytes          = 256
+	maxResponseBytes     = 8 << 20
+	maxRetryableAttempts = 3
+	serviceTimeout       = 30 * time.Second
 )
 
-// Services passes calls on to plain services.
+// Services forwards calls to plain services.
 type Services struct {
-	// Names tells of a service whether it is known.
+	// Known reports whether a service exists.
 	Known func(name string) bool
-	// Repeatable tells whether calls of a method to a service may be repeated.
-	Repeatable func(name, method string) bool
-	// Addresses returns the live servers of a service, in the order to try.
+	// Retryable reports whether calls of a service with an HTTP method may be executed more than once.
+	Retryable func(name, method string) bool
+	// Addresses returns the addresses of a service's live servers, in the order in which to try them.
 	Addresses func(name string) []string
-	// Call makes one call.
+	// Call sends one call to the service at an address.
 	Call func(ctx context.Context, address string, call service.Call) (*http.Response, error)
-	// Bookings runs calls that may not be repeated.
+	// Bookings executes calls with an idempotency key at most once.
 	Bookings *booking.Keeper
-	// Forward passes a call with a ticket to the node that issued it.
-	Forward func(ctx context.Context, name string, call service.Call, body []byte, key string, digest []byte) booking.Answer
-	// Incarnation is this node's.
+	// ForwardToIssuer sends a call with a ticket to the node that issued the ticket.
+	ForwardToIssuer func(ctx context.Context, name string, call service.Call, body []byte, key string, digest []byte) booking.Answer
+	// Incarnation is the incarnation number of this node.
 	Incarnation  uint64
 	MaxBodyBytes int64
-	// Budget bounds the calls that are tried again.
+	// Budget bounds the number of retries.
 	Budget *retry.Budget
 }
 
 func (services *Services) serveTicket(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	key, err := services.Bookings.Issue()
 	if err != nil {
-		Refuse(writer, http.StatusServiceUnavailable, Problem{Message: err.Error(), Outcome: outcome.NotRun, RetryAfter: time.Second})
+		WriteProblem(writer, http.StatusServiceUnavailable, Problem{Message: err.Error(), Outcome: outcome.NotRun, RetryAfter: time.Second})
 		return
 	}
 	writeJSON(writer, Ticket{Key: key, ValidSeconds: int(booking.TicketWindow.Seconds())})
 }
 
-// Ticket is a key that only the node that issued it may run.
+// Ticket is an idempotency key whose calls only the issuing node executes.
 type Ticket struct {
 	Key          string
 	ValidSeconds int
@@ -68,13 +68,13 @@
 func (services *Services) serve(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 	name := params.ByName("Service")
 	if !services.Known(name) {
-		Refuse(writer, http.StatusNotFound, Problem{Message: fmt.Sprintf("there is no service %q", name), Outcome: outcome.NotRun})
+		WriteProblem(writer, http.StatusNotFound, Problem{Message: fmt.Sprintf("there is no service %q", name), Outcome: outcome.NotRun})
 		return
 	}
-	keys := request.Header.Values(HeaderKey)
+	keys := request.Header.Values(HeaderIdempotencyKey)
 	if len(keys) > 1 || (len(keys) == 1 && (keys[0] == "" || len(keys[0]) > maxKeyBytes)) {
-		problem := badRequest("the header %s must stand once, with 1 to %d characters", HeaderKey, maxKeyBytes)
-		Refuse(writer, problem.Status, *problem)
+		problem := badRequest("the header %s must stand once, with 1 to %d characters", HeaderIdempotencyKey, maxKeyBytes)
+		WriteProblem(writer, problem.Status, *problem)
 		return
 	}
 	request.Body = http.MaxBytesReader(writer, request.Body, services.MaxBodyBytes)
@@ -86,31 +86,31 @@
 		call.Body = request.Body
 	}
 	switch {
-	case services.Repeatable(name, request.Method):
-		services.repeatable(writer, request, name, call)
+	case services.Retryable(name, request.Method):
+		services.serveRetryable(writer, request, name, call)
 	case len(keys) == 0:
-		services.once(writer, request, name, call)
+		services.serveOnce(writer, request, name, call)
 	default:
-		services.keyed(writer, request, name, call, keys[0])
+		services.serveKeyed(writer, request, name, call, keys[0])
 	}
 }
 
-// once sends a call without a key. It goes to another server only while no
-// byte of it has left, so it runs at most once.
-func (services *Services) once(writer http.ResponseWriter, request *http.Request, name string, call service.Call) {
-	response, err := services.firstConnected(request.Context(), name, call)
+// serveOnce sends a call without an idempotency key. The call is retried on another server only if no byte of it was
+// sent, so it is executed at most once.
+func (services *Services) serveOnce(writer http.ResponseWriter, request *http.Request, name string, call service.Call) {
+	response, err := services.callFirstReachable(request.Context(), name, call)
 	if err != nil {
-		refuseCall(writer, err)
+		writeCallError(writer, err)
 		return
 	}
-	passOn(writer, response)
+	relayResponse(writer, response)
 }
 
-// firstConnected tries servers until one is connected to. The dialler of each
-// try reads nothing of the body, so the next try sends it whole.
-func (services *Services) firstConnected(ctx context.Context, name string, call service.Call) (*http.Response, error) {
+// callFirstReachable sends a call to the first server that accepts a connection. An attempt that fails to connect does
+// not read the body, so the next attempt can send the complete body.
+func (services *Services) callFirstReachable(ctx context.Context, name string, call service.Call) (*http.Response, error) {
 	err := errors.Mark(errors.Newf("no server of %s is known", name), service.ErrNotSent)
-	body := &untouched{reader: call.Body}
+	body := &readTracker{reader: call.Body}
 	if call.Body != nil {
 		call.Body = body
 	}
@@ -119,81 +119,81 @@
 		if response, err = services.Call(ctx, address, call); err == nil {
 			return response, nil
 		}
-		if !errors.Is(err, service.ErrNotSent) || body.touched.Load() {
+		if !errors.Is(err, service.ErrNotSent) || body.started.Load() {
 			return nil, err
 		}
 	}
 	return nil, err
 }
 
-// untouched remembers whether a body was read from. It is not closed by a try
-// that never read it.
-type untouched struct {
+// readTracker records whether a body was read. It has no Close method, so an attempt that did not read the body can't
+// close it.
+type readTracker struct {
 	reader  io.Reader
-	touched atomic.Bool
+	started atomic.Bool
 }
 
-func (untouched *untouched) Read(buffer []byte) (int, error) {
-	untouched.touched.Store(true)
-	return untouched.reader.Read(buffer)
+func (tracker *readTracker) Read(buffer []byte) (int, error) {
+	tracker.started.Store(true)
+	return tracker.reader.Read(buffer)
 }
 
-// repeatable tries other servers after a failure, as far as the budget goes.
-func (services *Services) repeatable(writer http.ResponseWriter, request *http.Request, name string, call service.Call) {
+// serveRetryable retries a failed call on other servers, within the limits of maxRetryableAttempts and the retry budget.
+func (services *Services) serveRetryable(writer http.ResponseWriter, request *http.Request, name string, call service.Call) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		problem := bodyProblem(err)
-		Refuse(writer, problem.Status, *problem)
+		problem := bodyReadProblem(err)
+		WriteProblem(writer, problem.Status, *problem)
 		return
 	}
 	call.Length = int64(len(body))
 	err = errors.Mark(errors.Newf("no server of %s is known", name), service.ErrNotSent)
-	for try, address := range services.Addresses(name) {
-		if try >= repeatableTries || (try > 0 && !services.Budget.Take()) {
+	for attempt, address := range services.Addresses(name) {
+		if attempt >= maxRetryableAttempts || (attempt > 0 && !services.Budget.Take()) {
 			break
 		}
 		var response *http.Response
 		call.Body = bytes.NewReader(body)
 		if response, err = services.Call(request.Context(), address, call); err == nil {
 			services.Budget.Succeeded()
-			passOn(writer, response)
+			relayResponse(writer, response)
 			return
 		}
 	}
-	refuseCall(writer, err)
+	writeCallError(writer, err)
 }
 
-// keyed runs a call at most once under its key.
-func (services *Services) keyed(writer http.ResponseWriter, request *http.Request, name string, call service.Call, key string) {
+// serveKeyed executes a call at most once for its idempotency key.
+func (services *Services) serveKeyed(writer http.ResponseWriter, request *http.Request, name string, call service.Call, key string) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		problem := bodyProblem(err)
-		Refuse(writer, problem.Status, *problem)
+		problem := bodyReadProblem(err)
+		WriteProblem(writer, problem.Status, *problem)
 		return
 	}
 	digest := Digest(name, call, body)
 	issuer, ticketed := booking.TicketIssuer(key)
-	var answer booking.Answer
+	var result booking.Answer
 	switch {
 	case ticketed && (issuer == services.Incarnation || services.Bookings.Adopted(issuer)):
-		answer = services.RunTicket(request.Context(), name, call, body, key, digest)
+		result = services.RunTicket(request.Context(), name, call, body, key, digest)
 	case ticketed:
-		answer = services.Forward(request.Context(), name, call, body, key, digest)
+		result = services.ForwardToIssuer(request.Context(), name, call, body, key, digest)
 	default:
-		answer = services.Bookings.Run(request.Context(), booking.Call{
-			// Two services may be given the same key by their callers.
+		result = services.Bookings.Run(request.Context(), booking.Call{
+			// Callers may use the same key for two services.
 			Key: name + "/" + key, Digest: digest, Send: services.sender(name, call, body),
 		})
 	}
-	writeAnswer(writer, answer)
+	writeResult(writer, result)
 }
 
-// RunTicket runs a call under a ticket that this node answers for.
+// RunTicket executes a call with a ticket that this node issued or whose issuer's tickets it has adopted.
 func (services *Services) RunTicket(ctx context.Context, name string, call service.Call, body []byte, key string, digest []byte) booking.Answer {
 	return services.Bookings.RunTicket(ctx, booking.Call{Key: key, Digest: digest, Send: services.sender(name, call, body)})
 }
 
-// Digest tells two calls under the same key apart.
+// Digest returns a hash of a call. It detects different calls that use the same idempotency key.
 func Digest(name string, call service.Call, body []byte) []byte {
 	hash := sha256.New()
 	_, _ = fmt.Fprintf(hash, "%s\n%s\n%s\n%s\n", name, call.Method, call.Path, call.Query)
@@ -201,7 +201,7 @@
 	return hash.Sum(nil)[:16]
 }
 
-// sender returns the function that makes the call once.
+// sender returns a function that sends the call. It tries the next server only if no byte of the call was sent.
 func (services *Services) sender(name string, call service.Call, body []byte) func(ctx context.Context) booking.Answer {
 	return func(ctx context.Context) booking.Answer {
 		ctx, cancel := context.WithTimeout(ctx, serviceTimeout)
@@ -212,7 +212,7 @@
 			var response *http.Response
 			call.Body = bytes.NewReader(body)
 			if response, err = services.Call(ctx, address, call); err == nil {
-				return readAnswer(response)
+				return readResult(response)
 			}
 			if !errors.Is(err, service.ErrNotSent) {
 				return booking.Answer{Outcome: outcome.Unknown, Cause: "the call was sent and its answer was lost"}
@@ -222,12 +222,12 @@
 	}
 }
 
-// readAnswer reads a service's answer whole. One that breaks off has run all
-// the same, and what it said is not known.
-func readAnswer(response *http.Response) booking.Answer {
+// readResult reads the complete response of a service. If the response is incomplete or exceeds maxResponseBytes, the
+// call was executed but its result is unknown.
+func readResult(response *http.Response) booking.Answer {
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
-	if err != nil || len(body) > maxAnswerBytes {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err != nil || len(body) > maxResponseBytes {
 		return booking.Answer{Outcome: outcome.Unknown, Cause: "the service's answer broke off or was too large"}
 	}
 	return booking.Answer{
@@ -236,42 +236,41 @@
 	}
 }
 
-// HeaderReplayed marks an answer that was kept from the run of an earlier
-// request under the same key.
+// HeaderReplayed marks a stored response of an earlier request with the same key.
 const HeaderReplayed = "Hazelslip-Replayed"
 
-func writeAnswer(writer http.ResponseWriter, answer booking.Answer) {
-	if answer.Outcome == outcome.Run {
-		writer.Header().Set(outcome.Header, string(answer.Outcome))
-		if answer.Replayed {
+func writeResult(writer http.ResponseWriter, result booking.Answer) {
+	if result.Outcome == outcome.Run {
+		writer.Header().Set(outcome.Header, string(result.Outcome))
+		if result.Replayed {
 			writer.Header().Set(HeaderReplayed, "true")
 		}
-		writer.Header().Set("Content-Type", answer.ContentType)
-		writer.WriteHeader(answer.Status)
-		_, _ = writer.Write(answer.Body)
+		writer.Header().Set("Content-Type", result.ContentType)
+		writer.WriteHeader(result.Status)
+		_, _ = writer.Write(result.Body)
 		return
 	}
 	status := http.StatusBadGateway
 	switch {
-	case answer.Conflict:
+	case result.Conflict:
 		status = http.StatusUnprocessableEntity
-	case answer.Outcome == outcome.NotRun:
+	case result.Outcome == outcome.NotRun:
 		status = http.StatusServiceUnavailable
 	}
-	Refuse(writer, status, Problem{Message: answer.Cause, Outcome: answer.Outcome, RetryAfter: answer.RetryAfter})
+	WriteProblem(writer, status, Problem{Message: result.Cause, Outcome: result.Outcome, RetryAfter: result.RetryAfter})
 }
 
-func refuseCall(writer http.ResponseWriter, err error) {
+func writeCallError(writer http.ResponseWriter, err error) {
 	if errors.Is(err, service.ErrNotSent) {
-		Refuse(writer, http.StatusServiceUnavailable, Problem{Message: err.Error(), Outcome: outcome.NotRun, RetryAfter: time.Second})
+		WriteProblem(writer, http.StatusServiceUnavailable, Problem{Message: err.Error(), Outcome: outcome.NotRun, RetryAfter: time.Second})
 		return
 	}
-	Refuse(writer, http.StatusBadGateway, Problem{Message: err.Error(), Outcome: outcome.Unknown})
+	WriteProblem(writer, http.StatusBadGateway, Problem{Message: err.Error(), Outcome: outcome.Unknown})
 }
 
-// passOn streams a service's answer to the caller. An answer that breaks off
-// breaks the caller's connection too, so that it is not taken for whole.
-func passOn(writer http.ResponseWriter, response *http.Response) {
+// relayResponse streams a service's response to the caller. If the response ends early, the caller's connection is
+// aborted, so that the caller doesn't mistake the response for complete.
+func relayResponse(writer http.ResponseWriter, response *http.Response) {
 	defer response.Body.Close()
 	for name, values := range response.Header {
 		writer.Header()[name] = values
--- a/internal/run/node/input_test.go
+++ b/internal/run/node/input_test.go
@@ -40,10 +40,10 @@
 		{"no messages", chat, `{}`, class, http.StatusBadRequest, "at least one message"},
 		{"too many tokens", chat, strings.Replace(good, ":2}", ":100000}", 1), class, http.StatusBadRequest, "max_tokens"},
 		{"a class twice", chat, good, http.Header{caller.HeaderClass: {"report", "report"}}, http.StatusBadRequest, "more than once"},
-		{"a key twice", "/services/scheduling/slots", "x", http.Header{caller.HeaderKey: {"a", "b"}}, http.StatusBadRequest, "must stand once"},
-		{"an empty key", "/services/scheduling/slots", "x", http.Header{caller.HeaderKey: {""}}, http.StatusBadRequest, "must stand once"},
+		{"a key twice", "/services/scheduling/slots", "x", http.Header{caller.HeaderIdempotencyKey: {"a", "b"}}, http.StatusBadRequest, "must stand once"},
+		{"an empty key", "/services/scheduling/slots", "x", http.Header{caller.HeaderIdempotencyKey: {""}}, http.StatusBadRequest, "must stand once"},
 		{"an unknown service", "/services/none/slots", "x", nil, http.StatusNotFound, "there is no service"},
-		{"an oversized booking", "/services/scheduling/slots", strings.Repeat("x", 2<<20), http.Header{caller.HeaderKey: {"big"}}, http.StatusRequestEntityTooLarge, "over 1048576 bytes"},
+		{"an oversized booking", "/services/scheduling/slots", strings.Repeat("x", 2<<20), http.Header{caller.HeaderIdempotencyKey: {"big"}}, http.StatusRequestEntityTooLarge, "over 1048576 bytes"},
 		{"an unknown path", "/v2/none", "x", nil, http.StatusNotFound, "there is nothing at"},
 	}
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
--- a/internal/run/node/node.go
+++ b/internal/run/node/node.go
@@ -320,7 +320,7 @@
 	node.drafts = draft.New(node.router, node.gate, node.drafting.Generate, func() int { return len(node.members.Live()) }, node.now, retry.New(node.policies.Retry...))
 	handler := &caller.Handler{
 		Classes: node.classes.Snapshot, Drafts: node.drafts, Journal: node.journal, Ready: node.Ready,
-		Begin: node.requests.begin, MaxBodyBytes: node.settings.Limits.MaxBodyBytes,
+		TrackRequest: node.requests.begin, MaxBodyBytes: node.settings.Limits.MaxBodyBytes,
 		Services: node.calls,
 	}
 	node.callerServer = &http.Server{
@@ -344,12 +344,12 @@
 func (node *Node) callerServices() *caller.Services {
 	return &caller.Services{
 		Known: func(name string) bool { _, ok := node.service(name); return ok },
-		Repeatable: func(name, method string) bool {
+		Retryable: func(name, method string) bool {
 			found, _ := node.service(name)
 			return slices.Contains(found.Repeatable, method)
 		},
 		Addresses: node.serviceAddresses, Call: node.services.Call, Bookings: node.bookings,
-		Forward: node.forwardTicket, Incarnation: node.Incarnation,
+		ForwardToIssuer: node.forwardTicket, Incarnation: node.Incarnation,
 		MaxBodyBytes: node.settings.Limits.MaxBodyBytes, Budget: retry.New(),
 	}
 }
--- a/internal/run/node/state_bench_test.go
+++ b/internal/run/node/state_bench_test.go
@@ -147,7 +147,7 @@
 			if err != nil {
 				return
 			}
-			request.Header.Set(caller.HeaderKey, fmt.Sprintf("%d-%v-%d-%d", rate, single, b.N, index))
+			request.Header.Set(caller.HeaderIdempotencyKey, fmt.Sprintf("%d-%v-%d-%d", rate, single, b.N, index))
 			began := time.Now()
 			response, err := client.Do(request)
 			if err != nil {
--- a/internal/testlib/fleet/fleet.go
+++ b/internal/testlib/fleet/fleet.go
@@ -261,5 +261,5 @@
 
 // Book makes a call under a key that may not be repeated.
 func (fleet *Fleet) Book(index int, key, body string) Answer {
-	return fleet.Call(index, http.MethodPost, "/services/"+demo.ServiceName+"/slots", http.Header{caller.HeaderKey: {key}}, body)
+	return fleet.Call(index, http.MethodPost, "/services/"+demo.ServiceName+"/slots", http.Header{caller.HeaderIdempotencyKey: {key}}, body)
 }
