--- a/internal/peer/engine/traffic.go
+++ b/internal/peer/engine/counters.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Traffic counts control requests to engines. All fields only grow.
-type Traffic struct {
+// Counters count control requests to engines. All fields only grow.
+type Counters struct {
 	Requests atomic.Uint64
 	Failures atomic.Uint64
 }
--- a/internal/peer/engine/engine.go
+++ b/internal/peer/engine/engine.go
@@ -1,16 +1,17 @@
-// Package engine talks to the model engines, the backend servers whose
+// Package engine is a client of the model engines, the backend servers whose
 // instances form replica groups.
 //
-// It reads reports, gives orders that carry a fencing number, and opens draft
-// streams. The wire format of the engines is known to this package only, so
-// that another engine is a change of one package. Every failure is sorted by
-// what it proves: ErrRefused and ErrNotSent mean that the work did not run.
+// The client reads reports, sends orders that carry a fencing number, and opens
+// draft streams. Only this package knows the wire format of the engines, so that
+// support for another engine changes one package. Errors are classified by
+// whether the engine may have executed the request: ErrRefused and ErrNotSent mean
+// that it did not.
 //
 // # Usage
 //
 //	client := engine.New()
 //	report, err := client.Report(ctx, "127.0.0.1:7100")
-//	stream, err := client.Generate(ctx, "127.0.0.1:7100", engine.Generate{...})
+//	stream, err := client.Generate(ctx, "127.0.0.1:7100", engine.GenerateRequest{...})
 //	for {
 //		piece, err := stream.Next()
 //	}
@@ -29,17 +30,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of an engine. Use errors.Is.
+// Errors of a request to an engine. Use errors.Is.
 var (
 	// ErrNotSent means that no byte of the request left this process.
-	ErrNotSent = errors.New("the engine could not be connected to")
-	// ErrRefused means that the engine itself says that it did not run it.
+	ErrNotSent = errors.New("could not connect to the engine")
+	// ErrRefused means that the engine reported that it did not execute the request.
 	ErrRefused = errors.New("the engine refused the request")
-	// ErrBroken means that the engine's answer ended before its end.
-	ErrBroken = errors.New("the engine's answer broke off")
+	// ErrInterrupted means that the request was or may have been sent and no complete, valid response arrived.
+	ErrInterrupted = errors.New("the engine's response is incomplete or invalid")
 )
 
-// The states that an engine reports.
+// Values of Report.State.
 const (
 	StateIdle    = "Idle"
 	StateLoading = "Loading"
@@ -51,12 +52,12 @@
 	requestTimeout = 2 * time.Second
 	maxReplyBytes  = 1 << 20
 	maxPieceBytes  = 256 << 10
-	// maxTrailerBytes is what may follow the last piece.
+	// maxTrailerBytes bounds the bytes that Close reads after the last piece.
 	maxTrailerBytes = 512
 	idleConns       = 256
 )
 
-// Report is what an engine says of itself. Rates are in tokens a second.
+// Report is the status that an engine reports. Rates are in tokens per second.
 type Report struct {
 	Instance         string
 	Address          string
@@ -74,28 +75,27 @@
 	Leaving          bool
 }
 
-// Order tells an engine to become a member of a group, or, with no Members,
-// to leave the group it is in. Number is the fencing number; for a forming
-// order it is also the group's identity.
+// Order tells an engine to join a group or, if Members is empty, to leave its current group. Number is the fencing
+// number. In an order to join it is also the number that identifies the group.
 type Order struct {
 	Number  uint64
 	Model   string
 	Members []string
-	// Release empties the engine only if it is still in this group.
+	// Release makes the engine leave its group only if that is still this group.
 	Release uint64
 }
 
-// OrderReply is the engine's answer to an order. Highest is the highest
-// fencing number that it has accepted, where it keeps one.
+// OrderReply is the engine's reply to an order. Highest is the highest fencing number that the engine has accepted, if
+// it records one.
 type OrderReply struct {
 	Accepted bool
 	Highest  uint64
 	Cause    string
 }
 
-// Generate asks the first member of a group for tokens. Resume holds the
-// tokens that the caller already has, so that the answer goes on after them.
-type Generate struct {
+// GenerateRequest asks the first member of a group to generate tokens. Resume holds the tokens that were already
+// received; the engine continues after them.
+type GenerateRequest struct {
 	Group     uint64
 	Attempt   uint64
 	Model     string
@@ -106,7 +106,7 @@
 	Workspace string
 }
 
-// Piece is one token of an answer, or its end.
+// Piece is one line of a draft stream: a token or the end of the stream.
 type Piece struct {
 	Attempt uint64
 	Offset  int
@@ -116,25 +116,24 @@
 	Failure string
 }
 
-// Client talks to any number of engines. Its zero value is not usable; call
-// New.
+// Client sends requests to any number of engines. The zero value is not usable; call New.
 type Client struct {
 	httpClient *http.Client
-	// Traffic counts the control requests.
-	Traffic Traffic
+	// Counters count the control requests, which are reports and orders.
+	Counters Counters
 }
 
-// Option changes how a Client is built.
+// Option configures a Client.
 type Option func(*Client)
 
-// Dial makes the client connect through the given function.
+// Dial sets the function that opens connections.
 func Dial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(client *Client) {
 		client.httpClient.Transport.(*http.Transport).DialContext = dial
 	}
 }
 
-// New returns a client of engines.
+// New returns a client without connections.
 func New(options ...Option) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -150,12 +149,12 @@
 	return client
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (client *Client) Close() {
 	client.httpClient.CloseIdleConnections()
 }
 
-// Report reads one engine's report.
+// Report reads the report of one engine.
 func (client *Client) Report(ctx context.Context, address string) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -164,13 +163,13 @@
 		return Report{}, errors.Wrap(err, "build report request")
 	}
 	var report Report
-	if err := client.exchange(request, &report); err != nil {
-		return Report{}, errors.Wrapf(err, "report of %s", address)
+	if err := client.doJSON(request, &report); err != nil {
+		return Report{}, errors.Wrapf(err, "read report of engine %s", address)
 	}
 	return report, nil
 }
 
-// Order gives one order. An error leaves open whether it was taken.
+// Order sends one order. After an error it is unknown whether the engine has accepted the order.
 func (client *Client) Order(ctx context.Context, address string, order Order) (OrderReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -183,17 +182,17 @@
 		return OrderReply{}, errors.Wrap(err, "build order")
 	}
 	var reply OrderReply
-	if err := client.exchange(request, &reply); err != nil {
-		return OrderReply{}, errors.Wrapf(err, "order to %s", address)
+	if err := client.doJSON(request, &reply); err != nil {
+		return OrderReply{}, errors.Wrapf(err, "send order to engine %s", address)
 	}
 	return reply, nil
 }
 
-func (client *Client) exchange(request *http.Request, reply any) error {
-	client.Traffic.Requests.Add(1)
+func (client *Client) doJSON(request *http.Request, reply any) error {
+	client.Counters.Requests.Add(1)
 	response, err := client.httpClient.Do(request)
 	if err != nil {
-		client.Traffic.Failures.Add(1)
+		client.Counters.Failures.Add(1)
 		return err
 	}
 	defer response.Body.Close()
@@ -202,49 +201,49 @@
 		return errors.Wrap(err, "read reply")
 	}
 	if response.StatusCode != http.StatusOK {
-		return errors.Newf("answered %s", response.Status)
+		return errors.Newf("engine responded %s", response.Status)
 	}
 	return errors.Wrap(json.Unmarshal(body, reply), "decode reply")
 }
 
-// Generate opens a draft stream. The error is ErrNotSent or ErrRefused where
-// the work provably did not run.
-func (client *Client) Generate(ctx context.Context, address string, generate Generate) (*Stream, error) {
+// Generate opens a draft stream. The error is ErrNotSent or ErrRefused if the engine certainly did not execute the
+// request.
+func (client *Client) Generate(ctx context.Context, address string, generate GenerateRequest) (*Stream, error) {
 	body, err := json.Marshal(generate)
 	if err != nil {
-		return nil, errors.Mark(errors.Wrap(err, "encode generate"), ErrNotSent)
+		return nil, errors.Mark(errors.Wrap(err, "encode generate request"), ErrNotSent)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/generate", bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Mark(errors.Wrap(err, "build generate"), ErrNotSent)
+		return nil, errors.Mark(errors.Wrap(err, "build generate request"), ErrNotSent)
 	}
 	response, err := client.httpClient.Do(request)
 	if err != nil {
-		return nil, errors.Wrapf(markDial(err), "generate at %s", address)
+		return nil, errors.Wrapf(markConnectError(err), "send generate request to engine %s", address)
 	}
 	if response.StatusCode == http.StatusOK {
 		return newStream(response.Body), nil
 	}
 	defer response.Body.Close()
 	cause, _ := io.ReadAll(io.LimitReader(response.Body, 1024))
-	failure := errors.Newf("generate at %s: answered %s: %s", address, response.Status, cause)
+	failure := errors.Newf("send generate request to engine %s: engine responded %s: %s", address, response.Status, cause)
 	switch response.StatusCode {
 	case http.StatusConflict, http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return nil, errors.Mark(failure, ErrRefused)
 	}
-	return nil, errors.Mark(failure, ErrBroken)
+	return nil, errors.Mark(failure, ErrInterrupted)
 }
 
-// markDial tells a connection that was never made from one that broke later.
-func markDial(err error) error {
+// markConnectError marks an error as ErrNotSent if no connection was opened, otherwise as ErrInterrupted.
+func markConnectError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return errors.Mark(err, ErrNotSent)
 	}
-	return errors.Mark(err, ErrBroken)
+	return errors.Mark(err, ErrInterrupted)
 }
 
-// Stream is an answer being read. Next and Close belong to one goroutine.
+// Stream reads the pieces of one response. Next and Close must be called from the same goroutine.
 type Stream struct {
 	body    io.ReadCloser
 	scanner *bufio.Scanner
@@ -257,36 +256,36 @@
 	return &Stream{body: body, scanner: scanner}
 }
 
-// Next returns the next piece. A stream that ends without an End piece gives
-// ErrBroken, so a cut connection is never taken for the end of an answer.
+// Next returns the next piece. A stream that ends without an End piece returns ErrInterrupted, so a broken connection is
+// never mistaken for the end of the response.
 func (stream *Stream) Next() (Piece, error) {
 	if !stream.scanner.Scan() {
 		cause := stream.scanner.Err()
 		if cause == nil {
 			cause = io.ErrUnexpectedEOF
 		}
-		return Piece{}, errors.Mark(errors.Wrap(cause, "read piece"), ErrBroken)
+		return Piece{}, errors.Mark(errors.Wrap(cause, "read piece"), ErrInterrupted)
 	}
 	piece, err := ParsePiece(stream.scanner.Bytes())
 	stream.ended = stream.ended || (err == nil && piece.End)
 	return piece, err
 }
 
-// ParsePiece decodes one line of an engine's answer.
+// ParsePiece decodes one line of a draft stream.
 func ParsePiece(line []byte) (Piece, error) {
 	var piece Piece
 	if err := json.Unmarshal(line, &piece); err != nil {
-		return Piece{}, errors.Mark(errors.Wrap(err, "decode piece"), ErrBroken)
+		return Piece{}, errors.Mark(errors.Wrap(err, "decode piece"), ErrInterrupted)
 	}
 	if piece.Offset < 0 {
-		return Piece{}, errors.Mark(errors.Newf("a piece at position %d", piece.Offset), ErrBroken)
+		return Piece{}, errors.Mark(errors.Newf("decode piece: negative offset %d", piece.Offset), ErrInterrupted)
 	}
 	return piece, nil
 }
 
-// Close ends the stream. Before its end the engine sees the connection close
-// and cancels; after it, the few bytes behind the last piece are read, so that
-// the connection can be used again instead of a new one for each draft.
+// Close ends the stream. If the End piece was not read, Close closes the connection, upon which the engine cancels the
+// request. Otherwise Close first reads the few bytes after the End piece, so that the connection can be reused and not
+// each draft needs a new one.
 func (stream *Stream) Close() error {
 	if stream.ended {
 		_, _ = io.CopyN(io.Discard, stream.body, maxTrailerBytes)
--- a/internal/peer/engine/engine_test.go
+++ b/internal/peer/engine/engine_test.go
@@ -6,7 +6,7 @@
 	"hazelslip/internal/peer/engine"
 )
 
-// FuzzParsePiece feeds a line of an engine's answer.
+// FuzzParsePiece feeds arbitrary lines of a draft stream. ParsePiece must reject negative offsets.
 func FuzzParsePiece(f *testing.F) {
 	f.Add([]byte(`{"Attempt":1,"Offset":0,"Token":"a "}`))
 	f.Add([]byte(`{"Offset":-1}`))
@@ -14,7 +14,7 @@
 	f.Fuzz(func(t *testing.T, line []byte) {
 		piece, err := engine.ParsePiece(line)
 		if err == nil && piece.Offset < 0 {
-			t.Fatal("a negative position was accepted")
+			t.Fatal("ParsePiece accepted a negative offset")
 		}
 	})
 }
--- a/internal/run/node/overhead_test.go
+++ b/internal/run/node/overhead_test.go
@@ -65,7 +65,7 @@
 // direct asks the group's first engine without a node.
 func direct(ctx context.Context, client *engine.Client, group uint64, address string, tokens int) (first time.Duration, err error) {
 	began := time.Now()
-	stream, err := client.Generate(ctx, address, engine.Generate{Group: group, Attempt: 1, Model: "drafting", Prompt: "bench", MaxTokens: tokens})
+	stream, err := client.Generate(ctx, address, engine.GenerateRequest{Group: group, Attempt: 1, Model: "drafting", Prompt: "bench", MaxTokens: tokens})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/run/node/state.go
+++ b/internal/run/node/state.go
@@ -83,7 +83,7 @@
 	return TrafficState{
 		PeerAsked: node.peers.Traffic.Requests.Load(), PeerFailures: node.peers.Traffic.Failures.Load(),
 		PeerAnswered: node.server.Traffic.Requests.Load(), PeerBadFrames: node.server.Traffic.BadFrames.Load(),
-		EngineRequests: node.engines.Traffic.Requests.Load(), EngineFailures: node.engines.Traffic.Failures.Load(),
+		EngineRequests: node.engines.Counters.Requests.Load(), EngineFailures: node.engines.Counters.Failures.Load(),
 		Peers: node.metered.peers.State(), Engines: node.metered.engines.State(),
 		Platform: node.metered.platform.State(), Drafts: node.metered.drafts.State(),
 	}
--- a/internal/serve/draft/draft.go
+++ b/internal/serve/draft/draft.go
@@ -106,7 +106,7 @@
 	router   *route.Router
 	gate     *admission.Gate
 	budget   *retry.Budget
-	generate func(ctx context.Context, address string, generate engine.Generate) (*engine.Stream, error)
+	generate func(ctx context.Context, address string, generate engine.GenerateRequest) (*engine.Stream, error)
 	now      clock.Now
 	nodes    func() int
 
@@ -119,7 +119,7 @@
 func New(
 	router *route.Router,
 	gate *admission.Gate,
-	generate func(ctx context.Context, address string, generate engine.Generate) (*engine.Stream, error),
+	generate func(ctx context.Context, address string, generate engine.GenerateRequest) (*engine.Stream, error),
 	nodes func() int,
 	now clock.Now,
 	budget *retry.Budget,
@@ -303,7 +303,7 @@
 	// for ever; the watchdog closes the connection instead.
 	watchdog := time.AfterFunc(work.firstPatience(), cancel)
 	defer watchdog.Stop()
-	stream, err := work.server.generate(ctx, choice.Target.Leader, engine.Generate{
+	stream, err := work.server.generate(ctx, choice.Target.Leader, engine.GenerateRequest{
 		Group: choice.Target.Number, Attempt: number, Model: work.request.Class.Model,
 		Prompt: work.request.Prompt, Resume: work.tokens, MaxTokens: work.request.MaxTokens,
 		Priority: work.request.Priority, Workspace: work.request.Workspace,
--- a/internal/serve/draft/reader.go
+++ b/internal/serve/draft/reader.go
@@ -30,7 +30,7 @@
 		case piece.Attempt != reader.attempt:
 			reader.work.server.piecesDropped.Add(1)
 		case piece.Failure != "":
-			return "", errors.Mark(errors.Newf("the engine gave up: %s", piece.Failure), engine.ErrBroken)
+			return "", errors.Mark(errors.Newf("the engine gave up: %s", piece.Failure), engine.ErrInterrupted)
 		case piece.End:
 			return piece.Reason, reader.checkEnd(piece)
 		default:
@@ -44,7 +44,7 @@
 // checkEnd refuses an end that comes before the tokens it stands behind.
 func (reader *reader) checkEnd(piece engine.Piece) error {
 	if piece.Offset != len(reader.work.tokens) {
-		return errors.Mark(errors.Newf("the answer ended at %d with %d tokens", piece.Offset, len(reader.work.tokens)), engine.ErrBroken)
+		return errors.Mark(errors.Newf("the answer ended at %d with %d tokens", piece.Offset, len(reader.work.tokens)), engine.ErrInterrupted)
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 		return nil
 	}
 	if len(reader.held) >= heldMost {
-		return errors.Mark(errors.New("too many pieces came out of order"), engine.ErrBroken)
+		return errors.Mark(errors.New("too many pieces came out of order"), engine.ErrInterrupted)
 	}
 	reader.held[piece.Offset] = piece.Token
 	for {
--- a/internal/standin/engine/draft.go
+++ b/internal/standin/engine/draft.go
@@ -45,7 +45,7 @@
 }
 
 func (engine *Engine) serveGenerate(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
-	var generate peer.Generate
+	var generate peer.GenerateRequest
 	if err := json.NewDecoder(request.Body).Decode(&generate); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
@@ -64,7 +64,7 @@
 	answer.run()
 }
 
-func (engine *Engine) admit(generate peer.Generate) (members []string, refusal string) {
+func (engine *Engine) admit(generate peer.GenerateRequest) (members []string, refusal string) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	switch {
@@ -142,7 +142,7 @@
 }
 
 // prefill is how long the prompt takes, less what the prefix cache holds.
-func (engine *Engine) prefill(generate peer.Generate) time.Duration {
+func (engine *Engine) prefill(generate peer.GenerateRequest) time.Duration {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	tokens := len(generate.Prompt)/bytesPerToken + len(generate.Resume)
@@ -180,7 +180,7 @@
 // answer is one draft being written.
 type answer struct {
 	engine   *Engine
-	generate peer.Generate
+	generate peer.GenerateRequest
 	members  []string
 	writer   http.ResponseWriter
 	ctx      context.Context
