--- a/internal/peer/node/node.go
+++ b/internal/peer/node/node.go
@@ -1,16 +1,16 @@
-// Package node carries questions between the nodes of the system: one TCP
-// connection to each peer that is asked, yamux streams over it, and on each
-// stream one length-prefixed protobuf request and its reply.
+// Package node is the request-reply protocol between the nodes of the system. A
+// client has one TCP connection to each peer, with yamux streams over it. Each
+// stream carries one length-prefixed protobuf request and its reply.
 //
-// A failure to ask is an error and proves nothing about the other node. The
-// package decides nothing about who is alive.
+// The package does no failure detection: a failed call is returned as an error and
+// does not prove that the peer has failed.
 //
 // # Usage
 //
 //	server := node.NewServer(listener, meter.Wrap, func(ctx context.Context, request *exchange.Request) *exchange.Reply { ... })
 //	server.Start()
 //	client := node.NewClient()
-//	reply, err := client.Ask(ctx, "127.0.0.1:7300", request)
+//	reply, err := client.Call(ctx, "127.0.0.1:7300", request)
 package node
 
 import (
@@ -34,23 +34,24 @@
 const (
 	maxMessageBytes = 8 << 20
 	dialTimeout     = time.Second
-	// streamTimeout bounds one question at the answering side, so that a peer
-	// that stops half way does not hold memory.
+	// streamTimeout bounds one call at the server, so that a peer that stops in the middle of a request does not
+	// keep memory allocated.
 	streamTimeout = 40 * time.Second
 	writeTimeout  = 5 * time.Second
-	maxStrikes    = 3
+	// maxMissedReplies is the number of consecutive calls without a timely reply after which a connection is closed.
+	maxMissedReplies = 3
 )
 
-// Errors of a peer. Use errors.Is.
+// Errors of a call to a peer. Use errors.Is.
 var (
 	// ErrNotSent means that no byte of the request left this process.
-	ErrNotSent = errors.New("the peer could not be connected to")
+	ErrNotSent = errors.New("could not connect to the peer")
 	// ErrNoReply means that the request was sent and no reply came.
 	ErrNoReply = errors.New("the peer did not reply")
 )
 
-// Traffic counts requests. All fields only grow.
-type Traffic struct {
+// Counters count requests. All fields only grow.
+type Counters struct {
 	Requests  atomic.Uint64
 	Failures  atomic.Uint64
 	BadFrames atomic.Uint64
@@ -63,25 +64,25 @@
 	return config
 }
 
-// Answerer answers one request of a peer.
-type Answerer func(ctx context.Context, request *exchange.Request) *exchange.Reply
+// Handler handles one request of a peer and returns the reply.
+type Handler func(ctx context.Context, request *exchange.Request) *exchange.Reply
 
-// Server answers the questions of peers.
+// Server handles the requests of peers.
 type Server struct {
 	*lifecycle.Part
 	listener net.Listener
 	wrap     func(net.Conn) net.Conn
-	answer   Answerer
-	Traffic  Traffic
+	handle   Handler
+	Counters Counters
 
 	mu       sync.Mutex
 	sessions map[*yamux.Session]struct{}
 }
 
-// NewServer returns a server that answers through the function, which is
-// called from many goroutines. Each accepted connection goes through wrap.
-func NewServer(listener net.Listener, wrap func(net.Conn) net.Conn, answer Answerer) *Server {
-	return &Server{Part: lifecycle.New("peers"), listener: listener, wrap: wrap, answer: answer, sessions: map[*yamux.Session]struct{}{}}
+// NewServer returns a server that passes requests to the handler, which must be safe for concurrent use. Each accepted
+// connection is passed through wrap.
+func NewServer(listener net.Listener, wrap func(net.Conn) net.Conn, handler Handler) *Server {
+	return &Server{Part: lifecycle.New("peers"), listener: listener, wrap: wrap, handle: handler, sessions: map[*yamux.Session]struct{}{}}
 }
 
 // Start begins to accept connections.
@@ -100,7 +101,7 @@
 			conn.Close()
 			continue
 		}
-		if !server.keep(session) {
+		if !server.register(session) {
 			session.Close()
 			return
 		}
@@ -108,7 +109,7 @@
 	}
 }
 
-func (server *Server) keep(session *yamux.Session) bool {
+func (server *Server) register(session *yamux.Session) bool {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	select {
@@ -141,19 +142,18 @@
 	_ = stream.SetDeadline(time.Now().Add(streamTimeout))
 	request := &exchange.Request{}
 	if err := receive(stream, request); err != nil {
-		server.Traffic.BadFrames.Add(1)
+		server.Counters.BadFrames.Add(1)
 		return
 	}
-	server.Traffic.Requests.Add(1)
+	server.Counters.Requests.Add(1)
 	ctx, cancel := server.Context(streamTimeout)
 	defer cancel()
-	if err := send(stream, server.answer(ctx, request)); err != nil {
-		server.Traffic.Failures.Add(1)
+	if err := send(stream, server.handle(ctx, request)); err != nil {
+		server.Counters.Failures.Add(1)
 	}
 }
 
-// Stop closes the listener and every connection and waits for the answers
-// that are under way.
+// Stop closes the listener and all connections and waits for the handlers in progress.
 func (server *Server) Stop() {
 	server.Ask()
 	server.listener.Close()
@@ -175,87 +175,86 @@
 	return options.UnmarshalFrom(bufio.NewReaderSize(stream, 512), message)
 }
 
-// Client asks peers. Its zero value is not usable; call NewClient.
+// Client sends requests to peers. The zero value is not usable; call NewClient.
 type Client struct {
-	dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	Traffic Traffic
+	dial     func(ctx context.Context, network, address string) (net.Conn, error)
+	Counters Counters
 
 	mu       sync.Mutex
-	sessions map[string]*link
+	sessions map[string]*peerSession
 	closed   bool
 }
 
-// link is the connection to one peer. Strikes counts the questions in a row
-// that got no reply in time.
-type link struct {
+// peerSession is the connection to one peer. missedReplies counts the consecutive calls without a reply in time.
+type peerSession struct {
 	*yamux.Session
-	strikes atomic.Int32
+	missedReplies atomic.Int32
 }
 
-// Option changes how a Client is built.
+// Option configures a Client.
 type Option func(*Client)
 
-// Dial makes the client connect through the given function.
+// Dial sets the function that opens connections.
 func Dial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(client *Client) { client.dial = dial }
 }
 
-// NewClient returns a client of peers.
+// NewClient returns a client without connections.
 func NewClient(options ...Option) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	client := &Client{dial: dialer.DialContext, sessions: map[string]*link{}}
+	client := &Client{dial: dialer.DialContext, sessions: map[string]*peerSession{}}
 	for _, option := range options {
 		option(client)
 	}
 	return client
 }
 
-// Ask sends a request and waits for its reply until the context ends.
-func (client *Client) Ask(ctx context.Context, address string, request *exchange.Request) (*exchange.Reply, error) {
-	client.Traffic.Requests.Add(1)
-	reply, err := client.ask(ctx, address, request)
+// Call sends a request to a peer and waits for the reply until the context ends.
+func (client *Client) Call(ctx context.Context, address string, request *exchange.Request) (*exchange.Reply, error) {
+	client.Counters.Requests.Add(1)
+	reply, err := client.call(ctx, address, request)
 	if err != nil {
-		client.Traffic.Failures.Add(1)
+		client.Counters.Failures.Add(1)
 	}
 	return reply, err
 }
 
-func (client *Client) ask(ctx context.Context, address string, request *exchange.Request) (*exchange.Reply, error) {
+func (client *Client) call(ctx context.Context, address string, request *exchange.Request) (*exchange.Reply, error) {
 	session, err := client.session(ctx, address)
 	if err != nil {
 		return nil, errors.Mark(errors.Wrapf(err, "connect to peer %s", address), ErrNotSent)
 	}
 	stream, err := session.OpenStream()
 	if err != nil {
-		client.drop(address, session)
+		client.closeSession(address, session)
 		return nil, errors.Mark(errors.Wrapf(err, "open a stream to peer %s", address), ErrNotSent)
 	}
 	defer stream.Close()
 	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if err := send(stream, request); err != nil {
-		client.strike(ctx, address, session)
-		return nil, errors.Mark(errors.Wrapf(err, "ask peer %s", address), ErrNoReply)
+		client.recordFailure(ctx, address, session)
+		return nil, errors.Mark(errors.Wrapf(err, "send request to peer %s", address), ErrNoReply)
 	}
 	reply := &exchange.Reply{}
 	if err := receive(stream, reply); err != nil {
-		client.strike(ctx, address, session)
-		return nil, errors.Mark(errors.Wrapf(err, "reply of peer %s", address), ErrNoReply)
+		client.recordFailure(ctx, address, session)
+		return nil, errors.Mark(errors.Wrapf(err, "read reply of peer %s", address), ErrNoReply)
 	}
-	session.strikes.Store(0)
+	session.missedReplies.Store(0)
 	if reply.Failure != "" {
 		return nil, errors.Newf("peer %s: %s", address, reply.Failure)
 	}
 	return reply, nil
 }
 
-func (client *Client) session(ctx context.Context, address string) (*link, error) {
+func (client *Client) session(ctx context.Context, address string) (*peerSession, error) {
 	client.mu.Lock()
 	session, ok := client.sessions[address]
 	closed := client.closed
 	client.mu.Unlock()
 	if closed {
-		return nil, errors.New("the client is closed")
+		return nil, errors.New("the peer client is closed")
 	}
 	if ok && !session.IsClosed() {
 		return session, nil
@@ -263,7 +262,7 @@
 	return client.connect(ctx, address)
 }
 
-func (client *Client) connect(ctx context.Context, address string) (*link, error) {
+func (client *Client) connect(ctx context.Context, address string) (*peerSession, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := client.dial(ctx, "tcp", address)
@@ -283,24 +282,24 @@
 	}
 	if client.closed {
 		session.Close()
-		return nil, errors.New("the client is closed")
+		return nil, errors.New("the peer client is closed")
 	}
-	found := &link{Session: session}
-	client.sessions[address] = found
-	return found, nil
+	added := &peerSession{Session: session}
+	client.sessions[address] = added
+	return added, nil
 }
 
-// strike gives up a connection that broke, or on which several questions in a
-// row got no reply: its peer may be gone without a word. One late reply alone
-// does not end it, since other questions are under way on the same connection.
-func (client *Client) strike(ctx context.Context, address string, session *link) {
-	if ctx.Err() != nil && session.strikes.Add(1) < maxStrikes {
+// recordFailure closes a connection that broke or on which maxMissedReplies consecutive calls got no reply in time: the
+// peer may have disappeared without closing the connection. One late reply does not close the connection, since other
+// calls are in progress on it.
+func (client *Client) recordFailure(ctx context.Context, address string, session *peerSession) {
+	if ctx.Err() != nil && session.missedReplies.Add(1) < maxMissedReplies {
 		return
 	}
-	client.drop(address, session)
+	client.closeSession(address, session)
 }
 
-func (client *Client) drop(address string, session *link) {
+func (client *Client) closeSession(address string, session *peerSession) {
 	client.mu.Lock()
 	if client.sessions[address] == session {
 		delete(client.sessions, address)
@@ -309,7 +308,7 @@
 	session.Close()
 }
 
-// Close ends every connection.
+// Close closes all connections.
 func (client *Client) Close() {
 	client.mu.Lock()
 	defer client.mu.Unlock()
--- a/internal/peer/node/node_test.go
+++ b/internal/peer/node/node_test.go
@@ -9,9 +9,8 @@
 	"hazelslip/internal/wire/exchange"
 )
 
-// FuzzReceive feeds what a peer sends on a stream. It must be a message or an
-// error, and a length that it announces must not be believed before the bytes
-// are there.
+// FuzzReceive feeds arbitrary bytes as the content of a stream. receive must return a message or an error, and must not
+// allocate memory for an announced length before the bytes have arrived.
 func FuzzReceive(f *testing.F) {
 	var good bytes.Buffer
 	if _, err := protodelim.MarshalTo(&good, &exchange.Request{Incarnation: 1, Kind: &exchange.Request_Pull{Pull: &exchange.PullRequest{}}}); err != nil {
@@ -24,7 +23,7 @@
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		request := &exchange.Request{}
 		if err := receive(bytes.NewReader(frame), request); err == nil && len(frame) == 0 {
-			t.Fatal("nothing was taken for a message")
+			t.Fatal("receive decoded a message from empty input")
 		}
 	})
 }
--- a/internal/run/node/answer.go
+++ b/internal/run/node/answer.go
@@ -143,7 +143,7 @@
 		if known.Incarnation == 0 || known.Heard == 0 || sent-known.Heard > pullEvery*3 {
 			continue
 		}
-		reply, err := node.peers.Ask(ctx, known.Address, node.request(&exchange.Request{
+		reply, err := node.peers.Call(ctx, known.Address, node.request(&exchange.Request{
 			Kind: &exchange.Request_Probe{Probe: &exchange.ProbeRequest{Address: address}},
 		}))
 		if err == nil && reply.GetProbe().GetReport() != nil {
@@ -179,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := node.peers.Ask(ctx, address, node.request(&exchange.Request{
+	reply, err := node.peers.Call(ctx, address, node.request(&exchange.Request{
 		Kind: &exchange.Request_Append{Append: &exchange.AppendRequest{Batch: body}},
 	}))
 	switch {
@@ -218,7 +218,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	reply, err := node.peers.Ask(ctx, address, node.request(&exchange.Request{
+	reply, err := node.peers.Call(ctx, address, node.request(&exchange.Request{
 		Kind: &exchange.Request_Claim{Claim: &exchange.ClaimRequest{Key: key, Incarnation: incarnation}},
 	}))
 	if err != nil || !reply.GetClaim().GetKnown() {
@@ -270,7 +270,7 @@
 		addresses = append(addresses, known.Address)
 	}
 	for _, address := range addresses {
-		reply, err := node.peers.Ask(ctx, address, node.request(&exchange.Request{Kind: &exchange.Request_Call{Call: request}}))
+		reply, err := node.peers.Call(ctx, address, node.request(&exchange.Request{Kind: &exchange.Request_Call{Call: request}}))
 		if errors.Is(err, peer.ErrNotSent) || (err == nil && reply.GetCall().GetOutcome() == "") {
 			continue
 		}
--- a/internal/run/node/exchange.go
+++ b/internal/run/node/exchange.go
@@ -101,12 +101,12 @@
 	ctx, cancel := exchanger.Context(timeout)
 	defer cancel()
 	sent := exchanger.node.now()
-	reply, err := exchanger.node.peers.Ask(ctx, known.Address, exchanger.node.request(exchanger.pullRequest(known, remote)))
+	reply, err := exchanger.node.peers.Call(ctx, known.Address, exchanger.node.request(exchanger.pullRequest(known, remote)))
 	if err != nil {
 		return
 	}
 	if reply.Incarnation != known.Incarnation {
-		hello, err := exchanger.node.peers.Ask(ctx, known.Address, exchanger.node.request(&exchange.Request{
+		hello, err := exchanger.node.peers.Call(ctx, known.Address, exchanger.node.request(&exchange.Request{
 			Kind: &exchange.Request_Hello{Hello: exchanger.node.hello()},
 		}))
 		if err != nil || hello.GetHello() == nil {
@@ -267,7 +267,7 @@
 	ctx, cancel := exchanger.Context(remoteTimeout)
 	defer cancel()
 	want := follower.Want()
-	reply, err := exchanger.node.peers.Ask(ctx, known.Address, exchanger.node.request(&exchange.Request{
+	reply, err := exchanger.node.peers.Call(ctx, known.Address, exchanger.node.request(&exchange.Request{
 		Kind: &exchange.Request_Fetch{Fetch: &exchange.FetchRequest{
 			Stream: position.Stream, From: want.From, Max: fetchRecords, WantSnapshot: want.Snapshot,
 		}},
--- a/internal/run/node/state.go
+++ b/internal/run/node/state.go
@@ -81,8 +81,8 @@
 
 func (node *Node) traffic() TrafficState {
 	return TrafficState{
-		PeerAsked: node.peers.Traffic.Requests.Load(), PeerFailures: node.peers.Traffic.Failures.Load(),
-		PeerAnswered: node.server.Traffic.Requests.Load(), PeerBadFrames: node.server.Traffic.BadFrames.Load(),
+		PeerAsked: node.peers.Counters.Requests.Load(), PeerFailures: node.peers.Counters.Failures.Load(),
+		PeerAnswered: node.server.Counters.Requests.Load(), PeerBadFrames: node.server.Counters.BadFrames.Load(),
 		EngineRequests: node.engines.Counters.Requests.Load(), EngineFailures: node.engines.Counters.Failures.Load(),
 		Peers: node.metered.peers.State(), Engines: node.metered.engines.State(),
 		Platform: node.metered.platform.State(), Drafts: node.metered.drafts.State(),
--- a/internal/run/node/stop.go
+++ b/internal/run/node/stop.go
@@ -91,7 +91,7 @@
 	}
 	for _, peer := range node.members.Local() {
 		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
-		reply, err := node.peers.Ask(ctx, peer.Address, node.request(&exchange.Request{Kind: &exchange.Request_HandOver{HandOver: request}}))
+		reply, err := node.peers.Call(ctx, peer.Address, node.request(&exchange.Request{Kind: &exchange.Request_HandOver{HandOver: request}}))
 		cancel()
 		if err == nil && reply.GetHandOver().GetTaken() {
 			node.logger.Info("node: tickets were handed over.", "Peer", peer.Address, "Tickets", len(request.Outcomes))
