--- a/cmd/class.go
+++ b/cmd/class.go
@@ -34,7 +34,7 @@
 
 // Run lists the classes.
 func (command *classListCommand) Run(streams *streams) error {
-	lines := []operator.ClassLine{}
+	lines := []operator.ClassInfo{}
 	if err := command.client().Get("/Classes", &lines); err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	return printClasses(streams.Out, lines)
 }
 
-func printClasses(out io.Writer, lines []operator.ClassLine) error {
+func printClasses(out io.Writer, lines []operator.ClassInfo) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "NAME\tMODEL\tFIRST TOKEN\tBETWEEN TOKENS\tIN TARGET\tPRIORITY\tSHARE\tREVISION")
 	for _, line := range lines {
@@ -67,14 +67,14 @@
 
 // Run shows the class.
 func (command *classShowCommand) Run(streams *streams) error {
-	line := operator.ClassLine{}
+	line := operator.ClassInfo{}
 	if err := command.client().Get("/Classes/"+url.PathEscape(command.Name), &line); err != nil {
 		return err
 	}
 	if command.JSON {
 		return printJSON(streams.Out, line)
 	}
-	return printClasses(streams.Out, []operator.ClassLine{line})
+	return printClasses(streams.Out, []operator.ClassInfo{line})
 }
 
 type classSetCommand struct {
@@ -98,7 +98,7 @@
 
 // Run states the target.
 func (command *classSetCommand) Run(streams *streams) error {
-	line := operator.ClassLine{}
+	line := operator.ClassInfo{}
 	err := command.client().Get("/Classes/"+url.PathEscape(command.Name), &line)
 	if err != nil && !isNotFound(err) {
 		return err
@@ -108,7 +108,7 @@
 	return printVerdict(streams.Out, change, verdict, err, command.JSON)
 }
 
-func (command *classSetCommand) change(line operator.ClassLine) operator.Change {
+func (command *classSetCommand) change(line operator.ClassInfo) operator.Change {
 	return operator.Change{
 		ChangeID: changeID(command.ChangeID), Operator: operatorName(),
 		BaseRevision: or(command.BaseRevision, line.Revision), Model: or(command.Model, line.Model),
@@ -183,7 +183,7 @@
 
 // Run deletes the class.
 func (command *classDeleteCommand) Run(streams *streams) error {
-	line := operator.ClassLine{}
+	line := operator.ClassInfo{}
 	if err := command.client().Get("/Classes/"+url.PathEscape(command.Name), &line); err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 
 // Run shows the history.
 func (command *classHistoryCommand) Run(streams *streams) error {
-	lines := []operator.HistoryLine{}
+	lines := []operator.HistoryEntry{}
 	if err := command.client().Get("/Classes/"+url.PathEscape(command.Name)+"/History", &lines); err != nil {
 		return err
 	}
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -44,15 +44,15 @@
 	take(fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.3), 0, "first"))
 	handler := &operator.Handler{
 		Classes: table,
-		Groups: func() []operator.GroupLine {
-			return []operator.GroupLine{{Number: 7, Model: "drafting", Cause: "member x does not answer"}}
+		Groups: func() []operator.GroupInfo {
+			return []operator.GroupInfo{{Number: 7, Model: "drafting", Cause: "member x does not answer"}}
 		},
 		State: func() any { return map[string]string{"Name": "entry-1"} },
 		Explain: func(subject string) (operator.Explanation, bool) {
 			return operator.Explanation{Subject: subject, Lines: []string{"because"}}, subject == "7"
 		},
-		Booking: func(_, key string) (operator.BookingLine, bool) {
-			return operator.BookingLine{Key: key, Outcome: "Run"}, key == "visit-1"
+		Booking: func(_, key string) (operator.BookingInfo, bool) {
+			return operator.BookingInfo{Key: key, Outcome: "Run"}, key == "visit-1"
 		},
 		Submit: func(_ context.Context, change *record.ConfigChange) (class.Verdict, error) {
 			if err := class.Check(change); err != nil {
--- a/cmd/inspect.go
+++ b/cmd/inspect.go
@@ -22,7 +22,7 @@
 
 // Run lists the groups of the node's data centre.
 func (command *groupsCommand) Run(streams *streams) error {
-	lines := []operator.GroupLine{}
+	lines := []operator.GroupInfo{}
 	if err := command.client().Get("/Groups", &lines); err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 
 // Run shows the key.
 func (command *bookingShowCommand) Run(streams *streams) error {
-	line := operator.BookingLine{}
+	line := operator.BookingInfo{}
 	if err := command.client().Get("/Bookings/"+url.PathEscape(command.Service)+"/"+url.PathEscape(command.Key), &line); err != nil {
 		return err
 	}
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -128,7 +128,7 @@
 }
 
 func isNotFound(err error) bool {
-	var status *operator.Status
+	var status *operator.StatusError
 	return errors.As(err, &status) && status.Code == http.StatusNotFound
 }
 
--- a/internal/peer/operator/operator.go
+++ b/internal/peer/operator/operator.go
@@ -1,9 +1,10 @@
-// Package operator serves operators over HTTP: targets of classes, groups,
-// explanations, the state dump, health and metrics. The command line is a
-// client of it.
+// Package operator is the HTTP API for operators: class targets, replica groups,
+// explanations of requests and groups, the state dump, health and metrics. The command
+// line uses Client to call it.
 //
-// Own formats are JSON with Pascal case names. A refused change answers 409
-// with the change that beat it, or 400 with the reason.
+// Bodies are JSON with Pascal case names. A rejected change gets status 409 if it
+// conflicts with a change in force or is based on an outdated revision, otherwise
+// status 400. The body states the reason or the change in force.
 //
 // # Usage
 //
@@ -32,20 +33,20 @@
 	submitTimeout  = 9 * time.Second
 )
 
-// Handler serves operators.
+// Handler holds the dependencies of the operator API.
 type Handler struct {
 	Ready   func() error
 	State   func() any
-	Groups  func() []GroupLine
+	Groups  func() []GroupInfo
 	Classes *class.Table
 	Submit  func(ctx context.Context, change *record.ConfigChange) (class.Verdict, error)
 	Explain func(subject string) (Explanation, bool)
-	Booking func(service, key string) (BookingLine, bool)
+	Booking func(service, key string) (BookingInfo, bool)
 	Metrics func() map[string]any
 }
 
-// ClassLine is one class in force.
-type ClassLine struct {
+// ClassInfo is the configuration of one class in force.
+type ClassInfo struct {
 	Name            string
 	Model           string
 	FirstTokenMs    uint32
@@ -72,16 +73,16 @@
 	GuaranteedShare float64
 }
 
-// Verdict is the answer to a change.
+// Verdict is the result of a change. Beaten is the entry in force that a rejected change conflicts with.
 type Verdict struct {
 	Accepted bool
 	Revision uint64     `json:",omitempty"`
 	Reason   string     `json:",omitempty"`
-	Beaten   *ClassLine `json:",omitempty"`
+	Beaten   *ClassInfo `json:",omitempty"`
 }
 
-// HistoryLine is one change of a class.
-type HistoryLine struct {
+// HistoryEntry is one accepted or rejected change of a class.
+type HistoryEntry struct {
 	Offset      uint64
 	ChangeID    string
 	Operator    string
@@ -92,8 +93,8 @@
 	Reason      string
 }
 
-// GroupLine is one replica group.
-type GroupLine struct {
+// GroupInfo is the status of one replica group.
+type GroupInfo struct {
 	Number       uint64
 	FabricDomain string
 	Model        string
@@ -105,14 +106,14 @@
 	WaitsFor     string
 }
 
-// Explanation is why something is as it is.
+// Explanation lists the events and decisions that explain what happened to a request or group.
 type Explanation struct {
 	Subject string
 	Lines   []string
 }
 
-// BookingLine is what is known about one key.
-type BookingLine struct {
+// BookingInfo is the record of the call for one idempotency key.
+type BookingInfo struct {
 	Key         string
 	Holder      uint64
 	Attempt     uint64
@@ -157,8 +158,8 @@
 	writeJSON(writer, http.StatusOK, handler.State())
 }
 
-// serveMetrics answers in the shape of expvar. Several nodes can run in one
-// process, so each has variables of its own instead of the global ones.
+// serveMetrics writes the metrics in the format of expvar. Several nodes can run in one process, so each node has its own
+// variables instead of the global ones.
 func (handler *Handler) serveMetrics(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	memory := runtime.MemStats{}
 	runtime.ReadMemStats(&memory)
@@ -174,7 +175,7 @@
 func (handler *Handler) serveExplain(writer http.ResponseWriter, _ *http.Request, params httprouter.Params) {
 	explanation, ok := handler.Explain(params.ByName("Subject"))
 	if !ok {
-		refuse(writer, http.StatusNotFound, "this node knows no request or group %q; requests are remembered by the node that took them", params.ByName("Subject"))
+		writeProblem(writer, http.StatusNotFound, "this node knows no request or group %q; requests are remembered by the node that took them", params.ByName("Subject"))
 		return
 	}
 	writeJSON(writer, http.StatusOK, explanation)
@@ -183,7 +184,7 @@
 func (handler *Handler) serveBooking(writer http.ResponseWriter, _ *http.Request, params httprouter.Params) {
 	line, ok := handler.Booking(params.ByName("Service"), params.ByName("Key"))
 	if !ok {
-		refuse(writer, http.StatusNotFound, "nothing is known about the key %q", params.ByName("Key"))
+		writeProblem(writer, http.StatusNotFound, "nothing is known about the key %q", params.ByName("Key"))
 		return
 	}
 	writeJSON(writer, http.StatusOK, line)
@@ -191,16 +192,16 @@
 
 func (handler *Handler) serveClasses(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	snapshot := handler.Classes.Snapshot()
-	lines := []ClassLine{}
+	lines := []ClassInfo{}
 	for _, name := range snapshot.Names() {
-		lines = append(lines, lineOf(snapshot.Entries[name]))
+		lines = append(lines, classInfo(snapshot.Entries[name]))
 	}
 	writeJSON(writer, http.StatusOK, lines)
 }
 
-func lineOf(entry *record.ConfigEntry) ClassLine {
+func classInfo(entry *record.ConfigEntry) ClassInfo {
 	target := entry.GetTarget()
-	return ClassLine{
+	return ClassInfo{
 		Name: target.GetName(), Model: target.GetModel(), FirstTokenMs: target.GetFirstTokenMs(),
 		BetweenTokensMs: target.GetBetweenTokensMs(), InTargetShare: target.GetInTargetShare(),
 		Priority: target.GetPriority(), GuaranteedShare: target.GetGuaranteedShare(),
@@ -212,16 +213,16 @@
 func (handler *Handler) serveClass(writer http.ResponseWriter, _ *http.Request, params httprouter.Params) {
 	entry, ok := handler.Classes.Snapshot().Entries[params.ByName("Name")]
 	if !ok {
-		refuse(writer, http.StatusNotFound, "there is no class %q", params.ByName("Name"))
+		writeProblem(writer, http.StatusNotFound, "there is no class %q", params.ByName("Name"))
 		return
 	}
-	writeJSON(writer, http.StatusOK, lineOf(entry))
+	writeJSON(writer, http.StatusOK, classInfo(entry))
 }
 
 func (handler *Handler) serveHistory(writer http.ResponseWriter, _ *http.Request, params httprouter.Params) {
-	lines := []HistoryLine{}
+	lines := []HistoryEntry{}
 	for _, event := range handler.Classes.History(params.ByName("Name")) {
-		lines = append(lines, HistoryLine{
+		lines = append(lines, HistoryEntry{
 			Offset: event.Offset, ChangeID: event.Change.ChangeID, Operator: event.Change.Operator,
 			SubmittedAt: time.UnixMilli(event.Change.SubmittedUnixMs).UTC(), Deleted: event.Change.Delete,
 			Accepted: event.Verdict.Accepted, Revision: event.Verdict.Revision, Reason: event.Verdict.Reason,
@@ -238,31 +239,31 @@
 	handler.serveChange(writer, request, params.ByName("Name"), true)
 }
 
-func (handler *Handler) serveChange(writer http.ResponseWriter, request *http.Request, name string, deleting bool) {
+func (handler *Handler) serveChange(writer http.ResponseWriter, request *http.Request, name string, isDelete bool) {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxChangeBytes))
 	decoder.DisallowUnknownFields()
 	var change Change
 	if err := decoder.Decode(&change); err != nil {
-		refuse(writer, http.StatusBadRequest, "the body is not a change: %v", err)
+		writeProblem(writer, http.StatusBadRequest, "the body is not a change: %v", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), submitTimeout)
 	defer cancel()
-	verdict, err := handler.Submit(ctx, change.record(name, deleting))
+	verdict, err := handler.Submit(ctx, change.record(name, isDelete))
 	if err != nil {
 		status := http.StatusServiceUnavailable
 		if errors.Is(err, class.ErrUndecided) {
 			status = http.StatusGatewayTimeout
 		}
-		refuse(writer, status, "%v", err)
+		writeProblem(writer, status, "%v", err)
 		return
 	}
 	writeVerdict(writer, verdict)
 }
 
-func (change Change) record(name string, deleting bool) *record.ConfigChange {
+func (change Change) record(name string, isDelete bool) *record.ConfigChange {
 	return &record.ConfigChange{
-		ChangeID: change.ChangeID, Name: name, BaseRevision: change.BaseRevision, Delete: deleting,
+		ChangeID: change.ChangeID, Name: name, BaseRevision: change.BaseRevision, Delete: isDelete,
 		Operator: change.Operator, SubmittedUnixMs: time.Now().UnixMilli(),
 		Target: &record.ClassTarget{
 			Name: name, Model: change.Model, FirstTokenMs: change.FirstTokenMs,
@@ -273,28 +274,28 @@
 }
 
 func writeVerdict(writer http.ResponseWriter, verdict class.Verdict) {
-	answer := Verdict{Accepted: verdict.Accepted, Revision: verdict.Revision, Reason: verdict.Reason}
+	response := Verdict{Accepted: verdict.Accepted, Revision: verdict.Revision, Reason: verdict.Reason}
 	status := http.StatusOK
 	switch {
 	case verdict.Accepted:
 	case verdict.Beaten != nil:
-		line := lineOf(verdict.Beaten)
-		answer.Beaten = &line
+		line := classInfo(verdict.Beaten)
+		response.Beaten = &line
 		status = http.StatusConflict
 	case verdict.Reason == class.ReasonStale:
 		status = http.StatusConflict
 	default:
 		status = http.StatusBadRequest
 	}
-	writeJSON(writer, status, answer)
+	writeJSON(writer, status, response)
 }
 
-// Problem is the body of a refusal.
+// Problem is the body of an error response.
 type Problem struct {
 	Problem string
 }
 
-func refuse(writer http.ResponseWriter, status int, format string, arguments ...any) {
+func writeProblem(writer http.ResponseWriter, status int, format string, arguments ...any) {
 	writeJSON(writer, status, Problem{Problem: fmt.Sprintf(format, arguments...)})
 }
 
@@ -306,7 +307,7 @@
 	_ = encoder.Encode(value)
 }
 
-// Explain turns the story of a request into an explanation.
+// Explain converts the journal entry of a request into an explanation.
 func Explain(entry *journal.Entry) Explanation {
 	explanation := Explanation{Subject: entry.Request}
 	explanation.Lines = append(explanation.Lines, fmt.Sprintf("class %s, workspace %s, at %s", entry.Class, entry.Workspace, entry.Began.UTC().Format(time.RFC3339)))
--- a/internal/run/node/state.go
+++ b/internal/run/node/state.go
@@ -35,7 +35,7 @@
 	Watcher     fabric.WatcherState
 	Former      replica.FormerState
 	Tally       replica.TallyState
-	Groups      []operator.GroupLine
+	Groups      []operator.GroupInfo
 	Routes      []route.GroupState
 	Admission   []admission.ClassState
 	Drafts      draft.State
@@ -101,10 +101,10 @@
 	}
 }
 
-func (node *Node) groupList() []operator.GroupLine {
-	lines := []operator.GroupLine{}
+func (node *Node) groupList() []operator.GroupInfo {
+	lines := []operator.GroupInfo{}
 	for _, group := range node.groups.Load().Groups {
-		line := operator.GroupLine{
+		line := operator.GroupInfo{
 			Number: group.Number, FabricDomain: group.FabricDomain, Model: group.Model, Members: group.Members,
 			Serving: group.Serving, Draining: group.Draining, Running: group.Running, Cause: group.Cause,
 		}
@@ -148,12 +148,12 @@
 	return explanation, len(explanation.Lines) > 0
 }
 
-func (node *Node) showBooking(service, key string) (operator.BookingLine, bool) {
+func (node *Node) showBooking(service, key string) (operator.BookingInfo, bool) {
 	entry, ok := node.keys.Lookup(service + "/" + key)
 	if !ok {
-		return operator.BookingLine{}, false
+		return operator.BookingInfo{}, false
 	}
-	line := operator.BookingLine{
+	line := operator.BookingInfo{
 		Key: key, Holder: entry.Intent.Incarnation, Attempt: entry.Intent.Attempt,
 		ClaimedAt: time.UnixMilli(entry.Intent.UnixMs).UTC(), Outcome: "Unknown so far",
 	}
@@ -184,6 +184,6 @@
 }
 
 // Booking returns what this node's region knows about a service's key.
-func (node *Node) Booking(service, key string) (operator.BookingLine, bool) {
+func (node *Node) Booking(service, key string) (operator.BookingInfo, bool) {
 	return node.showBooking(service, key)
 }
