--- a/internal/peer/service/service.go
+++ b/internal/peer/service/service.go
@@ -1,12 +1,12 @@
-// Package service passes calls on to the plain services that stand beside the
-// model engines. It streams bodies both ways, follows no redirect, never
-// repeats a call, and sorts each failure by what it proves: ErrNotSent means
-// that no byte of the call left this process.
+// Package service is a client of the plain services that are served alongside the
+// model engines. The client streams bodies in both directions, follows no redirect
+// and never retries a call. Its errors tell whether the service may have executed
+// the call: ErrNotSent means that it did not.
 //
 // # Usage
 //
 //	client := service.New()
-//	response, err := client.Call(ctx, "127.0.0.1:7200", request, body)
+//	response, err := client.Call(ctx, "127.0.0.1:7200", service.Call{Method: http.MethodGet, Path: "/"})
 package service
 
 import (
@@ -21,22 +21,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of a service. Use errors.Is.
+// Errors of a call to a service. Use errors.Is.
 var (
-	// ErrNotSent means that no byte of the call left this process.
-	ErrNotSent = errors.New("the service could not be connected to")
-	// ErrNoAnswer means that the call was sent and its answer never came.
-	ErrNoAnswer = errors.New("the service did not answer")
+	// ErrNotSent means that the service certainly did not execute the call: no byte of the call left this
+	// process, or the service refused it with HeaderRefused.
+	ErrNotSent = errors.New("the call was not sent to the service or the service refused it")
+	// ErrNoResponse means that the call was or may have been sent and no response was received.
+	ErrNoResponse = errors.New("the service did not respond")
 )
 
-// HeaderRefused is the header by which a service says that it refused a call
-// without running it, for instance while it is leaving.
+// HeaderRefused is the response header by which a service states that it refused a call without executing it, for
+// example while it is shutting down.
 const HeaderRefused = "Service-Refused"
 
 const dialTimeout = 500 * time.Millisecond
 
-// Call is one call to a service. Header is passed on as it stands but for the
-// headers of a single connection.
+// Call is one call to a service. Header is forwarded unchanged, except for the hop-by-hop headers, which are removed.
 type Call struct {
 	Method string
 	Path   string
@@ -46,28 +46,26 @@
 	Length int64
 }
 
-// Client calls services. Its zero value is not usable; call New.
+// Client calls services. The zero value is not usable; call New.
 type Client struct {
 	httpClient *http.Client
 }
 
-// Option changes how a Client is built.
+// Option configures a Client.
 type Option func(*Client)
 
-// Dial makes the client connect through the given function.
+// Dial sets the function that opens connections.
 func Dial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(client *Client) {
 		client.httpClient.Transport.(*http.Transport).DialContext = dial
 	}
 }
 
-// New returns a client of services.
+// New returns a client that opens a new connection for each call.
 func New(options ...Option) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	// net/http repeats a request on its own when a kept-alive connection
-	// turns out to be dead before the first byte of the answer. For a call
-	// that may not be repeated that would be a second run, so every call gets
-	// a connection of its own.
+	// net/http retries a request by itself if a keep-alive connection breaks before the first byte of the
+	// response. That could execute a non-idempotent call twice, so each call uses a new connection.
 	transport := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}
 	client := &Client{httpClient: &http.Client{
 		Transport: transport,
@@ -81,7 +79,7 @@
 	return client
 }
 
-// Call sends the call once. The caller closes the answer's body.
+// Call sends the call once. The caller must close the body of the response.
 func (client *Client) Call(ctx context.Context, address string, call Call) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -103,7 +101,7 @@
 		return nil, errors.Mark(errors.Wrapf(err, "call %s", address), ErrNotSent)
 	}
 	if err != nil {
-		return nil, errors.Mark(errors.Wrapf(err, "call %s", address), ErrNoAnswer)
+		return nil, errors.Mark(errors.Wrapf(err, "call %s", address), ErrNoResponse)
 	}
 	if response.Header.Get(HeaderRefused) != "" {
 		response.Body.Close()
@@ -112,8 +110,7 @@
 	return response, nil
 }
 
-// dropConnectionHeaders removes the headers that RFC 9110, section 7.6.1,
-// limits to one connection.
+// dropConnectionHeaders removes the hop-by-hop headers of RFC 9110, section 7.6.1.
 func dropConnectionHeaders(header http.Header) {
 	for _, name := range []string{
 		"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
