--- a/internal/fleet/overlay/overlay.go
+++ b/internal/fleet/overlay/overlay.go
@@ -86,7 +86,7 @@
 	Detours func() []*frame.Detour
 	// Fit says whether this node knows what its leaves need.
 	Fit    func() bool
-	Dial   sibling.Dial
+	Dial   sibling.DialFunc
 	Now    clock.Now
 	Logger *slog.Logger
 }
--- a/internal/peer/sibling/sibling.go
+++ b/internal/peer/sibling/sibling.go
@@ -1,14 +1,14 @@
-// Package sibling carries frames between entry nodes: one TCP connection for each
-// pair that talks, on it one length-prefixed protobuf message after the other in
-// both directions.
+// Package sibling carries frames between entry nodes. Each pair of connected nodes
+// shares one TCP connection, which carries a sequence of length-prefixed protobuf
+// messages in each direction.
 //
-// It does without yamux. What two nodes tell each other is one ordered stream, so
-// there is nothing to multiplex; and a yamux stream that is being read when its
-// session ends polls without a pause until another goroutine has closed it. On
-// one core that goroutine may not run for long: a node that was told to stop
-// held its core instead.
+// The package does not use yamux, for two reasons. The frames between two nodes form
+// one ordered stream, so there is nothing to multiplex. And a yamux stream that is
+// being read when its session ends polls in a busy loop until another goroutine has
+// closed the stream. On a single core that goroutine may not be scheduled for a long
+// time: a node that was asked to stop kept its core busy instead.
 //
-// Frames are encoded by the caller, so that one that goes to many is encoded once.
+// The caller encodes frames, so that a frame for many nodes is encoded only once.
 //
 // # Usage
 //
@@ -36,22 +36,22 @@
 )
 
 const (
-	// messageMost bounds a frame: a configuration of some thousand routes, or a
-	// list of some thousand servers.
-	messageMost = 8 << 20
-	// readBuffer holds a usual frame.
-	readBuffer = 2 << 10
+	// maxFrameBytes bounds the size of a frame. It leaves room for a configuration of several thousand routes or
+	// a list of several thousand servers.
+	maxFrameBytes = 8 << 20
+	// readBufferSize fits a frame of typical size.
+	readBufferSize = 2 << 10
 )
 
-// ErrEnded says that the other end closed the connection, or that nothing came
-// in time.
-var ErrEnded = errors.New("the connection ended")
+// ErrConnectionEnded means that the connection failed or was closed, or that a frame was not sent or received within the
+// timeout.
+var ErrConnectionEnded = errors.New("the connection to the node ended")
 
-// Dial opens a connection to a node.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection to a node.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Conn is a connection that carries frames. One goroutine may send while another
-// receives; Close may be called from any.
+// Conn is a connection that carries frames. One goroutine may send while another receives. Close may be called from any
+// goroutine.
 type Conn struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -59,12 +59,12 @@
 }
 
 func newConn(conn net.Conn) *Conn {
-	return &Conn{conn: conn, reader: bufio.NewReaderSize(conn, readBuffer)}
+	return &Conn{conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}
 }
 
-// Connect opens a connection to a node within a time.
-func Connect(dial Dial, address string, within time.Duration) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// Connect opens a connection to a node within the timeout.
+func Connect(dial DialFunc, address string, timeout time.Duration) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	conn, err := dial(ctx, "tcp", address)
 	if err != nil {
@@ -73,50 +73,50 @@
 	return newConn(conn), nil
 }
 
-// Send writes an encoded frame, in one piece, so that it costs one system call
-// and, if it is short, one packet.
-func (conn *Conn) Send(body []byte, within time.Duration) error {
-	if err := conn.conn.SetWriteDeadline(time.Now().Add(within)); err != nil {
-		return errors.Mark(err, ErrEnded)
+// Send sends an encoded frame within the timeout. Length and frame are written together, so that a frame needs one
+// system call and a short frame one packet.
+func (conn *Conn) Send(body []byte, timeout time.Duration) error {
+	if err := conn.conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
+		return errors.Mark(err, ErrConnectionEnded)
 	}
 	conn.buffer = append(protowire.AppendVarint(conn.buffer[:0], uint64(len(body))), body...)
 	if _, err := conn.conn.Write(conn.buffer); err != nil {
-		return errors.Mark(errors.Wrap(err, "send a frame"), ErrEnded)
+		return errors.Mark(errors.Wrap(err, "send frame"), ErrConnectionEnded)
 	}
 	return nil
 }
 
-// Receive reads the next frame, if one begins and ends within a time.
-func (conn *Conn) Receive(within time.Duration) (*frame.Frame, error) {
-	if err := conn.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
-		return nil, errors.Mark(err, ErrEnded)
+// Receive returns the next frame. The complete frame must arrive within the timeout.
+func (conn *Conn) Receive(timeout time.Duration) (*frame.Frame, error) {
+	if err := conn.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		return nil, errors.Mark(err, ErrConnectionEnded)
 	}
 	received := &frame.Frame{}
-	if err := (protodelim.UnmarshalOptions{MaxSize: messageMost}).UnmarshalFrom(conn.reader, received); err != nil {
-		return nil, errors.Mark(errors.Wrap(err, "receive a frame"), ErrEnded)
+	if err := (protodelim.UnmarshalOptions{MaxSize: maxFrameBytes}).UnmarshalFrom(conn.reader, received); err != nil {
+		return nil, errors.Mark(errors.Wrap(err, "receive frame"), ErrConnectionEnded)
 	}
 	return received, nil
 }
 
-// Close ends the connection and whatever is under way on it.
+// Close closes the connection, upon which sends and receives in progress fail.
 func (conn *Conn) Close() {
 	_ = conn.conn.Close()
 }
 
-// Server takes connections of other nodes.
+// Server accepts connections from other nodes.
 type Server struct {
 	*lifecycle.Part
 	listener net.Listener
 	serve    func(conn *Conn)
-	// Accepted counts the connections that were taken.
+	// Accepted counts the accepted connections.
 	Accepted atomic.Uint64
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
 }
 
-// NewServer returns a server that is yet to be started. The function serves one
-// connection each time it is called; when it returns, the connection is closed.
+// NewServer returns a server that is not started. The serve function is called once for each connection, in a goroutine
+// of its own; when it returns, the connection is closed.
 func NewServer(listener net.Listener, serve func(conn *Conn)) *Server {
 	return &Server{Part: lifecycle.New("peers"), listener: listener, serve: serve, conns: map[*Conn]struct{}{}}
 }
@@ -133,19 +133,19 @@
 			return
 		}
 		conn := newConn(accepted)
-		if !server.keep(conn) {
+		if !server.register(conn) {
 			conn.Close()
 			return
 		}
 		server.Accepted.Add(1)
 		server.Go(func() {
-			defer server.drop(conn)
+			defer server.closeConn(conn)
 			server.serve(conn)
 		})
 	}
 }
 
-func (server *Server) keep(conn *Conn) bool {
+func (server *Server) register(conn *Conn) bool {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	select {
@@ -157,14 +157,14 @@
 	}
 }
 
-func (server *Server) drop(conn *Conn) {
+func (server *Server) closeConn(conn *Conn) {
 	conn.Close()
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	delete(server.conns, conn)
 }
 
-// Stop closes the listener and every connection.
+// Stop closes the listener and all connections, and waits for the serve functions to return.
 func (server *Server) Stop() {
 	server.Ask()
 	_ = server.listener.Close()
--- a/internal/peer/sibling/sibling_test.go
+++ b/internal/peer/sibling/sibling_test.go
@@ -15,76 +15,77 @@
 	"hazelslip/internal/wire/frame"
 )
 
-// pipes is a network in memory with one listener.
-type pipes struct {
+// pipeNetwork is an in-memory network with one listener.
+type pipeNetwork struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func newPipes() *pipes {
-	return &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+func newPipeNetwork() *pipeNetwork {
+	return &pipeNetwork{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-func (pipes *pipes) Accept() (net.Conn, error) {
+func (network *pipeNetwork) Accept() (net.Conn, error) {
 	select {
-	case conn := <-pipes.conns:
+	case conn := <-network.conns:
 		return conn, nil
-	case <-pipes.done:
+	case <-network.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (pipes *pipes) Close() error {
-	close(pipes.done)
+func (network *pipeNetwork) Close() error {
+	close(network.done)
 	return nil
 }
 
-func (pipes *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (network *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (pipes *pipes) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	near, far := net.Pipe()
+func (network *pipeNetwork) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	clientSide, serverSide := net.Pipe()
 	select {
-	case pipes.conns <- far:
-		return near, nil
+	case network.conns <- serverSide:
+		return clientSide, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func numbered(number uint64) []byte {
-	body, err := proto.Marshal(&frame.Frame{Sequence: number})
+func encodeFrame(sequence uint64) []byte {
+	body, err := proto.Marshal(&frame.Frame{Sequence: sequence})
 	if err != nil {
 		panic(err)
 	}
 	return body
 }
 
-// echo sends back what comes.
+// echo returns each received frame to the sender.
 func echo(conn *sibling.Conn) {
 	for {
 		received, err := conn.Receive(time.Hour)
 		if err != nil {
 			return
 		}
-		if err := conn.Send(numbered(received.Sequence), time.Second); err != nil {
+		if err := conn.Send(encodeFrame(received.Sequence), time.Second); err != nil {
 			return
 		}
 	}
 }
 
-func TestFramesFollowEachOtherOnOneConnection(t *testing.T) {
+// Guards against frames that are lost, reordered or sent over more than one connection.
+func TestConnectionCarriesFramesInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		network := newPipes()
+		network := newPipeNetwork()
 		server := sibling.NewServer(network, echo)
 		server.Start()
 		conn, err := sibling.Connect(network.dial, "peer", time.Second)
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
-		for number := range uint64(5) {
-			expect.Expect(conn.Send(numbered(number), time.Second)).To(gomega.Succeed())
+		for sequence := range uint64(5) {
+			expect.Expect(conn.Send(encodeFrame(sequence), time.Second)).To(gomega.Succeed())
 			received, err := conn.Receive(time.Second)
 			expect.Expect(err).NotTo(gomega.HaveOccurred())
-			expect.Expect(received.Sequence).To(gomega.Equal(number))
+			expect.Expect(received.Sequence).To(gomega.Equal(sequence))
 		}
 		conn.Close()
 		server.Stop()
@@ -92,13 +93,13 @@
 	})
 }
 
-// A node is told to stop while it and others wait for frames. It must end at once,
-// with no goroutine left that polls: over yamux a stream under read kept the only
-// core, and the node never ended.
-func TestStopEndsWhatIsUnderWay(t *testing.T) {
+// Guards against a server that does not stop while it and its peers wait for frames. Stop must return immediately and
+// leave no goroutine that polls: with yamux, a stream that was being read kept the only core busy and the node never
+// stopped.
+func TestStopEndsPendingReceives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		network := newPipes()
+		network := newPipeNetwork()
 		server := sibling.NewServer(network, echo)
 		server.Start()
 		conn, err := sibling.Connect(network.dial, "peer", time.Second)
@@ -109,53 +110,53 @@
 			failed <- err
 		}()
 		synctest.Wait()
-		began := time.Now()
+		startedAt := time.Now()
 		server.Stop()
-		expect.Expect(errors.Is(<-failed, sibling.ErrEnded)).To(gomega.BeTrue())
-		expect.Expect(time.Since(began)).To(gomega.BeZero())
+		expect.Expect(errors.Is(<-failed, sibling.ErrConnectionEnded)).To(gomega.BeTrue())
+		expect.Expect(time.Since(startedAt)).To(gomega.BeZero())
 		conn.Close()
 	})
 }
 
-// A node went silent without closing the connection, or a frame stops in its
-// middle. Whoever waits for it must find out in time.
-func TestSilentNodeIsNoticed(t *testing.T) {
+// Guards against a receiver that waits longer than its timeout for a node that has become unresponsive without closing
+// the connection, possibly in the middle of a frame.
+func TestReceiveTimesOutOnUnresponsiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		network := newPipes()
+		network := newPipeNetwork()
 		server := sibling.NewServer(network, func(conn *sibling.Conn) {
 			_, _ = conn.Receive(time.Hour)
 		})
 		server.Start()
 		conn, err := sibling.Connect(network.dial, "peer", time.Second)
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
-		began := time.Now()
+		startedAt := time.Now()
 		_, err = conn.Receive(700 * time.Millisecond)
-		expect.Expect(errors.Is(err, sibling.ErrEnded)).To(gomega.BeTrue())
-		expect.Expect(time.Since(began)).To(gomega.Equal(700 * time.Millisecond))
+		expect.Expect(errors.Is(err, sibling.ErrConnectionEnded)).To(gomega.BeTrue())
+		expect.Expect(time.Since(startedAt)).To(gomega.Equal(700 * time.Millisecond))
 		conn.Close()
 		server.Stop()
 	})
 }
 
-// A frame that is said to be longer than any is not read: its sender, whoever that
-// is, would have the node take as much memory as it likes.
-func TestTooLongAFrameEndsTheConnection(t *testing.T) {
+// Guards against a frame whose announced length exceeds maxFrameBytes. Reading such a frame would let any sender make the
+// node allocate an arbitrary amount of memory.
+func TestOversizedFrameEndsTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		network := newPipes()
+		network := newPipeNetwork()
 		ended := make(chan error, 1)
 		server := sibling.NewServer(network, func(conn *sibling.Conn) {
 			_, err := conn.Receive(time.Hour)
 			ended <- err
 		})
 		server.Start()
-		raw, err := network.dial(t.Context(), "tcp", "peer")
+		conn, err := network.dial(t.Context(), "tcp", "peer")
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
-		_, err = raw.Write([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
+		_, err = conn.Write([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
 		expect.Expect(<-ended).To(gomega.HaveOccurred())
-		raw.Close()
+		conn.Close()
 		server.Stop()
 	})
 }
