--- a/internal/peer/logservice/logservice.go
+++ b/internal/peer/logservice/logservice.go
@@ -1,18 +1,19 @@
-// Package logservice talks to the platform's append-only log.
+// Package logservice is a client of the platform's append-only log.
 //
-// The log orders everything written to a stream by offset. It takes several
-// hundred appends a second for everybody, keeps records for a limited time and
-// has outages; a reply to an append can be lost after the append took effect.
-// The package reports these as typed errors and decides nothing: a caller that
-// gets ErrLost must read the stream to learn what happened.
+// The log orders the records of a stream by offset. All clients together can append
+// several hundred records per second. The log keeps records for a limited time and
+// has outages, and the reply to an append can be lost after the append took effect.
+// The package reports these cases as typed errors and does not handle them: a caller
+// that gets ErrUnknownOutcome must read the stream to find out whether the record
+// was appended.
 //
-// The wire format of the platform's log is known to this package only.
+// Only this package knows the wire format of the platform's log.
 //
 // # Usage
 //
 //	client := logservice.New("http://127.0.0.1:7000", nil)
 //	offset, err := client.Append(ctx, "Config", body)
-//	page, err := client.Read(ctx, "Config", offset, logservice.Wait(time.Second))
+//	page, err := client.Read(ctx, "Config", offset, 100, time.Second)
 package logservice
 
 import (
@@ -33,12 +34,12 @@
 
 // Errors of the log. Use errors.Is.
 var (
-	// ErrNotWritten means that the append provably took no effect.
-	ErrNotWritten = errors.New("the log refused the append")
-	// ErrLost means that the append may or may not have taken effect.
-	ErrLost = errors.New("the log's reply to the append was lost")
-	// ErrDark means that the log could not be read.
-	ErrDark = errors.New("the log cannot be read")
+	// ErrNotWritten means that the append certainly took no effect.
+	ErrNotWritten = errors.New("the record was not appended to the log")
+	// ErrUnknownOutcome means that the append may or may not have taken effect.
+	ErrUnknownOutcome = errors.New("the outcome of the append to the log is unknown")
+	// ErrUnavailable means that the log could not be read.
+	ErrUnavailable = errors.New("the log is unavailable")
 )
 
 // MaxRecordBytes is the largest record that this package reads or appends.
@@ -55,33 +56,31 @@
 	Body   []byte
 }
 
-// Page is the answer to one read. Earliest is the lowest offset that the log
-// still keeps, Next the offset of the record that will be appended next.
+// Page is the result of one read. Earliest is the lowest offset that the log still keeps. Next is the offset that the
+// next appended record will get.
 type Page struct {
 	Earliest uint64
 	Next     uint64
 	Records  []Record
 }
 
-// Appended is the log's answer to an append.
-type Appended struct {
+// AppendReply is the log's reply to an append.
+type AppendReply struct {
 	Offset uint64
 }
 
-// Client reads and appends. Its zero value is not usable; call New.
+// Client reads and appends records. The zero value is not usable; call New.
 type Client struct {
 	client *jsonhttp.Client
 }
 
-// New returns a client of the log at the base URL. A nil transport is the
-// usual one.
+// New returns a client of the log at the base URL. A nil transport selects the default transport.
 func New(base string, transport http.RoundTripper) *Client {
 	return &Client{client: jsonhttp.New(base, transport)}
 }
 
-// Append adds one record and returns its offset. The error is ErrNotWritten
-// where the log said so, else ErrLost: a connection that broke may have broken
-// after the append took effect.
+// Append appends one record and returns its offset. The error is ErrNotWritten if no request was sent or the log refused
+// the append. Any other error is ErrUnknownOutcome, since a connection may break after the append took effect.
 func (client *Client) Append(ctx context.Context, stream string, body []byte) (uint64, error) {
 	if len(body) > MaxRecordBytes {
 		return 0, errors.Mark(errors.Newf("a record of %d bytes is over the limit of %d", len(body), MaxRecordBytes), ErrNotWritten)
@@ -94,35 +93,35 @@
 	}
 	response, err := client.client.HTTP.Do(request)
 	if err != nil {
-		return 0, errors.Mark(errors.Wrapf(err, "append to %s", stream), ErrLost)
+		return 0, errors.Mark(errors.Wrapf(err, "append to %s", stream), ErrUnknownOutcome)
 	}
 	defer response.Body.Close()
-	return decodeAppended(stream, response)
+	return decodeAppendReply(stream, response)
 }
 
-func decodeAppended(stream string, response *http.Response) (uint64, error) {
+func decodeAppendReply(stream string, response *http.Response) (uint64, error) {
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestEntityTooLarge:
 		return 0, errors.Mark(errors.Newf("append to %s: the log answered %s", stream, response.Status), ErrNotWritten)
 	default:
-		return 0, errors.Mark(errors.Newf("append to %s: the log answered %s", stream, response.Status), ErrLost)
+		return 0, errors.Mark(errors.Newf("append to %s: the log answered %s", stream, response.Status), ErrUnknownOutcome)
 	}
-	var appended Appended
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxPageBytes)).Decode(&appended); err != nil {
-		return 0, errors.Mark(errors.Wrapf(err, "append to %s: decode reply", stream), ErrLost)
+	var reply AppendReply
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxPageBytes)).Decode(&reply); err != nil {
+		return 0, errors.Mark(errors.Wrapf(err, "append to %s: decode reply", stream), ErrUnknownOutcome)
 	}
-	return appended.Offset, nil
+	return reply.Offset, nil
 }
 
-// Read returns records from the offset on, at most max of them. It waits up to
-// wait for a first record when there is none yet.
+// Read returns at most maxRecords records, starting at offset from. If there is no record yet, Read waits for one, up to
+// the given time.
 func (client *Client) Read(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (Page, error) {
 	var page Page
 	path := fmt.Sprintf("%s?From=%d&Max=%d&WaitMs=%d", streamPath(stream), from, maxRecords, wait.Milliseconds())
 	limits := jsonhttp.Limits{Timeout: wait + requestTimeout, Bytes: maxPageBytes}
 	if err := client.client.Get(ctx, path, limits, &page); err != nil {
-		return Page{}, errors.Mark(errors.Wrapf(err, "read %s", stream), ErrDark)
+		return Page{}, errors.Mark(errors.Wrapf(err, "read %s", stream), ErrUnavailable)
 	}
 	return page, nil
 }
@@ -131,9 +130,9 @@
 	return "/streams/" + url.PathEscape(stream) + "/records"
 }
 
-// ParseRead reads the query of a read request; the platform's stand-in uses it
-// so that the format stays in one package.
-func ParseRead(query url.Values) (from uint64, maxRecords int, wait time.Duration, err error) {
+// ParseReadQuery decodes the URL query of a read request. The simulated platform uses it, so that the format is defined
+// in one package only.
+func ParseReadQuery(query url.Values) (from uint64, maxRecords int, wait time.Duration, err error) {
 	if from, err = strconv.ParseUint(query.Get("From"), 10, 64); err != nil {
 		return 0, 0, 0, errors.Wrap(err, "From must be an offset")
 	}
--- a/internal/run/node/answer.go
+++ b/internal/run/node/answer.go
@@ -186,11 +186,11 @@
 	case errors.Is(err, peer.ErrNotSent):
 		return <-node.appender.Add(batch)
 	case err != nil:
-		return errors.Mark(err, logservice.ErrLost)
+		return errors.Mark(err, logservice.ErrUnknownOutcome)
 	case reply.GetAppend().GetWritten():
 		return nil
 	case reply.GetAppend().GetFailure() == "":
-		return errors.Mark(errors.New("the peer did not append"), logservice.ErrLost)
+		return errors.Mark(errors.New("the peer did not append"), logservice.ErrUnknownOutcome)
 	}
 	return errors.Mark(errors.New(reply.GetAppend().GetFailure()), logservice.ErrNotWritten)
 }
--- a/internal/standin/platform/log.go
+++ b/internal/standin/platform/log.go
@@ -189,7 +189,7 @@
 	if faults.LoseReplies {
 		panic(http.ErrAbortHandler)
 	}
-	writeJSON(writer, logservice.Appended{Offset: offset})
+	writeJSON(writer, logservice.AppendReply{Offset: offset})
 }
 
 func (log *Log) delay() LogFaults {
@@ -216,7 +216,7 @@
 }
 
 func (log *Log) serveRead(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
-	from, maxRecords, wait, err := logservice.ParseRead(request.URL.Query())
+	from, maxRecords, wait, err := logservice.ParseReadQuery(request.URL.Query())
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
