--- a/internal/peer/instancelist/instancelist.go
+++ b/internal/peer/instancelist/instancelist.go
@@ -1,7 +1,8 @@
-// Package instancelist reads the platform's list of live and leaving
-// instances. The list lags: an instance can be gone, or leaving, for a while
-// before the list says so, and the list itself can be out of reach. Readers
-// treat it as a hint about whom to ask, never as proof that somebody lives.
+// Package instancelist reads the platform's list of live and leaving instances.
+// The list is eventually consistent: an instance can be gone, or leaving, for some
+// time before the list shows it, and the list itself can be unavailable. Callers
+// use the list as a hint about which instances to contact, never as proof that an
+// instance is alive.
 //
 // # Usage
 //
@@ -20,7 +21,7 @@
 	"hazelslip/internal/common/jsonhttp"
 )
 
-// The roles that an instance can have in the list.
+// Values of Instance.Role.
 const (
 	RoleEntry   = "Entry"
 	RoleEngine  = "Engine"
@@ -32,9 +33,8 @@
 	maxListBytes   = 8 << 20
 )
 
-// Instance is one line of the list. Address is the address for requests of
-// its role: the peer address of an entry node, the HTTP address of an engine
-// or a service.
+// Instance is one entry of the list. The meaning of Address depends on the role: the peer address of an entry node, or
+// the HTTP address of an engine or a service.
 type Instance struct {
 	ID           string
 	Address      string
@@ -46,25 +46,24 @@
 	Leaving      bool
 }
 
-// Client reads the list. Its zero value is not usable; call New.
+// Client reads the instance list. The zero value is not usable; call New.
 type Client struct {
 	client *jsonhttp.Client
 }
 
-// New returns a client of the instance list at the base URL. A nil transport
-// is the usual one.
+// New returns a client of the instance list at the base URL. A nil transport selects the default transport.
 func New(base string, transport http.RoundTripper) *Client {
 	return &Client{client: jsonhttp.New(base, transport)}
 }
 
-// Query selects instances; an empty field selects all.
+// Query selects instances; an empty field matches every instance.
 type Query struct {
 	Region     string
 	DataCentre string
 	Role       string
 }
 
-// Values returns the query of a request to the list.
+// Values returns the URL query parameters of a list request.
 func (query Query) Values() url.Values {
 	return url.Values{"Region": {query.Region}, "DataCentre": {query.DataCentre}, "Role": {query.Role}}
 }
@@ -76,7 +75,7 @@
 		(query.Role == "" || query.Role == instance.Role)
 }
 
-// List returns the instances that the query selects.
+// List returns the instances that match the query.
 func (client *Client) List(ctx context.Context, query Query) ([]Instance, error) {
 	var instances []Instance
 	limits := jsonhttp.Limits{Timeout: requestTimeout, Bytes: maxListBytes}
