--- a/internal/peer/weightstore/weightstore.go
+++ b/internal/peer/weightstore/weightstore.go
@@ -1,6 +1,6 @@
-// Package weightstore reads how busy the platform's weight store is. Engines
-// fetch weights from it themselves; it is rate-limited, so the order in which
-// groups are told to load decides which class gets its weights first.
+// Package weightstore reads the load of the platform's weight store. Engines fetch
+// weights from the store themselves. The store is rate-limited, so the order in
+// which groups are told to load determines which class gets its weights first.
 //
 // # Usage
 //
@@ -24,25 +24,24 @@
 	maxStatusBytes = 64 << 10
 )
 
-// Status is the store's load. Slots is how many loads it serves at full speed
-// at once, Loading how many are under way.
+// Status is the load of the weight store. Slots is the number of weight loads that the store serves concurrently at full
+// speed; Loading is the number of loads in progress.
 type Status struct {
 	Slots   int
 	Loading int
 }
 
-// Client reads the store's status. Its zero value is not usable; call New.
+// Client reads the status of the weight store. The zero value is not usable; call New.
 type Client struct {
 	client *jsonhttp.Client
 }
 
-// New returns a client of the weight store at the base URL. A nil transport is
-// the usual one.
+// New returns a client of the weight store at the base URL. A nil transport selects the default transport.
 func New(base string, transport http.RoundTripper) *Client {
 	return &Client{client: jsonhttp.New(base, transport)}
 }
 
-// Status reads the store's load.
+// Status reads the load of the weight store.
 func (client *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	limits := jsonhttp.Limits{Timeout: requestTimeout, Bytes: maxStatusBytes}
