--- a/internal/fleet/follower/era_test.go
+++ b/internal/fleet/follower/era_test.go
@@ -17,7 +17,7 @@
 // idleFollower is a follower that is never started.
 func idleFollower() *Follower {
 	return New(Parts{
-		Calls: store.NewCalls(), Configuration: configuration.NewTable(), Servers: roster.New(), Now: clock.Boot, Logger: slog.New(slog.DiscardHandler),
+		Calls: store.NewCallTracker(), Configuration: configuration.NewTable(), Servers: roster.New(), Now: clock.Boot, Logger: slog.New(slog.DiscardHandler),
 		Standing: func() Standing { return Standing{Role: overlay.Leaf, Fed: true} }, CameBack: func() {},
 	})
 }
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -41,7 +41,7 @@
 // Parts is what a Follower works with.
 type Parts struct {
 	Store         store.Store
-	Calls         *store.Calls
+	Calls         *store.CallTracker
 	Configuration *configuration.Table
 	Drains        *drain.Table
 	Servers       *roster.List
@@ -146,11 +146,11 @@
 // Hint is told by another node that the store answers it. A node that goes on to take it
 // for away could claim no term.
 func (follower *Follower) Hint() {
-	if !follower.Calls.Away() {
+	if !follower.Calls.Unavailable() {
 		return
 	}
 	follower.hinted.Store(true)
-	follower.Calls.Hint()
+	follower.Calls.HintRecovery()
 	follower.Look()
 }
 
@@ -187,7 +187,7 @@
 		}
 		checked = follower.Now()
 		follower.noteAsking("configuration", follower.ConfigurationAge())
-		rest := follower.Calls.Rest(follower.limits())
+		rest := follower.Calls.NewRetryPause(follower.limits())
 		next, err := follower.readConfiguration(position)
 		switch {
 		case errors.Is(err, store.ErrExpired) && position.Known():
@@ -272,15 +272,15 @@
 // the position after it.
 func (follower *Follower) readConfiguration(position storelog.Position) (storelog.Position, error) {
 	wait := readerWait
-	if !position.Known() || follower.Calls.Away() {
+	if !position.Known() || follower.Calls.Unavailable() {
 		wait = 0
 	}
-	version, err := store.Ask(follower.Calls, follower.Part, store.Question[store.Version]{
-		Name: "configuration", Wait: wait, Limits: follower.limits(), Wanted: func() bool { return follower.asks(0) },
+	version, err := store.CallHedged(follower.Calls, follower.Part, store.HedgedRequest[store.Version]{
+		Name: "configuration", Wait: wait, Timing: follower.limits(), MayHedge: func() bool { return follower.asks(0) },
 		Call: func(ctx context.Context, wait time.Duration) (store.Version, error) {
 			began := follower.Now()
 			version, err := follower.Store.Configuration(ctx, position, wait)
-			version.At = min(follower.Now(), began+wait)
+			version.CurrentAt = min(follower.Now(), began+wait)
 			if err == nil {
 				err = follower.HeardEra(version.Next.Era)
 			}
@@ -290,14 +290,14 @@
 	if err != nil {
 		return position, err
 	}
-	reading := drain.Reading{Records: version.Drains, End: version.Next, Whole: version.Whole, At: version.At}
+	reading := drain.Reading{Records: version.Drains, End: version.Next, Whole: version.Complete, At: version.CurrentAt}
 	if changes := follower.Drains.Read(reading); len(changes) > 0 {
 		follower.DrainsChanged(changes)
 	}
 	if len(version.Body) > 0 {
 		follower.Offer(version.Body, "store")
 	}
-	follower.confirmed(version.At)
+	follower.confirmed(version.CurrentAt)
 	return version.Next, sameEra(position, version.Next)
 }
 
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -32,7 +32,7 @@
 		defer follower.reading.Store(false)
 		limits := follower.limits()
 		limits.Away = listAway
-		rest := follower.Calls.Rest(limits)
+		rest := follower.Calls.NewRetryPause(limits)
 		if err := follower.readList(limits); err != nil && !errors.Is(err, store.ErrExpired) {
 			rest.Wait(follower.Part)
 		}
@@ -68,12 +68,12 @@
 func (follower *Follower) readList(limits patience.Limits) error {
 	settling := follower.settles(follower.Now())
 	from := follower.listFrom(settling)
-	listing, err := store.Ask(follower.Calls, follower.Part, store.Question[store.Listing]{
-		Name: "servers", Limits: limits, Wanted: follower.listDue,
+	listing, err := store.CallHedged(follower.Calls, follower.Part, store.HedgedRequest[store.Listing]{
+		Name: "servers", Timing: limits, MayHedge: follower.listDue,
 		Call: func(ctx context.Context, _ time.Duration) (store.Listing, error) {
 			began := follower.Now()
 			listing, err := follower.Store.Servers(ctx, from)
-			listing.At = began
+			listing.RequestedAt = began
 			if err == nil {
 				err = follower.HeardEra(listing.Next.Era)
 			}
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	follower.readAt.Store(int64(listing.At))
+	follower.readAt.Store(int64(listing.RequestedAt))
 	follower.Take(listing)
 	if settling {
 		follower.noteSettled(listing.Next.Era)
@@ -116,8 +116,8 @@
 			follower.HeardServer(record.Server)
 		}
 	}
-	reading := roster.Reading{Records: listing.Records, End: listing.Next, ReadAt: listing.At, Whole: listing.Whole, Told: listing.Told}
-	if follower.Servers.Take(reading) || listing.Whole {
+	reading := roster.Reading{Records: listing.Records, End: listing.Next, ReadAt: listing.RequestedAt, Whole: listing.Complete, Told: listing.FromPeer}
+	if follower.Servers.Take(reading) || listing.Complete {
 		follower.ListChanged()
 	}
 }
--- a/internal/peer/store/calls.go
+++ b/internal/peer/store/calls.go
@@ -13,235 +13,238 @@
 	"hazelslip/internal/policy/patience"
 )
 
-// Calls keeps account of one node's calls to the store.
-type Calls struct {
-	Counts Counts
+// CallTracker tracks the calls of one node to the store and derives from them whether the store is available.
+type CallTracker struct {
+	Counters Counters
 
-	now      clock.Now
-	lost     func(call string, err error)
-	returned func(outage Outage)
-	hung     func(hanging Hanging, err error)
+	now           clock.Now
+	onOutageStart func(call string, err error)
+	onOutageEnd   func(outage Outage)
+	onHungCall    func(hanging Hanging, err error)
 
 	mu       sync.Mutex
-	underWay map[*Call]struct{}
-	// answeredAt is when the store last answered, failures how many calls have failed
-	// since.
-	answeredAt time.Duration
-	failures   int
-	away       bool
-	// awayFrom is when the first call began that failed since then.
-	awayFrom time.Duration
-	// answeredFrom is when the youngest call began that was answered.
-	answeredFrom time.Duration
-	usual        patience.Usual
-	// returns is closed with the first answer after a failure, or a hint of one.
-	returns chan struct{}
-	// hungTold says that a call that hung was told of in this outage.
-	hungTold bool
+	inFlight map[*Call]struct{}
+	// answeredAt is when the store last answered; failures is the number of calls that have failed since.
+	answeredAt  time.Duration
+	failures    int
+	unavailable bool
+	// outageStartedAt is the start time of the first call that failed since the last answer.
+	outageStartedAt time.Duration
+	// newestAnsweredStart is the latest start time of any answered call.
+	newestAnsweredStart time.Duration
+	latencies           patience.Usual
+	// recovery is closed when the store answers after a failure or when HintRecovery is called, and is then
+	// replaced.
+	recovery chan struct{}
+	// hungReported is set if onHungCall was called since the last outage ended.
+	hungReported bool
 }
 
-// Counts are the counters of calls; they only grow.
-type Counts struct {
-	Begun, Failed, Hung, Outages atomic.Uint64
+// Counters count calls and outages; they only grow. Hung counts failed calls although the store answered a call that
+// started later, and overdue calls that were cancelled.
+type Counters struct {
+	Started, Failed, Hung, Outages atomic.Uint64
 }
 
-// Call is a call under way.
+// Call is a call to the store in progress.
 type Call struct {
-	calls *Calls
-	name  string
-	began time.Duration
-	// wait is for how long the store was asked to wait for news.
+	tracker   *CallTracker
+	name      string
+	startedAt time.Duration
+	// wait is the long-poll time: how long the store may wait for new records before it answers.
 	wait time.Duration
-	// writes says that the call writes. The store may have done what it asks for though
-	// nothing comes back, so a failure doesn't show that the store is away.
+	// writes is set for a call that writes. The store may have executed a write whose answer was lost, so a failed
+	// write does not show that the store is unavailable.
 	writes bool
 }
 
-// Outage is a time in which the store answered none of this node's calls.
+// Outage is a period in which the store answered none of this node's calls.
 type Outage struct {
-	// Call names the call that was answered first.
-	Call string
-	// Lasted is the time from the start of the first call that failed to that answer,
-	// Failures how many calls failed in it.
-	Lasted   time.Duration
+	// AnsweredCall names the first call that was answered after the outage.
+	AnsweredCall string
+	// Duration is the time from the start of the first failed call to that answer. Failures is the number of calls
+	// that failed meanwhile.
+	Duration time.Duration
 	Failures int
-	// Hanging are calls that were due to be answered and are still under way, the oldest first.
+	// Hanging are the overdue calls that are still in progress, the oldest first.
 	Hanging []Hanging
 }
 
-// Hanging is a call that has not been answered in its time.
+// Hanging is a call that is overdue or was not answered.
 type Hanging struct {
 	Call string
-	// Milliseconds is how long ago it began.
+	// Milliseconds is the time since the call started.
 	Milliseconds int64
 }
 
-// Option changes how Calls are built.
-type Option func(*Calls)
+// Option configures a CallTracker.
+type Option func(*CallTracker)
 
 // Clock sets the clock.
 func Clock(now clock.Now) Option {
-	return func(calls *Calls) { calls.now = now }
+	return func(tracker *CallTracker) { tracker.now = now }
 }
 
-// Lost is told of the first call that fails after one was answered.
-func Lost(lost func(call string, err error)) Option {
-	return func(calls *Calls) { calls.lost = lost }
+// OnOutageStart sets the function that is called for the first call that fails after an answered one.
+func OnOutageStart(onStart func(call string, err error)) Option {
+	return func(tracker *CallTracker) { tracker.onOutageStart = onStart }
 }
 
-// Returned is told of the first call that is answered after one failed.
-func Returned(returned func(outage Outage)) Option {
-	return func(calls *Calls) { calls.returned = returned }
+// OnOutageEnd sets the function that is called for the first call that is answered after a failed one.
+func OnOutageEnd(onEnd func(outage Outage)) Option {
+	return func(tracker *CallTracker) { tracker.onOutageEnd = onEnd }
 }
 
-// Hung is told of the first call of an outage that fails though the store answered others that
-// began later.
-func Hung(hung func(hanging Hanging, err error)) Option {
-	return func(calls *Calls) { calls.hung = hung }
+// OnHungCall sets the function that is called if a call fails although the store has answered a call that started later.
+// It is called for the first such call only, until the next outage has ended.
+func OnHungCall(onHung func(hanging Hanging, err error)) Option {
+	return func(tracker *CallTracker) { tracker.onHungCall = onHung }
 }
 
-// NewCalls returns the calls of a node that has made none.
-func NewCalls(options ...Option) *Calls {
-	calls := &Calls{
-		now: clock.Boot, underWay: map[*Call]struct{}{}, returns: make(chan struct{}),
-		lost: func(string, error) {}, returned: func(Outage) {}, hung: func(Hanging, error) {},
+// NewCallTracker returns a tracker without calls.
+func NewCallTracker(options ...Option) *CallTracker {
+	tracker := &CallTracker{
+		now: clock.Boot, inFlight: map[*Call]struct{}{}, recovery: make(chan struct{}),
+		onOutageStart: func(string, error) {}, onOutageEnd: func(Outage) {}, onHungCall: func(Hanging, error) {},
 	}
 	for _, option := range options {
-		option(calls)
+		option(tracker)
 	}
-	calls.answeredAt = calls.now()
-	return calls
+	tracker.answeredAt = tracker.now()
+	return tracker
 }
 
-// Begin notes that a call is made in which the store is asked to wait for news.
-func (calls *Calls) Begin(name string, wait time.Duration) *Call {
-	return calls.begin(&Call{calls: calls, name: name, began: calls.now(), wait: wait})
+// Start records the start of a read. The store may wait for new records for the given time before it answers.
+func (tracker *CallTracker) Start(name string, wait time.Duration) *Call {
+	return tracker.start(&Call{tracker: tracker, name: name, startedAt: tracker.now(), wait: wait})
 }
 
-// BeginWrite notes that a call is made that writes.
-func (calls *Calls) BeginWrite(name string) *Call {
-	return calls.begin(&Call{calls: calls, name: name, began: calls.now(), writes: true})
+// StartWrite records the start of a write.
+func (tracker *CallTracker) StartWrite(name string) *Call {
+	return tracker.start(&Call{tracker: tracker, name: name, startedAt: tracker.now(), writes: true})
 }
 
-func (calls *Calls) begin(call *Call) *Call {
-	calls.Counts.Begun.Add(1)
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	calls.underWay[call] = struct{}{}
+func (tracker *CallTracker) start(call *Call) *Call {
+	tracker.Counters.Started.Add(1)
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	tracker.inFlight[call] = struct{}{}
 	return call
 }
 
-// End notes how a call ended.
-func (call *Call) End(err error) {
-	calls := call.calls
-	calls.mu.Lock()
-	delete(calls.underWay, call)
-	var tell func()
+// Finish records the result of a call.
+func (call *Call) Finish(err error) {
+	tracker := call.tracker
+	tracker.mu.Lock()
+	delete(tracker.inFlight, call)
+	var notify func()
 	if err != nil {
-		calls.Counts.Failed.Add(1)
-		tell = call.failedLocked(err)
+		tracker.Counters.Failed.Add(1)
+		notify = call.recordFailureLocked(err)
 	} else {
-		tell = call.answeredLocked()
+		notify = call.recordAnswerLocked()
 	}
-	calls.mu.Unlock()
-	tell()
+	tracker.mu.Unlock()
+	notify()
 }
 
-// answeredLocked notes that a call was answered, and returns what tells of it.
-func (call *Call) answeredLocked() (tell func()) {
-	calls, now := call.calls, call.calls.now()
-	outage := Outage{Call: call.name, Lasted: now - calls.awayFrom, Failures: calls.failures, Hanging: calls.hangingLocked(now)}
-	ended := calls.away
-	calls.away, calls.failures, calls.answeredAt = false, 0, now
-	calls.answeredFrom = max(calls.answeredFrom, call.began)
-	calls.usual.Took(now - call.began - call.wait)
-	if !ended {
+// recordAnswerLocked records that the call was answered. It returns the notification to run without the lock.
+func (call *Call) recordAnswerLocked() (notify func()) {
+	tracker, now := call.tracker, call.tracker.now()
+	outage := Outage{AnsweredCall: call.name, Duration: now - tracker.outageStartedAt, Failures: tracker.failures, Hanging: tracker.hangingLocked(now)}
+	recovered := tracker.unavailable
+	tracker.unavailable, tracker.failures, tracker.answeredAt = false, 0, now
+	tracker.newestAnsweredStart = max(tracker.newestAnsweredStart, call.startedAt)
+	tracker.latencies.Took(now - call.startedAt - call.wait)
+	if !recovered {
 		return func() {}
 	}
-	calls.hungTold = false
-	calls.returnsLocked()
-	return func() { calls.returned(outage) }
+	tracker.hungReported = false
+	tracker.signalRecoveryLocked()
+	return func() { tracker.onOutageEnd(outage) }
 }
 
-// failedLocked notes that a call failed, and returns what tells of it. Where the store has
-// answered a call that began later, it isn't away.
-func (call *Call) failedLocked(err error) (tell func()) {
-	calls := call.calls
-	if calls.answeredFrom <= call.began {
-		return call.lostLocked(err)
+// recordFailureLocked records that the call failed. It returns the notification to run without the lock. If the store
+// has answered a call that started later, the store is available and the call counts as hung.
+func (call *Call) recordFailureLocked(err error) (notify func()) {
+	tracker := call.tracker
+	if tracker.newestAnsweredStart <= call.startedAt {
+		return call.recordUnansweredLocked(err)
 	}
-	calls.Counts.Hung.Add(1)
-	if calls.hungTold {
+	tracker.Counters.Hung.Add(1)
+	if tracker.hungReported {
 		return func() {}
 	}
-	calls.hungTold = true
-	hanging := Hanging{Call: call.name, Milliseconds: (calls.now() - call.began).Milliseconds()}
-	return func() { calls.hung(hanging, err) }
+	tracker.hungReported = true
+	hanging := Hanging{Call: call.name, Milliseconds: (tracker.now() - call.startedAt).Milliseconds()}
+	return func() { tracker.onHungCall(hanging, err) }
 }
 
-// lostLocked notes that a call was not answered, and returns what tells of it.
-func (call *Call) lostLocked(err error) (tell func()) {
-	calls := call.calls
+// recordUnansweredLocked records that the store did not answer the call. It returns the notification to run without the
+// lock.
+func (call *Call) recordUnansweredLocked(err error) (notify func()) {
+	tracker := call.tracker
 	if call.writes {
 		return func() {}
 	}
-	calls.failures++
-	if calls.away {
+	tracker.failures++
+	if tracker.unavailable {
 		return func() {}
 	}
-	calls.away, calls.awayFrom = true, call.began
-	calls.Counts.Outages.Add(1)
-	return func() { calls.lost(call.name, err) }
+	tracker.unavailable, tracker.outageStartedAt = true, call.startedAt
+	tracker.Counters.Outages.Add(1)
+	return func() { tracker.onOutageStart(call.name, err) }
 }
 
-// lateAfter is how much longer than it waits for news a call must take to count as failed
-// while it is still under way.
-const lateAfter = 600 * time.Millisecond
-
-// late counts a call that hangs as failed, unless the store answered one that began later.
-func (call *Call) late() {
-	calls := call.calls
-	calls.mu.Lock()
-	tell := func() {}
-	if elapsed := calls.now() - call.began; elapsed >= call.wait+lateAfter && calls.answeredFrom <= call.began {
-		tell = call.lostLocked(errors.Newf("no answer within %d ms", elapsed.Milliseconds()))
+// unansweredAfter is the time beyond its long-poll time after which a call in progress may count as failed.
+const unansweredAfter = 600 * time.Millisecond
+
+// markOverdue counts a call in progress as failed if it has taken too long, unless the store has answered a call that
+// started later.
+func (call *Call) markOverdue() {
+	tracker := call.tracker
+	tracker.mu.Lock()
+	notify := func() {}
+	if elapsed := tracker.now() - call.startedAt; elapsed >= call.wait+unansweredAfter && tracker.newestAnsweredStart <= call.startedAt {
+		notify = call.recordUnansweredLocked(errors.Newf("the store did not answer within %d ms", elapsed.Milliseconds()))
 	}
-	calls.mu.Unlock()
-	tell()
+	tracker.mu.Unlock()
+	notify()
 }
 
-// Hint tells that the store answers another node. Calls that hang here are made anew.
-func (calls *Calls) Hint() {
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	if calls.away {
-		calls.returnsLocked()
+// HintRecovery signals that the store answers another node. If the store is unavailable to this node, hedged requests in
+// progress start another call.
+func (tracker *CallTracker) HintRecovery() {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if tracker.unavailable {
+		tracker.signalRecoveryLocked()
 	}
 }
 
-func (calls *Calls) returnsLocked() {
-	close(calls.returns)
-	calls.returns = make(chan struct{})
+func (tracker *CallTracker) signalRecoveryLocked() {
+	close(tracker.recovery)
+	tracker.recovery = make(chan struct{})
 }
 
-// withdraw notes that a call was given up, since its answer is no longer needed.
-func (call *Call) withdraw() {
-	calls := call.calls
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	delete(calls.underWay, call)
-	if calls.now()-call.began > call.wait+overdueAfter {
-		calls.Counts.Hung.Add(1)
+// cancel records that the call was cancelled because its answer is no longer needed.
+func (call *Call) cancel() {
+	tracker := call.tracker
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	delete(tracker.inFlight, call)
+	if tracker.now()-call.startedAt > call.wait+hangingAfter {
+		tracker.Counters.Hung.Add(1)
 	}
 }
 
-// overdueAfter is how much longer than it waits for news a call may take.
-const overdueAfter = 250 * time.Millisecond
+// hangingAfter is the time beyond its long-poll time after which a call is overdue and counts as hanging.
+const hangingAfter = 250 * time.Millisecond
 
-func (calls *Calls) hangingLocked(now time.Duration) []Hanging {
+func (tracker *CallTracker) hangingLocked(now time.Duration) []Hanging {
 	hanging := []Hanging{}
-	for call := range calls.underWay {
-		if elapsed := now - call.began; elapsed > call.wait+overdueAfter {
+	for call := range tracker.inFlight {
+		if elapsed := now - call.startedAt; elapsed > call.wait+hangingAfter {
 			hanging = append(hanging, Hanging{Call: call.name, Milliseconds: elapsed.Milliseconds()})
 		}
 	}
@@ -251,51 +254,51 @@
 	return hanging
 }
 
-// Usual is how long the store takes to answer, as the longest of the latest answers.
-func (calls *Calls) Usual() time.Duration {
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	return calls.usual.Longest()
+// LongestRecentLatency returns the longest latency of the recent answers, without the long-poll time.
+func (tracker *CallTracker) LongestRecentLatency() time.Duration {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	return tracker.latencies.Longest()
 }
 
-// Returns is closed with the first answer after a failure, or a hint of one.
-func (calls *Calls) Returns() <-chan struct{} {
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	return calls.returns
+// Recovery returns a channel that is closed when the store answers after a failure or when HintRecovery is called.
+func (tracker *CallTracker) Recovery() <-chan struct{} {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	return tracker.recovery
 }
 
-// Away says whether the last call that ended failed.
-func (calls *Calls) Away() bool {
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	return calls.away
+// Unavailable reports whether the store has left a read unanswered since it last answered a call.
+func (tracker *CallTracker) Unavailable() bool {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	return tracker.unavailable
 }
 
-// FailuresInRow is how many calls have failed since the last answer.
-func (calls *Calls) FailuresInRow() int {
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	return calls.failures
+// FailuresInRow returns the number of calls that have failed since the last answer.
+func (tracker *CallTracker) FailuresInRow() int {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	return tracker.failures
 }
 
-// State is the dump of how the store answers.
+// State is the availability of the store in the state dump.
 type State struct {
 	Away bool
-	// SinceAnswerMilliseconds is how long ago the store last answered this node, or how
-	// long ago the node started.
+	// SinceAnswerMilliseconds is the time since the store last answered this node, or since the node started if it
+	// never did.
 	SinceAnswerMilliseconds int64
 	FailuresInRow           int
 	Hanging                 []Hanging
 }
 
-// State returns how the store answers.
-func (calls *Calls) State() State {
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	now := calls.now()
+// State returns the availability of the store and the hanging calls.
+func (tracker *CallTracker) State() State {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	now := tracker.now()
 	return State{
-		Away: calls.away, SinceAnswerMilliseconds: (now - calls.answeredAt).Milliseconds(), FailuresInRow: calls.failures,
-		Hanging: calls.hangingLocked(now),
+		Away: tracker.unavailable, SinceAnswerMilliseconds: (now - tracker.answeredAt).Milliseconds(), FailuresInRow: tracker.failures,
+		Hanging: tracker.hangingLocked(now),
 	}
 }
--- a/internal/peer/store/store.go
+++ b/internal/peer/store/store.go
@@ -1,17 +1,18 @@
-// Package store is the platform's store, as a node uses it: what can be asked of it, which
-// calls are under way, and whether it answers.
+// Package store defines a node's interface to the platform's store and tracks whether the
+// store is available.
 //
-// Store holds the functions that speak the platform's formats. What they return bears the
-// era that the store was in. Calls keeps account of one node's calls: the first failure
-// after an answer and the first answer after a failure are told once, the latter with the
-// calls that hang since before it.
+// Store holds the functions that implement the platform's formats. Positions that they
+// return carry the era (restore generation) of the store. CallTracker tracks the calls of
+// one node. It reports the first failure after an answer and the first answer after a
+// failure once each, the latter with the calls that have been hanging since before the
+// answer. CallHedged makes a read with hedged calls.
 //
 // # Usage
 //
-//	calls := store.NewCalls(store.Clock(clock.Boot), store.Returned(func(outage store.Outage) { ... }))
-//	call := calls.Begin("configuration", wait)
+//	calls := store.NewCallTracker(store.Clock(clock.Boot), store.OnOutageEnd(func(outage store.Outage) { ... }))
+//	call := calls.Start("configuration", wait)
 //	version, err := platform.Configuration(ctx, position, wait)
-//	call.End(err)
+//	call.Finish(err)
 package store
 
 import (
@@ -26,75 +27,72 @@
 	"hazelslip/internal/state/storelog"
 )
 
-// Store holds the calls to the store.
+// Store holds the functions that access the store.
 type Store struct {
-	// Configuration returns what the operator wrote at or after a position, waiting
-	// for it: the newest version, of which an empty body says that there was none, and
-	// drains. From nowhere it returns what is in force.
+	// Configuration returns what the operator wrote at or after a position: the newest configuration version, whose
+	// body is empty if there is none, and drains. It waits up to the given time for something to be written. From
+	// the unknown position it returns what is in force.
 	Configuration       func(ctx context.Context, from storelog.Position, wait time.Duration) (Version, error)
 	DecodeConfiguration func(body []byte) (*configuration.Configuration, error)
-	// Servers returns the records of the registry from a position on. Whole
-	// says that the records are all entries that there are.
+	// Servers returns the records of the server registry from a position on. Listing.Complete means that the
+	// records are all entries of the registry.
 	Servers      func(ctx context.Context, from storelog.Position) (Listing, error)
 	DecodeServer func(body []byte) (*roster.Server, error)
-	// Claim appends a record that names the holder and returns its place.
-	Claim func(ctx context.Context, holder string) (storelog.Position, error)
-	// Register makes a node's peer address known, Nodes returns those of all.
-	Register func(ctx context.Context, node Introduction) error
-	Nodes    func(ctx context.Context) ([]Introduction, error)
-	// Suspect writes what is known of requests under which servers ended, Suspects
-	// returns all that is kept.
-	Suspect  func(ctx context.Context, suspects []Suspect) error
-	Suspects func(ctx context.Context) ([]Suspect, error)
+	// Claim appends a record that names a node as the leader and returns the position of the record.
+	Claim func(ctx context.Context, leader string) (storelog.Position, error)
+	// Register stores the registration of a node, which holds its peer address. Nodes returns the registrations of
+	// all nodes.
+	Register func(ctx context.Context, node NodeRegistration) error
+	Nodes    func(ctx context.Context) ([]NodeRegistration, error)
+	// SaveSuspects stores requests that are suspected of making servers fail. ListSuspects returns all stored ones.
+	SaveSuspects func(ctx context.Context, suspects []Suspect) error
+	ListSuspects func(ctx context.Context) ([]Suspect, error)
 }
 
-// Introduction is what a node says of itself in the store.
-type Introduction struct {
+// NodeRegistration is the entry of a node in the store.
+type NodeRegistration struct {
 	Address    string `json:"-"`
 	DataCentre string
-	// Capacity is its share of a processor, in thousandths of a core.
+	// Capacity is the CPU capacity of the node, in thousandths of a core.
 	Capacity uint32
 }
 
-// ErrExpired says that the records at a position are no longer kept; all must
-// be read again.
+// ErrExpired means that the store no longer keeps the records at a position. The reader must read all records again.
 var ErrExpired = errors.New("the store no longer keeps the records at this position")
 
-// Version is one answer about what the operator wrote.
+// Version is one answer of Store.Configuration.
 type Version struct {
 	Body []byte
-	// Drains are records of drained data centres; Whole says that they are all drains that
-	// there are.
-	Drains []drain.Record
-	Whole  bool
-	Next   storelog.Position
-	// At is when the store had no newer one.
-	At time.Duration
+	// Drains are the drains of data centres. Complete means that they are all existing drains.
+	Drains   []drain.Record
+	Complete bool
+	Next     storelog.Position
+	// CurrentAt is a time at which the store had no newer version.
+	CurrentAt time.Duration
 }
 
-// Listing is one answer about the registry, of the store or, where Told is set, of
-// another node.
+// Listing is an excerpt of the server registry, read from the store or, if FromPeer is set, received from another node.
 type Listing struct {
-	Records []roster.Record
-	Next    storelog.Position
-	Whole   bool
-	Told    bool
-	// At is when the store was asked.
-	At time.Duration
+	Records  []roster.Record
+	Next     storelog.Position
+	Complete bool
+	FromPeer bool
+	// RequestedAt is when the listing was requested from the store.
+	RequestedAt time.Duration
 }
 
-// Suspect is a suspected request as the store keeps it. Its times are of the day,
-// since no node's own clock means anything to the others.
+// Suspect is the stored form of a request that is suspected of making servers fail. Its times are wall-clock times, since
+// the monotonic clock of one node is meaningless to other nodes.
 type Suspect struct {
 	Fingerprint string `json:"-"`
-	// Dropped says that the store is to keep nothing of it.
-	Dropped  bool `json:"-"`
-	Ends     []SuspectEnd
+	// Deleted tells the store to delete the suspect.
+	Deleted  bool `json:"-"`
+	Ends     []SuspectFailure
 	LiftedAt time.Time
 }
 
-// SuspectEnd is a server that ended while it had a request.
-type SuspectEnd struct {
+// SuspectFailure is the failure of a server that was processing the request. Run identifies the server process.
+type SuspectFailure struct {
 	Run string
 	At  time.Time
 }
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -77,7 +77,7 @@
 	told := &frame.Frame{
 		HighestTerm: node.keeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
 		ConfigurationAgeMs: proto.Uint32(milliseconds(node.follower.ConfigurationAge())),
-		Fit:                peers.fit(), StoreAway: node.storeCalls.Away(), News: channel.news, SilentHeads: channel.silences,
+		Fit:                peers.fit(), StoreAway: node.storeCalls.Unavailable(), News: channel.news, SilentHeads: channel.silences,
 		Listing: peers.listing(channel), Suspects: peers.suspectsFor(channel), Notices: peers.noticesFor(channel),
 		Drains: drainsToWire(node.drained.Records()),
 	}
@@ -167,7 +167,7 @@
 	delta := peers.catalogue.Since(from)
 	told := &frame.Frame{
 		HighestTerm: node.keeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
-		Nodes: uint32(added.nodes), Fit: peers.fit(), StoreAway: node.storeCalls.Away(),
+		Nodes: uint32(added.nodes), Fit: peers.fit(), StoreAway: node.storeCalls.Unavailable(),
 		Drains: drainsToWire(node.drained.Records()),
 	}
 	if !delta.Empty() {
@@ -233,7 +233,7 @@
 	theirs := channel.listAge + peers.node.now() - channel.listAt
 	reader := peers.node.follower.ReadsList()
 	// While the store is away nobody reads the list, and a root that starts again is told it by others.
-	lacking := channel.listAge >= follower.UnknownAge && peers.node.storeCalls.Away()
+	lacking := channel.listAge >= follower.UnknownAge && peers.node.storeCalls.Unavailable()
 	if !channel.heardList || (!downstream(channel.link) && !lacking && (!reader || theirs < age+follower.ListTick)) {
 		return told
 	}
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -102,7 +102,7 @@
 	notices       *notice.Notices
 	// stored is used by the part that keeps it alone.
 	stored       storedSuspects
-	storeCalls   *store.Calls
+	storeCalls   *store.CallTracker
 	follower     *follower.Follower
 	measures     *measures
 	services     atomic.Pointer[engineServices]
@@ -180,7 +180,7 @@
 	for _, option := range options {
 		option(node)
 	}
-	node.storeCalls = store.NewCalls(store.Clock(node.now), store.Lost(node.storeLost), store.Returned(node.storeReturned), store.Hung(node.storeHung))
+	node.storeCalls = store.NewCallTracker(store.Clock(node.now), store.OnOutageStart(node.storeLost), store.OnOutageEnd(node.storeReturned), store.OnHungCall(node.storeHung))
 	node.drained, node.cold = drain.New(drain.Clock(node.now)), warmup.NewTable(node.now)
 	node.servers = roster.New(roster.Draining(func(id string, born int64) bool {
 		return node.notices.Draining(ratelimit.Run{Server: id, Born: born})
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -147,7 +147,7 @@
 		"GroupsLent": formed.Lent.Load(), "Reports": formed.Reports.Load(), "SilentButWhole": formed.WholeSeen.Load(),
 		"ConnectionsDialled": calls.Dialled.Load(), "ConnectionsReused": calls.Reused.Load(),
 		"ConnectionsFailed": calls.DialFailed.Load(), "ConnectionsDiscarded": calls.Discarded.Load(),
-		"StrayAnswers": calls.StrayResponses.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.Returns(),
+		"StrayAnswers": calls.StrayResponses.Load(), "StoreReads": node.storeCalls.Counters.Started.Load(), "StoreFailures": node.storeCalls.Counters.Failed.Load(), "StoreHung": node.storeCalls.Counters.Hung.Load(), "StoreOutages": node.storeCalls.Counters.Outages.Load(), "StoreReturns": node.follower.Returns(),
 		"LinksAttached": links.Attached.Load(), "LinksFailed": links.AttachFailed.Load(), "LinksEnded": links.LinksEnded.Load(),
 		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesTaken.Load(), "FrameBytesSent": links.BytesSent.Load(),
 		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.newsLearnt.Load(),
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -197,19 +197,19 @@
 // register makes this node known in the store's directory.
 func (peers *peers) register(ctx context.Context) error {
 	settings := &peers.node.settings
-	call := peers.node.storeCalls.BeginWrite("register")
-	err := peers.node.platform.Store.Register(ctx, store.Introduction{
+	call := peers.node.storeCalls.StartWrite("register")
+	err := peers.node.platform.Store.Register(ctx, store.NodeRegistration{
 		Address: settings.Listen.advertised(), DataCentre: settings.DataCentre, Capacity: settings.Limits.Processor,
 	})
-	call.End(err)
+	call.Finish(err)
 	return err
 }
 
 // known returns the nodes of the store's directory.
 func (peers *peers) known(ctx context.Context) ([]tree.Member, error) {
-	call := peers.node.storeCalls.Begin("nodes", 0)
+	call := peers.node.storeCalls.Start("nodes", 0)
 	found, err := peers.node.platform.Store.Nodes(ctx)
-	call.End(err)
+	call.Finish(err)
 	if err != nil {
 		return nil, err
 	}
@@ -311,7 +311,7 @@
 	}
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	own := peers.node.storeCalls.Away()
+	own := peers.node.storeCalls.Unavailable()
 	before, candidates := 0, []uint64{}
 	for link, channel := range peers.channels {
 		switch {
@@ -334,7 +334,7 @@
 
 // rootsAway says whether this node is a root, and the store answers none that it knows.
 func (peers *peers) rootsAway() bool {
-	if peers.overlay.Role() != overlay.Root || !peers.node.storeCalls.Away() {
+	if peers.overlay.Role() != overlay.Root || !peers.node.storeCalls.Unavailable() {
 		return false
 	}
 	peers.mu.Lock()
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -52,7 +52,7 @@
 	ctx, cancel := node.Context(timeout)
 	defer cancel()
 	err := ask(ctx)
-	call.End(err)
+	call.Finish(err)
 	return err
 }
 
@@ -69,7 +69,7 @@
 
 // storeReturned is told of the first answer after that.
 func (node *Node) storeReturned(outage store.Outage) {
-	node.logger.Info("gateway: the store answers again.", "Call", outage.Call, "AwayMilliseconds", outage.Lasted.Milliseconds(),
+	node.logger.Info("gateway: the store answers again.", "Call", outage.AnsweredCall, "AwayMilliseconds", outage.Duration.Milliseconds(),
 		"Failures", outage.Failures, "Hanging", outage.Hanging, "ConfigurationAgeMilliseconds", node.follower.ConfigurationAge().Milliseconds())
 	node.peers.overlay.Reachable()
 }
@@ -87,7 +87,7 @@
 		return storelog.Nowhere, errStoreAway
 	}
 	place := storelog.Nowhere
-	err := node.callStore(node.storeCalls.BeginWrite("claim"), storeTimeout, func(ctx context.Context) (err error) {
+	err := node.callStore(node.storeCalls.StartWrite("claim"), storeTimeout, func(ctx context.Context) (err error) {
 		if place, err = node.platform.Store.Claim(ctx, node.settings.Name); err != nil {
 			return err
 		}
--- a/internal/run/gateway/suspects.go
+++ b/internal/run/gateway/suspects.go
@@ -49,7 +49,7 @@
 	ticker := time.NewTicker(suspectsTick)
 	defer ticker.Stop()
 	for {
-		returns, settled := node.storeCalls.Returns(), node.suspectsSettled()
+		returns, settled := node.storeCalls.Recovery(), node.suspectsSettled()
 		select {
 		case <-node.Stopping:
 			return
@@ -225,14 +225,14 @@
 	for fingerprint := range node.stored.held {
 		if _, known := node.quarantine.Suspect(fingerprint); !known {
 			delete(node.stored.held, fingerprint)
-			stored = append(stored, store.Suspect{Fingerprint: fingerprint.String(), Dropped: true})
+			stored = append(stored, store.Suspect{Fingerprint: fingerprint.String(), Deleted: true})
 		}
 	}
 	if len(stored) == 0 {
 		return
 	}
-	err := node.callStore(node.storeCalls.BeginWrite("write suspects"), storeTimeout, func(ctx context.Context) error {
-		return node.platform.Store.Suspect(ctx, stored)
+	err := node.callStore(node.storeCalls.StartWrite("write suspects"), storeTimeout, func(ctx context.Context) error {
+		return node.platform.Store.SaveSuspects(ctx, stored)
 	})
 	if err != nil {
 		return
@@ -243,8 +243,8 @@
 // readSuspects takes what the store has, and says whether it answered.
 func (node *Node) readSuspects() bool {
 	stored := []store.Suspect{}
-	err := node.callStore(node.storeCalls.Begin("suspects", 0), storeTimeout, func(ctx context.Context) (err error) {
-		stored, err = node.platform.Store.Suspects(ctx)
+	err := node.callStore(node.storeCalls.Start("suspects", 0), storeTimeout, func(ctx context.Context) (err error) {
+		stored, err = node.platform.Store.ListSuspects(ctx)
 		return err
 	})
 	if err != nil {
@@ -268,7 +268,7 @@
 func suspectToStore(suspect quarantine.Suspect, now time.Duration, today time.Time) store.Suspect {
 	stored := store.Suspect{Fingerprint: suspect.Fingerprint.String()}
 	for _, end := range suspect.Ends {
-		stored.Ends = append(stored.Ends, store.SuspectEnd{Run: end.Run, At: today.Add(end.At - now)})
+		stored.Ends = append(stored.Ends, store.SuspectFailure{Run: end.Run, At: today.Add(end.At - now)})
 	}
 	if suspect.LiftedAt > 0 {
 		stored.LiftedAt = today.Add(suspect.LiftedAt - now)
--- a/internal/run/gateway/take.go
+++ b/internal/run/gateway/take.go
@@ -106,7 +106,7 @@
 	if !told.Follows {
 		return
 	}
-	listing := store.Listing{Next: endOf(told), Told: true, At: now - age}
+	listing := store.Listing{Next: endOf(told), FromPeer: true, RequestedAt: now - age}
 	peers.node.follower.HeardEraFromPeer(listing.Next)
 	for _, record := range told.Records {
 		listing.Records = append(listing.Records, recordFromWire(record))
