--- a/internal/peer/backendserver/backendserver.go
+++ b/internal/peer/backendserver/backendserver.go
@@ -122,7 +122,7 @@
 	// dialTimeout bounds connecting. Connecting within a region takes a few milliseconds. TCP retransmits a lost
 	// SYN only after a second, and another server can respond sooner than that.
 	dialTimeout = 400 * time.Millisecond
-	// dialTimeDivisor is the divisor of the caller's remaining time that gives the time for connecting.
+	// dialTimeDivisor limits connecting to one third of the caller's remaining time.
 	dialTimeDivisor = 3
 	// tcpUserTimeout ends a connection whose sent bytes are not acknowledged, for example because the host lost
 	// power.
