--- a/internal/fleet/follower/era_test.go
+++ b/internal/fleet/follower/era_test.go
@@ -17,7 +17,7 @@
 // idleFollower returns a follower that is never started.
 func idleFollower() *Follower {
 	return New(Dependencies{
-		Calls: store.NewCalls(), Configuration: configuration.NewTable(), Servers: roster.New(), Now: clock.Boot, Logger: slog.New(slog.DiscardHandler),
+		Calls: store.NewCallTracker(), Configuration: configuration.NewTable(), Servers: roster.New(), Now: clock.Boot, Logger: slog.New(slog.DiscardHandler),
 		ReadPolicy: func() ReadPolicy { return ReadPolicy{Role: overlay.Leaf, FedByUpstream: true} }, StoreRestored: func() {},
 	})
 }
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -39,7 +39,7 @@
 // Dependencies are the constructor arguments of a Follower.
 type Dependencies struct {
 	Store         store.Store
-	Calls         *store.Calls
+	Calls         *store.CallTracker
 	Configuration *configuration.Table
 	Drains        *drain.Table
 	Servers       *roster.List
@@ -145,11 +145,11 @@
 // HintStoreAvailable is called when another node reports that the store answers it. A node that still takes the store
 // for unavailable cannot claim a leadership term.
 func (follower *Follower) HintStoreAvailable() {
-	if !follower.Calls.Away() {
+	if !follower.Calls.Unavailable() {
 		return
 	}
 	follower.storeHinted.Store(true)
-	follower.Calls.Hint()
+	follower.Calls.HintRecovery()
 	follower.Recheck()
 }
 
@@ -186,7 +186,7 @@
 		}
 		askedAt = follower.Now()
 		follower.logNonReaderAsk("configuration", follower.ConfigurationAge())
-		rest := follower.Calls.Rest(follower.storeLimits())
+		rest := follower.Calls.NewRetryPause(follower.storeLimits())
 		next, err := follower.readConfiguration(position)
 		switch {
 		case errors.Is(err, store.ErrExpired) && position.Known():
@@ -271,15 +271,15 @@
 // after that version.
 func (follower *Follower) readConfiguration(position storelog.Position) (storelog.Position, error) {
 	wait := readerLongPoll
-	if !position.Known() || follower.Calls.Away() {
+	if !position.Known() || follower.Calls.Unavailable() {
 		wait = 0
 	}
-	version, err := store.Ask(follower.Calls, follower.Component, store.Question[store.Version]{
-		Name: "configuration", Wait: wait, Limits: follower.storeLimits(), Wanted: func() bool { return follower.shouldAsk(0) },
+	version, err := store.CallHedged(follower.Calls, follower.Component, store.HedgedRequest[store.Version]{
+		Name: "configuration", Wait: wait, Timing: follower.storeLimits(), MayHedge: func() bool { return follower.shouldAsk(0) },
 		Call: func(ctx context.Context, wait time.Duration) (store.Version, error) {
 			began := follower.Now()
 			version, err := follower.Store.Configuration(ctx, position, wait)
-			version.At = min(follower.Now(), began+wait)
+			version.CurrentAt = min(follower.Now(), began+wait)
 			if err == nil {
 				err = follower.ObserveEra(version.Next.Era)
 			}
@@ -289,14 +289,14 @@
 	if err != nil {
 		return position, err
 	}
-	reading := drain.Update{Records: version.Drains, End: version.Next, Complete: version.Whole, ReadAt: version.At}
+	reading := drain.Update{Records: version.Drains, End: version.Next, Complete: version.Complete, ReadAt: version.CurrentAt}
 	if changes := follower.Drains.ApplyLog(reading); len(changes) > 0 {
 		follower.DrainsChanged(changes)
 	}
 	if len(version.Body) > 0 {
 		follower.OfferConfiguration(version.Body, "store")
 	}
-	follower.markConfirmed(version.At)
+	follower.markConfirmed(version.CurrentAt)
 	return version.Next, checkSameEra(position, version.Next)
 }
 
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -31,7 +31,7 @@
 		defer follower.readingList.Store(false)
 		limits := follower.storeLimits()
 		limits.OutageInterval = unavailableListInterval
-		rest := follower.Calls.Rest(limits)
+		rest := follower.Calls.NewRetryPause(limits)
 		if err := follower.readList(limits); err != nil && !errors.Is(err, store.ErrExpired) {
 			rest.Wait(follower.Component)
 		}
@@ -67,12 +67,12 @@
 func (follower *Follower) readList(limits patience.Timing) error {
 	readAll := follower.shouldReadAllAgain(follower.Now())
 	from := follower.listPosition(readAll)
-	listing, err := store.Ask(follower.Calls, follower.Component, store.Question[store.Listing]{
-		Name: "servers", Limits: limits, Wanted: follower.listDue,
+	listing, err := store.CallHedged(follower.Calls, follower.Component, store.HedgedRequest[store.Listing]{
+		Name: "servers", Timing: limits, MayHedge: follower.listDue,
 		Call: func(ctx context.Context, _ time.Duration) (store.Listing, error) {
 			began := follower.Now()
 			listing, err := follower.Store.Servers(ctx, from)
-			listing.At = began
+			listing.RequestedAt = began
 			if err == nil {
 				err = follower.ObserveEra(listing.Next.Era)
 			}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	follower.listReadAt.Store(int64(listing.At))
+	follower.listReadAt.Store(int64(listing.RequestedAt))
 	follower.ApplyListing(listing)
 	if readAll {
 		follower.markSettled(listing.Next.Era)
@@ -114,8 +114,8 @@
 			follower.ServerSeen(record.Server)
 		}
 	}
-	reading := roster.Update{Records: listing.Records, End: listing.Next, ReadAt: listing.At, Complete: listing.Whole, FromPeer: listing.Told}
-	if follower.Servers.Merge(reading) || listing.Whole {
+	reading := roster.Update{Records: listing.Records, End: listing.Next, ReadAt: listing.RequestedAt, Complete: listing.Complete, FromPeer: listing.FromPeer}
+	if follower.Servers.Merge(reading) || listing.Complete {
 		follower.ServersChanged()
 	}
 }
--- a/internal/fleet/overlay/overlay.go
+++ b/internal/fleet/overlay/overlay.go
@@ -82,7 +82,7 @@
 	Detours func() []*frame.Detour
 	// ReadyForLeaves reports whether this node holds the state that its leaves need.
 	ReadyForLeaves func() bool
-	Dial           sibling.Dial
+	Dial           sibling.DialFunc
 	Now            clock.Now
 	Logger         *slog.Logger
 }
--- a/internal/run/gateway/background.go
+++ b/internal/run/gateway/background.go
@@ -283,7 +283,7 @@
 
 // probeDataCentre connects to servers of a data centre that may be cut off.
 func (node *Node) probeDataCentre(probe *dispatch.DataCentreProbe) {
-	reaches := func(address string) bool { return node.pool.Reaches(address, probeTimeout) }
+	reaches := func(address string) bool { return node.pool.HostReachable(address, probeTimeout) }
 	reached := node.probeAll(probe.Addresses, reaches, func(int) bool { return false })
 	if moved, unreachable := probe.Done(len(reached) > 0); unreachable {
 		node.logger.Warn("gateway: a data centre is unreachable.", "DataCentre", probe.DataCentre, "Tried", len(probe.Addresses), "CallsMoved", moved)
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -77,7 +77,7 @@
 	message := &frame.Frame{
 		HighestTerm: node.termKeeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
 		ConfigurationAgeMs: proto.Uint32(cappedMilliseconds(node.follower.ConfigurationAge())),
-		Fit:                peers.synced(), StoreAway: node.storeCalls.Away(), News: state.pendingAnnouncements, SilentHeads: state.pendingStalls,
+		Fit:                peers.synced(), StoreAway: node.storeCalls.Unavailable(), News: state.pendingAnnouncements, SilentHeads: state.pendingStalls,
 		Listing: peers.listingFor(state), Suspects: peers.nextSuspects(state), Notices: peers.nextNotices(state),
 		Drains: drainsToWire(node.drains.Records()),
 	}
@@ -169,7 +169,7 @@
 	delta := peers.catalogue.Since(from)
 	message := &frame.Frame{
 		HighestTerm: node.termKeeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
-		Nodes: uint32(totals.fleetNodes), Fit: peers.synced(), StoreAway: node.storeCalls.Away(),
+		Nodes: uint32(totals.fleetNodes), Fit: peers.synced(), StoreAway: node.storeCalls.Unavailable(),
 		Drains: drainsToWire(node.drains.Records()),
 	}
 	if !delta.Empty() {
@@ -237,7 +237,7 @@
 	reader := peers.node.follower.ReadsList()
 	// While the store is unavailable no node reads the list, so a restarted root receives it from other
 	// nodes.
-	unknownToRemote := state.listAge >= follower.UnknownAge && peers.node.storeCalls.Away()
+	unknownToRemote := state.listAge >= follower.UnknownAge && peers.node.storeCalls.Unavailable()
 	if !state.listReceived || (!isDownstream(state.link) && !unknownToRemote && (!reader || remoteAge < age+follower.ListCheckInterval)) {
 		return listing
 	}
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -67,9 +67,11 @@
 	}
 	codec := backendserver.Codec{
 		Encode: node.platform.Codec.Encode,
-		Decode: func(*backendserver.Call, int, http.Header) backendserver.Verdict { return backendserver.Verdict{} },
+		Decode: func(*backendserver.Call, int, http.Header) backendserver.DecodedHead {
+			return backendserver.DecodedHead{}
+		},
 	}
-	detours.pool = backendserver.New(codec, append(node.poolOptions(), backendserver.ConnectWithin(detourConnectTimeout))...)
+	detours.pool = backendserver.New(codec, append(node.poolOptions(), backendserver.MaxDialTime(detourConnectTimeout))...)
 	return detours
 }
 
@@ -213,7 +215,7 @@
 	detours.node.board.WatchPaths()
 	for _, address := range detours.table.Stalled(detourStallTimeout, detourAnswerTimeout) {
 		detours.node.logger.Warn("gateway: a detour node stalled; its connections are dropped.", "Peer", address)
-		detours.pool.Drop(address)
+		detours.pool.CloseIdle(address)
 	}
 	probes := detours.node.board.DuePathProbes()
 	for number := range probes {
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -69,7 +69,7 @@
 	Codec backendserver.Codec
 	// SetNoticeHandler sets the function that receives what servers state about themselves in responses to
 	// queries and orders.
-	SetNoticeHandler func(handler func(server *roster.Server, source string, content backendserver.Said))
+	SetNoticeHandler func(handler func(server *roster.Server, source string, content backendserver.ServerSignals))
 	// DecodeCaller decodes a caller's request, except for its body.
 	DecodeCaller func(request *http.Request) *forward.Request
 	// ReadinessPath is the URL path of the load balancer's readiness check.
@@ -111,7 +111,7 @@
 	notices          *notice.Notices
 	// storedSuspects is used only by the goroutine that runs runSuspectSync.
 	storedSuspects     storedSuspects
-	storeCalls         *store.Calls
+	storeCalls         *store.CallTracker
 	follower           *follower.Follower
 	requestMetrics     *requestMetrics
 	engineServiceCache atomic.Pointer[cachedEngineServices]
@@ -189,7 +189,7 @@
 	for _, option := range options {
 		option(node)
 	}
-	node.storeCalls = store.NewCalls(store.Clock(node.now), store.Lost(node.storeBecameUnavailable), store.Returned(node.storeRecovered), store.Hung(node.logHungStoreCall))
+	node.storeCalls = store.NewCallTracker(store.Clock(node.now), store.OnOutageStart(node.storeBecameUnavailable), store.OnOutageEnd(node.storeRecovered), store.OnHungCall(node.logHungStoreCall))
 	node.drains, node.warmups = drain.New(drain.Clock(node.now)), warmup.NewColdTable(node.now)
 	node.servers = roster.New(roster.Draining(func(id string, born int64) bool {
 		return node.notices.Draining(ratelimit.Run{Server: id, Born: born})
@@ -202,7 +202,7 @@
 	node.demand = demand.New(demand.Clock(node.now))
 	node.detours = newDetours(node)
 	node.board = dispatch.New(dispatch.Clock(node.now), dispatch.DataCentre(settings.DataCentre), dispatch.Notices(node.notices), dispatch.Demand(node.demand), dispatch.Paths(node.detours.paths),
-		dispatch.IdleConnections(func(address string) bool { return node.pool.Idle(address) }),
+		dispatch.IdleConnections(func(address string) bool { return node.pool.HasIdle(address) }),
 		dispatch.Drains(node.drains.Status), dispatch.ColdShare(node.Incarnation, func() int { return node.peers.budgetNodes() }),
 		dispatch.CountedNodes(func() int { return int(node.peers.reportingNodes.Load()) }))
 	node.pool = backendserver.New(platform.Codec, node.poolOptions()...)
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -143,8 +143,8 @@
 
 // handleControlNotice applies what a server states about itself in its response to a query or an order. Such
 // a response doesn't show whether the server accepts calls.
-func (node *Node) handleControlNotice(server *roster.Server, source string, content backendserver.Said) {
-	if content == (backendserver.Said{}) {
+func (node *Node) handleControlNotice(server *roster.Server, source string, content backendserver.ServerSignals) {
+	if content == (backendserver.ServerSignals{}) {
 		return
 	}
 	now := node.now()
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -130,7 +130,7 @@
 }
 
 func (node *Node) counters() map[string]uint64 {
-	groups, connections, links := &node.groupController.Counts, &node.pool.Counts, &node.peers.overlay.Counters
+	groups, connections, links := &node.groupController.Counts, &node.pool.Counters, &node.peers.overlay.Counters
 	paces := &node.board.PaceCounts
 	held, peak, refused := node.memory.Totals()
 	return map[string]uint64{
@@ -145,7 +145,7 @@
 		"GroupsLent": groups.RetiredForOther.Load(), "Reports": groups.Reports.Load(), "SilentButWhole": groups.FoundComplete.Load(),
 		"ConnectionsDialled": connections.Dialled.Load(), "ConnectionsReused": connections.Reused.Load(),
 		"ConnectionsFailed": connections.DialFailed.Load(), "ConnectionsDiscarded": connections.Discarded.Load(),
-		"StrayAnswers": connections.StrayAnswer.Load(), "StoreReads": node.storeCalls.Counts.Begun.Load(), "StoreFailures": node.storeCalls.Counts.Failed.Load(), "StoreHung": node.storeCalls.Counts.Hung.Load(), "StoreOutages": node.storeCalls.Counts.Outages.Load(), "StoreReturns": node.follower.RestoreCount(),
+		"StrayAnswers": connections.StrayResponses.Load(), "StoreReads": node.storeCalls.Counters.Started.Load(), "StoreFailures": node.storeCalls.Counters.Failed.Load(), "StoreHung": node.storeCalls.Counters.Hung.Load(), "StoreOutages": node.storeCalls.Counters.Outages.Load(), "StoreReturns": node.follower.RestoreCount(),
 		"LinksAttached": links.LinksAttached.Load(), "LinksFailed": links.LinksFailed.Load(), "LinksEnded": links.LinksEnded.Load(),
 		"FramesSent": links.FramesSent.Load(), "FramesTaken": links.FramesReceived.Load(), "FrameBytesSent": links.BytesSent.Load(),
 		"RoleChanges": links.RoleChanges.Load(), "GroupNews": node.announcementsApplied.Load(),
--- a/internal/run/gateway/paths.go
+++ b/internal/run/gateway/paths.go
@@ -23,7 +23,7 @@
 
 // probe connects to servers of a path.
 func (detours *detours) probe(probe *dispatch.PathProbe) {
-	connects := func(server string) bool { return detours.node.pool.Opens(probe.Addresses[server], probeTimeout) }
+	connects := func(server string) bool { return detours.node.pool.CanConnect(probe.Addresses[server], probeTimeout) }
 	reached := detours.node.probeAll(probe.Servers, connects, probe.ProvesHealthy)
 	if result := probe.Complete(reached); result.Changed() {
 		detours.pathChanged(probe.Path, &result)
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -200,19 +200,19 @@
 // register adds this node to the store's directory.
 func (peers *peers) register(ctx context.Context) error {
 	settings := &peers.node.settings
-	call := peers.node.storeCalls.BeginWrite("register")
-	err := peers.node.platform.Store.Register(ctx, store.Introduction{
+	call := peers.node.storeCalls.StartWrite("register")
+	err := peers.node.platform.Store.Register(ctx, store.NodeRegistration{
 		Address: settings.Listen.advertised(), DataCentre: settings.DataCentre, Capacity: settings.Limits.Millicores,
 	})
-	call.End(err)
+	call.Finish(err)
 	return err
 }
 
 // directoryMembers returns the nodes in the store's directory.
 func (peers *peers) directoryMembers(ctx context.Context) ([]tree.Member, error) {
-	call := peers.node.storeCalls.Begin("nodes", 0)
+	call := peers.node.storeCalls.Start("nodes", 0)
 	found, err := peers.node.platform.Store.Nodes(ctx)
-	call.End(err)
+	call.Finish(err)
 	if err != nil {
 		return nil, err
 	}
@@ -315,7 +315,7 @@
 	}
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	unavailable := peers.node.storeCalls.Away()
+	unavailable := peers.node.storeCalls.Unavailable()
 	ahead, candidates := 0, []uint64{}
 	for link, state := range peers.linkStates {
 		switch {
@@ -338,7 +338,7 @@
 
 // rootsLackStore reports whether this node is a root and no root that it knows can reach the store.
 func (peers *peers) rootsLackStore() bool {
-	if peers.overlay.Role() != overlay.Root || !peers.node.storeCalls.Away() {
+	if peers.overlay.Role() != overlay.Root || !peers.node.storeCalls.Unavailable() {
 		return false
 	}
 	peers.mu.Lock()
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -54,7 +54,7 @@
 	ctx, cancel := node.ContextWithTimeout(timeout)
 	defer cancel()
 	err := request(ctx)
-	call.End(err)
+	call.Finish(err)
 	return err
 }
 
@@ -71,7 +71,7 @@
 
 // storeRecovered is called when the store responds again.
 func (node *Node) storeRecovered(outage store.Outage) {
-	node.logger.Info("gateway: the store is available again.", "Call", outage.Call, "AwayMilliseconds", outage.Lasted.Milliseconds(),
+	node.logger.Info("gateway: the store is available again.", "Call", outage.AnsweredCall, "AwayMilliseconds", outage.Duration.Milliseconds(),
 		"Failures", outage.Failures, "Hanging", outage.Hanging, "ConfigurationAgeMilliseconds", node.follower.ConfigurationAge().Milliseconds())
 	node.peers.overlay.StoreReachable()
 }
@@ -89,7 +89,7 @@
 		return storelog.Unknown, errStoreUnavailable
 	}
 	position := storelog.Unknown
-	err := node.callStore(node.storeCalls.BeginWrite("claim"), storeTimeout, func(ctx context.Context) (err error) {
+	err := node.callStore(node.storeCalls.StartWrite("claim"), storeTimeout, func(ctx context.Context) (err error) {
 		if position, err = node.platform.Store.Claim(ctx, node.settings.Name); err != nil {
 			return err
 		}
--- a/internal/run/gateway/suspects.go
+++ b/internal/run/gateway/suspects.go
@@ -50,7 +50,7 @@
 	ticker := time.NewTicker(suspectSyncInterval)
 	defer ticker.Stop()
 	for {
-		recovered, writable := node.storeCalls.Returns(), node.suspectWriteAllowed()
+		recovered, writable := node.storeCalls.Recovery(), node.suspectWriteAllowed()
 		select {
 		case <-node.Stopping:
 			return
@@ -227,14 +227,14 @@
 	for fingerprint := range node.storedSuspects.recorded {
 		if _, known := node.quarantine.Suspect(fingerprint); !known {
 			delete(node.storedSuspects.recorded, fingerprint)
-			stored = append(stored, store.Suspect{Fingerprint: fingerprint.String(), Dropped: true})
+			stored = append(stored, store.Suspect{Fingerprint: fingerprint.String(), Deleted: true})
 		}
 	}
 	if len(stored) == 0 {
 		return
 	}
-	err := node.callStore(node.storeCalls.BeginWrite("write suspects"), storeTimeout, func(ctx context.Context) error {
-		return node.platform.Store.Suspect(ctx, stored)
+	err := node.callStore(node.storeCalls.StartWrite("write suspects"), storeTimeout, func(ctx context.Context) error {
+		return node.platform.Store.SaveSuspects(ctx, stored)
 	})
 	if err != nil {
 		return
@@ -245,8 +245,8 @@
 // readSuspects merges the suspects in the store, and reports whether the store responded.
 func (node *Node) readSuspects() bool {
 	stored := []store.Suspect{}
-	err := node.callStore(node.storeCalls.Begin("suspects", 0), storeTimeout, func(ctx context.Context) (err error) {
-		stored, err = node.platform.Store.Suspects(ctx)
+	err := node.callStore(node.storeCalls.Start("suspects", 0), storeTimeout, func(ctx context.Context) (err error) {
+		stored, err = node.platform.Store.ListSuspects(ctx)
 		return err
 	})
 	if err != nil {
@@ -270,7 +270,7 @@
 func suspectToStore(suspect quarantine.Suspect, now time.Duration, wallClock time.Time) store.Suspect {
 	stored := store.Suspect{Fingerprint: suspect.Fingerprint.String()}
 	for _, failure := range suspect.Failures {
-		stored.Ends = append(stored.Ends, store.SuspectEnd{Run: failure.Run, At: wallClock.Add(failure.At - now)})
+		stored.Ends = append(stored.Ends, store.SuspectFailure{Run: failure.Run, At: wallClock.Add(failure.At - now)})
 	}
 	if suspect.LiftedAt > 0 {
 		stored.LiftedAt = wallClock.Add(suspect.LiftedAt - now)
--- a/internal/run/node/exchange.go
+++ b/internal/run/node/exchange.go
@@ -101,12 +101,12 @@
 	ctx, cancel := exchanger.ContextWithTimeout(timeout)
 	defer cancel()
 	sentAt := exchanger.node.now()
-	reply, err := exchanger.node.peers.Ask(ctx, peerNode.Address, exchanger.node.withSender(exchanger.pullRequest(peerNode, remote)))
+	reply, err := exchanger.node.peers.Call(ctx, peerNode.Address, exchanger.node.withSender(exchanger.pullRequest(peerNode, remote)))
 	if err != nil {
 		return
 	}
 	if reply.Incarnation != peerNode.Incarnation {
-		hello, err := exchanger.node.peers.Ask(ctx, peerNode.Address, exchanger.node.withSender(&exchange.Request{
+		hello, err := exchanger.node.peers.Call(ctx, peerNode.Address, exchanger.node.withSender(&exchange.Request{
 			Kind: &exchange.Request_Hello{Hello: exchanger.node.hello()},
 		}))
 		if err != nil || hello.GetHello() == nil {
@@ -265,7 +265,7 @@
 	ctx, cancel := exchanger.ContextWithTimeout(remoteTimeout)
 	defer cancel()
 	nextFetch := follower.NextFetch()
-	reply, err := exchanger.node.peers.Ask(ctx, peerNode.Address, exchanger.node.withSender(&exchange.Request{
+	reply, err := exchanger.node.peers.Call(ctx, peerNode.Address, exchanger.node.withSender(&exchange.Request{
 		Kind: &exchange.Request_Fetch{Fetch: &exchange.FetchRequest{
 			Stream: position.Stream, From: nextFetch.From, Max: maxFetchRecords, WantSnapshot: nextFetch.Snapshot,
 		}},
--- a/internal/run/node/node.go
+++ b/internal/run/node/node.go
@@ -319,7 +319,7 @@
 	node.drafts = draft.New(node.router, node.admissionGate, node.draftEngines.Generate, func() int { return len(node.members.Live()) }, node.now, retry.New(node.policies.Retry...))
 	handler := &caller.Handler{
 		Classes: node.classes.Snapshot, Drafts: node.drafts, Journal: node.journal, Ready: node.Ready,
-		Begin: node.requests.begin, MaxBodyBytes: node.settings.Limits.MaxBodyBytes,
+		TrackRequest: node.requests.begin, MaxBodyBytes: node.settings.Limits.MaxBodyBytes,
 		Services: node.callerServices,
 	}
 	node.callerServer = &http.Server{
@@ -343,12 +343,12 @@
 func (node *Node) newCallerServices() *caller.Services {
 	return &caller.Services{
 		Known: func(name string) bool { _, ok := node.findService(name); return ok },
-		Repeatable: func(name, method string) bool {
+		Retryable: func(name, method string) bool {
 			configured, _ := node.findService(name)
 			return slices.Contains(configured.Repeatable, method)
 		},
 		Addresses: node.serviceAddresses, Call: node.services.Call, Bookings: node.bookings,
-		Forward: node.forwardTicketCall, Incarnation: node.Incarnation,
+		ForwardToIssuer: node.forwardTicketCall, Incarnation: node.Incarnation,
 		MaxBodyBytes: node.settings.Limits.MaxBodyBytes, Budget: retry.New(),
 	}
 }
--- a/internal/run/node/overhead_test.go
+++ b/internal/run/node/overhead_test.go
@@ -64,7 +64,7 @@
 // draftFromEngine requests a draft from an engine directly and returns the time to its first token.
 func draftFromEngine(ctx context.Context, client *engine.Client, group uint64, address string, tokens int) (first time.Duration, err error) {
 	start := time.Now()
-	stream, err := client.Generate(ctx, address, engine.Generate{Group: group, Attempt: 1, Model: "drafting", Prompt: "bench", MaxTokens: tokens})
+	stream, err := client.Generate(ctx, address, engine.GenerateRequest{Group: group, Attempt: 1, Model: "drafting", Prompt: "bench", MaxTokens: tokens})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/run/node/peer_requests.go
+++ b/internal/run/node/peer_requests.go
@@ -143,7 +143,7 @@
 		if peerNode.Incarnation == 0 || peerNode.Heard == 0 || sentAt-peerNode.Heard > pullInterval*3 {
 			continue
 		}
-		reply, err := node.peers.Ask(ctx, peerNode.Address, node.withSender(&exchange.Request{
+		reply, err := node.peers.Call(ctx, peerNode.Address, node.withSender(&exchange.Request{
 			Kind: &exchange.Request_Probe{Probe: &exchange.ProbeRequest{Address: address}},
 		}))
 		if err == nil && reply.GetProbe().GetReport() != nil {
@@ -178,18 +178,18 @@
 	if err != nil {
 		return err
 	}
-	reply, err := node.peers.Ask(ctx, address, node.withSender(&exchange.Request{
+	reply, err := node.peers.Call(ctx, address, node.withSender(&exchange.Request{
 		Kind: &exchange.Request_Append{Append: &exchange.AppendRequest{Batch: body}},
 	}))
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
 		return <-node.appendBatcher.Add(batch)
 	case err != nil:
-		return errors.Mark(err, logservice.ErrLost)
+		return errors.Mark(err, logservice.ErrUnknownOutcome)
 	case reply.GetAppend().GetWritten():
 		return nil
 	case reply.GetAppend().GetFailure() == "":
-		return errors.Mark(errors.New("peer did not confirm the append of the booking batch"), logservice.ErrLost)
+		return errors.Mark(errors.New("peer did not confirm the append of the booking batch"), logservice.ErrUnknownOutcome)
 	}
 	return errors.Mark(errors.New(reply.GetAppend().GetFailure()), logservice.ErrNotWritten)
 }
@@ -217,7 +217,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	reply, err := node.peers.Ask(ctx, address, node.withSender(&exchange.Request{
+	reply, err := node.peers.Call(ctx, address, node.withSender(&exchange.Request{
 		Kind: &exchange.Request_Claim{Claim: &exchange.ClaimRequest{Key: key, Incarnation: incarnation}},
 	}))
 	if err != nil || !reply.GetClaim().GetKnown() {
@@ -269,7 +269,7 @@
 		addresses = append(addresses, peerNode.Address)
 	}
 	for _, address := range addresses {
-		reply, err := node.peers.Ask(ctx, address, node.withSender(&exchange.Request{Kind: &exchange.Request_Call{Call: request}}))
+		reply, err := node.peers.Call(ctx, address, node.withSender(&exchange.Request{Kind: &exchange.Request_Call{Call: request}}))
 		if errors.Is(err, peer.ErrNotSent) || (err == nil && reply.GetCall().GetOutcome() == "") {
 			continue
 		}
--- a/internal/run/node/state.go
+++ b/internal/run/node/state.go
@@ -35,7 +35,7 @@
 	Watcher     fabric.WatcherState
 	Former      replica.ControllerState
 	Tally       replica.AvailabilityState
-	Groups      []operator.GroupLine
+	Groups      []operator.GroupInfo
 	Routes      []route.GroupState
 	Admission   []admission.ClassState
 	Drafts      draft.State
@@ -81,9 +81,9 @@
 
 func (node *Node) trafficState() TrafficState {
 	return TrafficState{
-		PeerAsked: node.peers.Traffic.Requests.Load(), PeerFailures: node.peers.Traffic.Failures.Load(),
-		PeerAnswered: node.peerServer.Traffic.Requests.Load(), PeerBadFrames: node.peerServer.Traffic.BadFrames.Load(),
-		EngineRequests: node.engines.Traffic.Requests.Load(), EngineFailures: node.engines.Traffic.Failures.Load(),
+		PeerAsked: node.peers.Counters.Requests.Load(), PeerFailures: node.peers.Counters.Failures.Load(),
+		PeerAnswered: node.peerServer.Counters.Requests.Load(), PeerBadFrames: node.peerServer.Counters.BadFrames.Load(),
+		EngineRequests: node.engines.Counters.Requests.Load(), EngineFailures: node.engines.Counters.Failures.Load(),
 		Peers: node.meters.peers.State(), Engines: node.meters.engines.State(),
 		Platform: node.meters.platform.State(), Drafts: node.meters.drafts.State(),
 	}
@@ -101,10 +101,10 @@
 	}
 }
 
-func (node *Node) groupLines() []operator.GroupLine {
-	lines := []operator.GroupLine{}
+func (node *Node) groupLines() []operator.GroupInfo {
+	lines := []operator.GroupInfo{}
 	for _, group := range node.groups.Load().Groups {
-		line := operator.GroupLine{
+		line := operator.GroupInfo{
 			Number: group.Number, FabricDomain: group.FabricDomain, Model: group.Model, Members: group.Members,
 			Serving: group.Serving, Draining: group.Draining, Running: group.Running, Cause: group.Cause,
 		}
@@ -148,12 +148,12 @@
 	return explanation, len(explanation.Lines) > 0
 }
 
-func (node *Node) bookingLine(service, key string) (operator.BookingLine, bool) {
+func (node *Node) bookingLine(service, key string) (operator.BookingInfo, bool) {
 	entry, ok := node.bookingTable.Lookup(service + "/" + key)
 	if !ok {
-		return operator.BookingLine{}, false
+		return operator.BookingInfo{}, false
 	}
-	line := operator.BookingLine{
+	line := operator.BookingInfo{
 		Key: key, Holder: entry.Intent.Incarnation, Attempt: entry.Intent.Attempt,
 		ClaimedAt: time.UnixMilli(entry.Intent.UnixMs).UTC(), Outcome: "Unknown so far",
 	}
@@ -183,6 +183,6 @@
 }
 
 // Booking returns the claim and the outcome of an idempotency key of a service, as recorded in this node's region.
-func (node *Node) Booking(service, key string) (operator.BookingLine, bool) {
+func (node *Node) Booking(service, key string) (operator.BookingInfo, bool) {
 	return node.bookingLine(service, key)
 }
--- a/internal/run/node/state_bench_test.go
+++ b/internal/run/node/state_bench_test.go
@@ -146,7 +146,7 @@
 			if err != nil {
 				return
 			}
-			request.Header.Set(caller.HeaderKey, fmt.Sprintf("%d-%v-%d-%d", rate, unbatched, b.N, index))
+			request.Header.Set(caller.HeaderIdempotencyKey, fmt.Sprintf("%d-%v-%d-%d", rate, unbatched, b.N, index))
 			start := time.Now()
 			response, err := client.Do(request)
 			if err != nil {
--- a/internal/run/node/stop.go
+++ b/internal/run/node/stop.go
@@ -91,7 +91,7 @@
 	}
 	for _, peer := range node.members.LocalPeers() {
 		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
-		reply, err := node.peers.Ask(ctx, peer.Address, node.withSender(&exchange.Request{Kind: &exchange.Request_HandOver{HandOver: request}}))
+		reply, err := node.peers.Call(ctx, peer.Address, node.withSender(&exchange.Request{Kind: &exchange.Request_HandOver{HandOver: request}}))
 		cancel()
 		if err == nil && reply.GetHandOver().GetTaken() {
 			node.logger.Info("node: handed tickets over to a peer.", "Peer", peer.Address, "Tickets", len(request.Outcomes))
--- a/internal/serve/draft/draft.go
+++ b/internal/serve/draft/draft.go
@@ -102,7 +102,7 @@
 	router      *route.Router
 	gate        *admission.Gate
 	retryBudget *retry.Budget
-	generate    func(ctx context.Context, address string, generate engine.Generate) (*engine.Stream, error)
+	generate    func(ctx context.Context, address string, generate engine.GenerateRequest) (*engine.Stream, error)
 	now         clock.Now
 	nodeCount   func() int
 
@@ -115,7 +115,7 @@
 func New(
 	router *route.Router,
 	gate *admission.Gate,
-	generate func(ctx context.Context, address string, generate engine.Generate) (*engine.Stream, error),
+	generate func(ctx context.Context, address string, generate engine.GenerateRequest) (*engine.Stream, error),
 	nodeCount func() int,
 	now clock.Now,
 	retryBudget *retry.Budget,
@@ -297,7 +297,7 @@
 	// cancels the attempt, which closes the connection.
 	watchdog := time.AfterFunc(job.firstTokenTimeout(), cancel)
 	defer watchdog.Stop()
-	stream, err := job.server.generate(ctx, choice.Target.Leader, engine.Generate{
+	stream, err := job.server.generate(ctx, choice.Target.Leader, engine.GenerateRequest{
 		Group: choice.Target.Number, Attempt: number, Model: job.request.Class.Model,
 		Prompt: job.request.Prompt, Resume: job.tokens, MaxTokens: job.request.MaxTokens,
 		Priority: job.request.Priority, Workspace: job.request.Workspace,
--- a/internal/serve/draft/reader.go
+++ b/internal/serve/draft/reader.go
@@ -30,7 +30,7 @@
 		case piece.Attempt != pieceReader.attempt:
 			pieceReader.job.server.piecesDropped.Add(1)
 		case piece.Failure != "":
-			return "", errors.Mark(errors.Newf("engine reported a failure: %s", piece.Failure), engine.ErrBroken)
+			return "", errors.Mark(errors.Newf("engine reported a failure: %s", piece.Failure), engine.ErrInterrupted)
 		case piece.End:
 			return piece.Reason, pieceReader.checkEnd(piece)
 		default:
@@ -44,7 +44,7 @@
 // checkEnd returns an error if the answer ends at another offset than the number of tokens emitted.
 func (pieceReader *pieceReader) checkEnd(piece engine.Piece) error {
 	if piece.Offset != len(pieceReader.job.tokens) {
-		return errors.Mark(errors.Newf("answer ended at offset %d after %d tokens", piece.Offset, len(pieceReader.job.tokens)), engine.ErrBroken)
+		return errors.Mark(errors.Newf("answer ended at offset %d after %d tokens", piece.Offset, len(pieceReader.job.tokens)), engine.ErrInterrupted)
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 		return nil
 	}
 	if len(pieceReader.pending) >= maxPendingPieces {
-		return errors.Mark(errors.New("too many pieces arrived out of order"), engine.ErrBroken)
+		return errors.Mark(errors.New("too many pieces arrived out of order"), engine.ErrInterrupted)
 	}
 	pieceReader.pending[piece.Offset] = piece.Token
 	for {
--- a/internal/serve/forward/attempt.go
+++ b/internal/serve/forward/attempt.go
@@ -114,9 +114,9 @@
 	call := exchange.buildCall(target)
 	exchange.lastTarget = targetInfo{server: target.ID, group: target.Group, calls: target.ActiveCalls()}
 	attempt := exchange.newAttempt(target, timeout)
-	call.Cancel, call.Heard = attempt.canceler.setCancel, exchange.reportResponseHead(attempt)
-	call.Admit, call.Opened = exchange.admitAttempt(attempt), target.RecordConnected
-	call.Kept = !exchange.ignoreReachability && exchange.forwarder.Board.ReachableByIdleConnection(target)
+	call.SetCancel, call.OnResponseHead = attempt.canceler.setCancel, exchange.reportResponseHead(attempt)
+	call.Admit, call.OnConnect = exchange.admitAttempt(attempt), target.RecordConnected
+	call.ReuseOnly = !exchange.ignoreReachability && exchange.forwarder.Board.ReachableByIdleConnection(target)
 	reply, err := exchange.forwarder.Pool.Send(call)
 	if err == nil {
 		exchange.sentAttempts++
@@ -143,7 +143,7 @@
 	target := attempt.target
 	exchange.cause = err.Error()
 	exchange.excludedServers = append(exchange.excludedServers, target.ID)
-	if attempt.withheld = errors.Is(err, notice.ErrWithheld) || errors.Is(err, backendserver.ErrNotKept); attempt.withheld {
+	if attempt.withheld = errors.Is(err, notice.ErrWithheld) || errors.Is(err, backendserver.ErrNoIdleConnection); attempt.withheld {
 		return
 	}
 	canceled := errors.Is(err, errCanceled)
@@ -154,7 +154,7 @@
 		return
 	}
 	if errors.Is(err, backendserver.ErrNotSent) {
-		if errors.Is(err, backendserver.ErrNotOpened) && !exchange.callerGone() {
+		if errors.Is(err, backendserver.ErrConnectFailed) && !exchange.callerGone() {
 			target.RecordConnectFailure(attempt.startedAt)
 		}
 		target.Avoid(unreachableCooldown)
--- a/internal/serve/forward/call.go
+++ b/internal/serve/forward/call.go
@@ -155,7 +155,7 @@
 func (exchange *exchange) avoidUnresponsive(attempt *attempt) {
 	if !exchange.callerGone() && !attempt.withheld && attempt.peer == nil {
 		attempt.target.Avoid(unreachableCooldown)
-		exchange.forwarder.Pool.Drop(attempt.target.Address)
+		exchange.forwarder.Pool.CloseIdle(attempt.target.Address)
 	}
 }
 
--- a/internal/serve/forward/detour.go
+++ b/internal/serve/forward/detour.go
@@ -141,7 +141,7 @@
 		Sender: forwarder.NodeName, Version: exchange.snapshot.Configuration.Version, KeyDigest: configuration.KeyDigest(exchange.request.Key),
 		Runs: exchange.runs, PartlyDelivered: exchange.responseStarted, DemandCounted: exchange.demandCounted,
 	}).encode())
-	call.Cancel = attempt.canceler.setCancel
+	call.SetCancel = attempt.canceler.setCancel
 	call.Admit = func() error {
 		if attempt.canceler.isCanceled() {
 			return errCanceled
@@ -157,7 +157,7 @@
 	exchange.cause = "node " + peer.Address + ": " + err.Error()
 	if !exchange.callerGone() {
 		forwarder.Detours.RecordFailure(peer.Address)
-		forwarder.DetourPool.Drop(peer.Address)
+		forwarder.DetourPool.CloseIdle(peer.Address)
 	}
 	if !errors.Is(err, backendserver.ErrNotSent) {
 		exchange.sentAttempts++
--- a/internal/serve/forward/exchange.go
+++ b/internal/serve/forward/exchange.go
@@ -283,8 +283,8 @@
 	return &backendserver.Call{
 		ID: request.ID, Method: request.Method, Target: request.Target, Host: request.Host, Header: request.Header,
 		Body: request.Body, Address: target.Address, Server: target.ID, Workspace: exchange.workspace,
-		Left: exchange.timeLeft() - hopMargin, Urgency: exchange.urgency(),
-		After: request.LastEventID, Continues: request.Resumes,
+		TimeLeft: exchange.timeLeft() - hopMargin, Urgency: exchange.urgency(),
+		LastEventID: request.LastEventID, Resumes: request.Resumes,
 	}
 }
 
--- a/internal/serve/forward/responsehead.go
+++ b/internal/serve/forward/responsehead.go
@@ -11,7 +11,7 @@
 // ResponseHead describes what the head of a response says about its server.
 type ResponseHead struct {
 	Record  *notice.Record
-	Signals backendserver.Said
+	Signals backendserver.ServerSignals
 	// Source names what the response answers. Group is the group that the call was for, RequestID the ID of the
 	// caller's request.
 	Source    string
@@ -47,11 +47,11 @@
 }
 
 // reportResponseHead returns a function that reports to the node what a response says about its server.
-func (exchange *exchange) reportResponseHead(attempt *attempt) func(status int, verdict *backendserver.Verdict) {
-	return func(status int, verdict *backendserver.Verdict) {
+func (exchange *exchange) reportResponseHead(attempt *attempt) func(status int, verdict *backendserver.DecodedHead) {
+	return func(status int, verdict *backendserver.DecodedHead) {
 		exchange.forwarder.OnResponseHead(ResponseHead{
-			Record: attempt.target.Record(), Signals: verdict.Said, Source: sourceCall, Group: attempt.target.Group, RequestID: exchange.request.ID,
-			Accepted: !verdict.NotRun && !verdict.Other && status < http.StatusInternalServerError, Stray: verdict.Other, ChosenAt: attempt.startedAt, SentAt: attempt.admittedAt,
+			Record: attempt.target.Record(), Signals: verdict.Signals, Source: sourceCall, Group: attempt.target.Group, RequestID: exchange.request.ID,
+			Accepted: !verdict.NotRun && !verdict.ForOtherCall && status < http.StatusInternalServerError, Stray: verdict.ForOtherCall, ChosenAt: attempt.startedAt, SentAt: attempt.admittedAt,
 		})
 	}
 }
