--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -41,7 +41,7 @@
 		decoded.Apply(offset)
 		offset++
 	}
-	take(fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.3), 0, "first"))
+	take(fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.3), 0, "first"))
 	handler := &operator.Handler{
 		Classes: table,
 		Groups: func() []operator.GroupLine {
--- a/internal/fleet/drain/drain_test.go
+++ b/internal/fleet/drain/drain_test.go
@@ -73,7 +73,7 @@
 
 // Guards against nodes that disagree since records reached them in other orders.
 func TestOrderOfRecordsDoesNotMatter(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) drain.Record {
 			return drain.Record{
--- a/internal/fleet/formation/born_test.go
+++ b/internal/fleet/formation/born_test.go
@@ -27,7 +27,7 @@
 		fleet.world.Restart(group.Members[2])
 		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
 		time.Sleep(4500 * time.Millisecond)
-		expect.Expect(fleet.world.Whole()["large"]).To(gomega.Equal(1))
+		expect.Expect(fleet.world.CompleteGroups()["large"]).To(gomega.Equal(1))
 		expect.Expect(fleet.world.JoinLoads()).To(gomega.BeZero())
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
 		fleet.end()
@@ -46,7 +46,7 @@
 		group := headOf(fleet.nodes[0], "large")
 		expect.Expect(group.Members).To(gomega.HaveLen(4))
 		for _, id := range group.Members[1:] {
-			fleet.world.Put(id, "small")
+			fleet.world.SetStaged(id, "small")
 			fleet.world.Restart(id)
 		}
 		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
--- a/internal/fleet/formation/formation_test.go
+++ b/internal/fleet/formation/formation_test.go
@@ -39,7 +39,7 @@
 // node is one node that may give orders, with its own list of servers.
 type node struct {
 	name   string
-	world  *backends.World
+	world  *backends.Cluster
 	former *formation.Former
 	view   *formation.View
 	list   *roster.List
@@ -65,7 +65,7 @@
 	return refusing != nil && *refusing == id
 }
 
-func newNode(name string, world *backends.World, now clock.Now) *node {
+func newNode(name string, world *backends.Cluster, now clock.Now) *node {
 	created := &node{name: name, world: world, list: roster.New()}
 	created.view = formation.NewView(now, formation.Servers(created.list.Load))
 	logger := slog.New(slog.DiscardHandler)
@@ -158,7 +158,7 @@
 
 // fleet is a world with nodes whose lists are read every 0.8 s.
 type fleet struct {
-	world *backends.World
+	world *backends.Cluster
 	nodes []*node
 	stop  []func()
 }
@@ -232,8 +232,8 @@
 		fleet := newFleet(1, 3, 10, 1)
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
-		expect.Expect(fleet.world.Whole()["large"]).To(gomega.BeNumerically(">=", 2))
-		expect.Expect(fleet.world.Whole()["small"]).To(gomega.BeNumerically(">=", 5))
+		expect.Expect(fleet.world.CompleteGroups()["large"]).To(gomega.BeNumerically(">=", 2))
+		expect.Expect(fleet.world.CompleteGroups()["small"]).To(gomega.BeNumerically(">=", 5))
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
@@ -253,7 +253,7 @@
 		fleet.world.Kill(group.Members[2])
 		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
 		time.Sleep(3500 * time.Millisecond)
-		expect.Expect(fleet.world.Whole()["large"]).To(gomega.Equal(1))
+		expect.Expect(fleet.world.CompleteGroups()["large"]).To(gomega.Equal(1))
 		expect.Expect(fleet.world.JoinLoads()).To(gomega.BeZero())
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
 		fleet.end()
@@ -274,7 +274,7 @@
 		time.Sleep(8 * time.Second)
 		group := headOf(first, "small")
 		for _, id := range group.Members {
-			fleet.world.Cut(id, first.name, true)
+			fleet.world.SetPartitioned(id, first.name, true)
 		}
 		first.former.Suspect(group.Head(), group.Name)
 		time.Sleep(9 * time.Second)
@@ -298,7 +298,7 @@
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
 		group := headOf(fleet.nodes[0], "large")
-		fleet.world.Cut(group.Head(), fleet.nodes[0].name, true)
+		fleet.world.SetPartitioned(group.Head(), fleet.nodes[0].name, true)
 		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
 		time.Sleep(5 * time.Second)
 		expect.Expect(fleet.nodes[0].view.Free(group.Name)).To(gomega.BeFalse())
@@ -316,15 +316,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(5, 1, 10, 1)
-		fleet.world.Idle = true
+		fleet.world.HeadsIdle = true
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
 		group := headOf(fleet.nodes[0], "large")
-		fleet.world.Cut(group.Head(), fleet.nodes[0].name, true)
+		fleet.world.SetPartitioned(group.Head(), fleet.nodes[0].name, true)
 		fleet.nodes[0].former.Suspect(group.Head(), group.Name)
 		time.Sleep(20 * time.Second)
 		expect.Expect(fleet.nodes[0].view.Free(group.Name)).To(gomega.BeFalse())
-		fleet.world.Cut(group.Head(), fleet.nodes[0].name, false)
+		fleet.world.SetPartitioned(group.Head(), fleet.nodes[0].name, false)
 		time.Sleep(3 * time.Second)
 		expect.Expect(fleet.nodes[0].view.Free(group.Name)).To(gomega.BeTrue())
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
@@ -362,7 +362,7 @@
 		time.Sleep(200 * time.Millisecond)
 		first.setTerm(4096)
 		time.Sleep(12 * time.Second)
-		expect.Expect(fleet.world.Whole()["large"]).To(gomega.BeNumerically(">=", 1))
+		expect.Expect(fleet.world.CompleteGroups()["large"]).To(gomega.BeNumerically(">=", 1))
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
@@ -386,7 +386,7 @@
 			fleet.nodes[term%2].setTerm(term * 4096)
 		}
 		expect.Expect(fleet.world.Loads()).To(gomega.BeNumerically(">", 20))
-		expect.Expect(fleet.world.LoadsWithin(5 * time.Second)).To(gomega.BeNumerically("<=", 30))
+		expect.Expect(fleet.world.MaxLoadsWithin(5 * time.Second)).To(gomega.BeNumerically("<=", 30))
 		fleet.end()
 	})
 }
@@ -434,15 +434,15 @@
 	case 0, 1:
 		fleet.world.Kill(server.ID)
 	case 2, 3:
-		fleet.world.Cut(server.ID, node.name, step%2 == 0)
+		fleet.world.SetPartitioned(server.ID, node.name, step%2 == 0)
 	case 4:
 		for _, other := range servers {
 			if other.FabricDomain == server.FabricDomain {
-				fleet.world.Cut(other.ID, node.name, step/13%2 == 0)
+				fleet.world.SetPartitioned(other.ID, node.name, step/13%2 == 0)
 			}
 		}
 	case 5, 6:
-		fleet.world.SetFaults(server.ID, backends.Faults{LostAnswers: 0.4, Late: 0.4, LateBy: time.Duration(2+step%11) * time.Second})
+		fleet.world.SetFaults(server.ID, backends.Faults{LostReplies: 0.4, Delayed: 0.4, Delay: time.Duration(2+step%11) * time.Second})
 	case 7:
 		node.setTerm(term)
 	case 8:
--- a/internal/fleet/formation/refused_test.go
+++ b/internal/fleet/formation/refused_test.go
@@ -40,7 +40,7 @@
 		one.setTerm(4096)
 		time.Sleep(8 * time.Second)
 		expect.Expect(one.asked.Load()).To(gomega.BeZero())
-		expect.Expect(fleet.world.Whole()["small"] + fleet.world.Whole()["large"]).To(gomega.BeNumerically(">=", 2))
+		expect.Expect(fleet.world.CompleteGroups()["small"] + fleet.world.CompleteGroups()["large"]).To(gomega.BeNumerically(">=", 2))
 		one.refusing.Store(nil)
 		time.Sleep(8 * time.Second)
 		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
--- a/internal/fleet/formation/schedules_test.go
+++ b/internal/fleet/formation/schedules_test.go
@@ -92,7 +92,7 @@
 func newPlay() *play {
 	play := &play{fleet: newFleet(1, 1, 3, 2), store: &claims{}, stop: make(chan struct{}), holders: map[int64]int{}, began: time.Now()}
 	for server := range 3 {
-		play.fleet.world.Put(serverID(server), "small")
+		play.fleet.world.SetStaged(serverID(server), "small")
 	}
 	for number, one := range play.fleet.nodes {
 		var keeper *tenure.Keeper
@@ -182,9 +182,9 @@
 			play.store.held = play.store.held[:max(0, len(play.store.held)-1)]
 		})
 	case loseAnswers:
-		world.SetFaults(serverID(0), backends.Faults{LostAnswers: 1})
+		world.SetFaults(serverID(0), backends.Faults{LostReplies: 1})
 	case lateOrders:
-		world.SetFaults(serverID(1), backends.Faults{Late: 1, LateBy: 1500 * time.Millisecond})
+		world.SetFaults(serverID(1), backends.Faults{Delayed: 1, Delay: 1500 * time.Millisecond})
 	case soundServers:
 		world.SetFaults(serverID(0), backends.Faults{})
 		world.SetFaults(serverID(1), backends.Faults{})
@@ -231,11 +231,11 @@
 // none stands though all trouble has ended.
 func (play *play) checkServing() {
 	for number, node := range play.fleet.nodes {
-		if group := headOf(node, "small"); group.Name != "" && play.fleet.world.Head(group.Head()) != backends.Serving {
+		if group := headOf(node, "small"); group.Name != "" && play.fleet.world.HeadState(group.Head()) != backends.Serving {
 			play.wrong = append(play.wrong, fmt.Sprintf("node %d sends calls to a group that doesn't stand", number))
 		}
 	}
-	if play.fleet.world.Whole()["small"] == 0 {
+	if play.fleet.world.CompleteGroups()["small"] == 0 {
 		play.wrong = append(play.wrong, "no group stands, though all trouble has ended")
 	}
 }
--- a/internal/fleet/formation/silent_test.go
+++ b/internal/fleet/formation/silent_test.go
@@ -52,7 +52,7 @@
 			node.setTerm(4096)
 			time.Sleep(8 * time.Second)
 			group := headOf(node, "large")
-			fleet.world.Unlist(group.Members[rank])
+			fleet.world.Deregister(group.Members[rank])
 			changes := []formation.Change{}
 			for began := time.Now(); time.Since(began) < 20*time.Second && !node.view.Free(group.Name); time.Sleep(50 * time.Millisecond) {
 				for _, news := range node.view.Recent() {
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -92,7 +92,7 @@
 // never refused, what is let in never exceeds the room and the shares together,
 // and what runs comes back to zero.
 func TestGateKeepsItsBounds(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		gate := admission.New()
 		capacity := admission.Capacity{
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -156,7 +156,7 @@
 // Nodes tell each other what they know in any order, late and twice. In the end all know
 // the same, whoever saw which end.
 func TestNodesAgreeInTheEnd(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Hour
 		clock := quarantine.Clock(func() time.Duration { return now })
--- a/internal/policy/ratelimit/permits_test.go
+++ b/internal/policy/ratelimit/permits_test.go
@@ -208,7 +208,7 @@
 
 // Guards against claims of more than was lent, which would be issued anew.
 func TestClaimsOfMoreThanWasLentChangeNothing(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &clockAt{at: time.Minute}
 		limits, _ := newNode(clock, 1, 2)
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -13,7 +13,7 @@
 // run dry instead of multiplying the load, never go below zero, and grant no
 // more than a tenth of the successes beyond what was saved up.
 func TestBudgetAgainstCounting(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		budget := retry.New()
 		saved := budget.State().Left
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -108,7 +108,7 @@
 // and nothing is chosen only when nothing is open. What a node has running
 // never goes below zero and comes back to zero.
 func TestPickAgainstPlainRule(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 8).Draw(t, "nodes")
 		made := targets(rapid.IntRange(1, 60).Draw(t, "groups"))
--- a/internal/run/demo/demo.go
+++ b/internal/run/demo/demo.go
@@ -89,7 +89,7 @@
 	Log     *platform.Log
 	List    *platform.List
 	Weights *platform.Weights
-	Book    *service.Book
+	Book    *service.ExecutionCounter
 	Domains map[string]*engine.Domain
 	Engines []*engine.Engine
 
@@ -131,7 +131,7 @@
 func NewWorld(options ...Option) (*World, error) {
 	world := &World{
 		Log: platform.NewLog(), List: platform.NewList(listLag), Weights: platform.NewWeights(weightSlots, weightTime),
-		Book: service.NewBook(), Domains: map[string]*engine.Domain{}, basePort: 7000, shape: DefaultShape(), rates: engine.DefaultRates,
+		Book: service.NewExecutionCounter(), Domains: map[string]*engine.Domain{}, basePort: 7000, shape: DefaultShape(), rates: engine.DefaultRates,
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 	}
 	for _, option := range options {
@@ -218,7 +218,7 @@
 		for each := range world.shape.Engines {
 			offset := world.afterNodes(firstEngine) + (index*world.shape.Domains+domain)*world.shape.Engines + each
 			id := fmt.Sprintf("%s-engine-%d", name, each+1)
-			created := engine.New(id, world.address(offset), world.Domains[name], engine.ChecksFencing(!slices.Contains(world.unchecked(), name)), engine.Speed(world.rates))
+			created := engine.New(id, world.address(offset), world.Domains[name], engine.ChecksFencing(!slices.Contains(world.unchecked(), name)), engine.WithRates(world.rates))
 			world.Engines = append(world.Engines, created)
 			world.serve(offset, created.Handler())
 			world.List.Put(instancelist.Instance{
--- a/internal/run/node/input_test.go
+++ b/internal/run/node/input_test.go
@@ -54,7 +54,7 @@
 			g.Expect(answer.Text).To(gomega.ContainSubstring(given.says), given.name)
 			g.Expect(answer.Text).To(gomega.ContainSubstring(`"error"`), given.name)
 		}
-		g.Expect(running.Draft(0, "report", "still here", 3).Whole).To(gomega.BeTrue())
+		g.Expect(running.Generate(0, "report", "still here", 3).Complete).To(gomega.BeTrue())
 	})
 }
 
@@ -62,7 +62,7 @@
 // message at all. None may hold a connection for good or stop the node.
 func TestBrokenConnectionsDoNoHarm(t *testing.T) {
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		tree := running.Trees[0]
+		tree := running.Settings[0]
 		dial := running.Network.Dialer("stranger")
 		send := func(address, text string, closing bool) io.ReadCloser {
 			conn, err := dial(context.Background(), "tcp", address)
@@ -98,8 +98,8 @@
 			held.Close()
 		}
 		g.Expect(running.Nodes[0].State().Traffic.PeerBadFrames).To(gomega.BeNumerically(">=", 2))
-		g.Expect(running.World.Book.Executions("stuck") + running.World.Book.Executions("half")).To(gomega.BeZero())
-		g.Expect(running.Draft(0, "report", "still here", 3).Whole).To(gomega.BeTrue())
+		g.Expect(running.Environment.Book.Executions("stuck") + running.Environment.Book.Executions("half")).To(gomega.BeZero())
+		g.Expect(running.Generate(0, "report", "still here", 3).Complete).To(gomega.BeTrue())
 	})
 }
 
@@ -108,10 +108,10 @@
 func TestUndecodableRecordIsSkipped(t *testing.T) {
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		for _, name := range []string{"Config", "Groups.lakes-a", "Bookings." + "great-lakes"} {
-			running.World.Log.Append(name, []byte("\xff no record"))
-			running.World.Log.Append(name, nil)
+			running.Environment.Log.Append(name, []byte("\xff no record"))
+			running.Environment.Log.Append(name, nil)
 		}
-		running.World.Log.Append("Config", fleet.ChangeBody(fleet.Target("later", "drafting", 0.1), 0, "later"))
+		running.Environment.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget("later", "drafting", 0.1), 0, "later"))
 		time.Sleep(time.Second)
 		for _, node := range running.Nodes {
 			g.Expect(node.State().Classes.Classes).To(gomega.Equal(2))
@@ -119,7 +119,7 @@
 				g.Expect(stream.Undecodable).To(gomega.BeNumerically(">=", 1), stream.Stream)
 			}
 		}
-		g.Expect(running.Book(1, "after", "x").Outcome).To(gomega.Equal(outcome.Run))
+		g.Expect(running.BookSlot(1, "after", "x").Outcome).To(gomega.Equal(outcome.Run))
 	})
 }
 
@@ -138,17 +138,17 @@
 	for name, given := range cases {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-				for _, server := range running.World.Services {
+				for _, server := range running.Environment.Services {
 					server.SetFaults(given.faults)
 				}
-				g.Expect(running.Book(0, "visit", "x").Outcome).To(gomega.Equal(given.outcome))
-				g.Expect(running.Book(1, "visit", "x").Outcome).To(gomega.Equal(given.outcome))
-				g.Expect(running.World.Book.Executions("visit")).To(gomega.Equal(given.executed))
+				g.Expect(running.BookSlot(0, "visit", "x").Outcome).To(gomega.Equal(given.outcome))
+				g.Expect(running.BookSlot(1, "visit", "x").Outcome).To(gomega.Equal(given.outcome))
+				g.Expect(running.Environment.Book.Executions("visit")).To(gomega.Equal(given.executed))
 
-				before := running.World.Book.Total()
+				before := running.Environment.Book.Total()
 				without := running.Call(0, http.MethodPost, "/services/scheduling/slots", nil, "x")
 				g.Expect(without.Outcome).To(gomega.Equal(given.outcome), without.Text)
-				g.Expect(running.World.Book.Total() - before).To(gomega.Equal(given.executed))
+				g.Expect(running.Environment.Book.Total() - before).To(gomega.Equal(given.executed))
 			})
 		})
 	}
@@ -158,14 +158,14 @@
 // soon, with the truth that nothing ran, and not be held.
 func TestDraftThatNobodyTakesIsRefusedSoon(t *testing.T) {
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		for _, server := range running.World.Engines {
+		for _, server := range running.Environment.Engines {
 			server.SetFaults(engine.Faults{RefuseDrafts: 1000})
 		}
-		answer := running.Draft(0, "report", "nobody", 5)
+		answer := running.Generate(0, "report", "nobody", 5)
 		g.Expect(answer.Outcome).To(gomega.Equal(outcome.NotRun), fmt.Sprint(answer))
 		g.Expect(answer.Header.Get("Retry-After")).NotTo(gomega.BeEmpty())
 		g.Expect(answer.Duration).To(gomega.BeNumerically("<", 6*time.Second))
-		running.World.Engines[0].SetFaults(engine.Faults{})
+		running.Environment.Engines[0].SetFaults(engine.Faults{})
 	})
 }
 
@@ -173,28 +173,28 @@
 // with the log dark. It must run once, at the issuer.
 func TestTicketIsRunByItsIssuer(t *testing.T) {
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		running.World.Log.SetFaults(darkLog)
+		running.Environment.Log.SetFaults(darkLog)
 		time.Sleep(6 * time.Second)
-		g.Expect(running.Book(1, "no-ticket", "x").Outcome).To(gomega.Equal(outcome.NotRun))
+		g.Expect(running.BookSlot(1, "no-ticket", "x").Outcome).To(gomega.Equal(outcome.NotRun))
 		issued := running.Call(0, http.MethodPost, "/tickets", nil, "")
 		var issuedTicket caller.Ticket
 		g.Expect(json.Unmarshal([]byte(issued.Text), &issuedTicket)).To(gomega.Succeed())
 		ticket := issuedTicket.Key
 		for _, index := range []int{1, 0, 1} {
-			answer := running.Book(index, ticket, "x")
+			answer := running.BookSlot(index, ticket, "x")
 			g.Expect(answer.Outcome).To(gomega.Equal(outcome.Run), answer.Text)
 		}
-		g.Expect(running.World.Book.Executions(ticket)).To(gomega.Equal(1))
+		g.Expect(running.Environment.Book.Executions(ticket)).To(gomega.Equal(1))
 		// What the issuer says of a repeated or misused ticket was lost on its
 		// way through the other node: a replay looked like a run, and another
 		// request under the ticket like an outage (503 instead of 422).
-		g.Expect(running.Book(1, ticket, "x").Header.Get(caller.HeaderReplayed)).To(gomega.Equal("true"))
-		g.Expect(running.Book(1, ticket, "another").Status).To(gomega.Equal(http.StatusUnprocessableEntity))
+		g.Expect(running.BookSlot(1, ticket, "x").Header.Get(caller.HeaderReplayed)).To(gomega.Equal("true"))
+		g.Expect(running.BookSlot(1, ticket, "another").Status).To(gomega.Equal(http.StatusUnprocessableEntity))
 
 		// The issuer stops gracefully; its peer answers for it.
 		running.Nodes[0].Stop()
 		running.Nodes[0] = nil
-		g.Expect(running.Book(1, ticket, "x").Outcome).To(gomega.Equal(outcome.Run))
-		g.Expect(running.World.Book.Executions(ticket)).To(gomega.Equal(1))
+		g.Expect(running.BookSlot(1, ticket, "x").Outcome).To(gomega.Equal(outcome.Run))
+		g.Expect(running.Environment.Book.Executions(ticket)).To(gomega.Equal(1))
 	})
 }
--- a/internal/run/node/node_test.go
+++ b/internal/run/node/node_test.go
@@ -36,7 +36,7 @@
 		running := fleet.New(t, shape)
 		defer running.Stop()
 		running.Start()
-		running.Classes(fleet.Target("report", "drafting", 0.5))
+		running.ApplyClasses(fleet.ClassTarget("report", "drafting", 0.5))
 		running.Eventually(90*time.Second, "every group serving", servesBoth(running, shape.Domains*shape.Engines/4))
 		test(t, running, gomega.NewWithT(t))
 		assertPromises(t, running)
@@ -61,24 +61,24 @@
 		g.Expect(state.Classes.Reverts).To(gomega.BeZero(), "configuration")
 		g.Expect(state.Drafts.Violations).To(gomega.BeZero(), "drafts")
 	}
-	for _, server := range running.World.Engines {
+	for _, server := range running.Environment.Engines {
 		g.Expect(server.Violations()).To(gomega.BeEmpty())
 	}
-	g.Expect(running.World.Book.Doubled()).To(gomega.BeZero())
+	g.Expect(running.Environment.Book.Duplicates()).To(gomega.BeZero())
 }
 
 func TestWholePath(t *testing.T) {
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		answer := running.Draft(0, "report", "the cellar is dry", 12)
-		g.Expect(answer.Whole).To(gomega.BeTrue(), answer.Error)
-		g.Expect(answer.Text).To(gomega.Equal(engine.Answer(fleet.Prompt("the cellar is dry"), 12)))
+		answer := running.Generate(0, "report", "the cellar is dry", 12)
+		g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
+		g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("the cellar is dry"), 12)))
 
-		booked := running.Book(0, "visit-1", "Tuesday")
+		booked := running.BookSlot(0, "visit-1", "Tuesday")
 		g.Expect(booked.Outcome).To(gomega.Equal(outcome.Run), booked.Text)
-		replayed := running.Book(1, "visit-1", "Tuesday")
+		replayed := running.BookSlot(1, "visit-1", "Tuesday")
 		g.Expect(replayed.Header.Get(caller.HeaderReplayed)).To(gomega.Equal("true"))
 		g.Expect(replayed.Text).To(gomega.Equal(booked.Text))
-		g.Expect(running.World.Book.Executions("visit-1")).To(gomega.Equal(1))
+		g.Expect(running.Environment.Book.Executions("visit-1")).To(gomega.Equal(1))
 	})
 }
 
@@ -100,17 +100,17 @@
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-				for _, server := range running.World.Engines {
+				for _, server := range running.Environment.Engines {
 					server.SetFaults(faults)
 				}
 				time.AfterFunc(2*time.Second, func() {
-					for _, server := range running.World.Engines {
+					for _, server := range running.Environment.Engines {
 						server.SetFaults(engine.Faults{})
 					}
 				})
-				answer := running.Draft(0, "report", name, 20)
-				g.Expect(answer.Whole).To(gomega.BeTrue(), answer.Error)
-				g.Expect(answer.Text).To(gomega.Equal(engine.Answer(fleet.Prompt(name), 20)))
+				answer := running.Generate(0, "report", name, 20)
+				g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
+				g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt(name), 20)))
 				time.Sleep(6 * time.Second)
 			})
 		})
@@ -124,10 +124,10 @@
 func TestGracefulShutdownCutsOffNothing(t *testing.T) {
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		for index := range running.Nodes {
-			answers := make([]fleet.Answer, 8)
+			answers := make([]fleet.Result, 8)
 			callers := conc.NewWaitGroup()
 			for each := range answers {
-				callers.Go(func() { answers[each] = running.Draft(index, "report", "long visit", 400) })
+				callers.Go(func() { answers[each] = running.Generate(index, "report", "long visit", 400) })
 			}
 			time.Sleep(100 * time.Millisecond)
 			stopped := running.Nodes[index]
@@ -136,12 +136,12 @@
 			g.Expect(running.Call(index, http.MethodGet, "/readyz", nil, "").Status).To(gomega.Equal(http.StatusServiceUnavailable))
 			callers.Wait()
 			for _, answer := range answers {
-				g.Expect(answer.Whole).To(gomega.BeTrue(), answer.Error)
-				g.Expect(answer.Text).To(gomega.Equal(engine.Answer(fleet.Prompt("long visit"), 400)))
+				g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
+				g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("long visit"), 400)))
 			}
 			running.StartNode(index)
 			running.Eventually(20*time.Second, "the new incarnation is ready", func() bool {
-				return running.Nodes[index].Ready() == nil && running.Serving(index, "drafting") == 2
+				return running.Nodes[index].Ready() == nil && running.ServingGroups(index, "drafting") == 2
 			})
 		}
 	})
--- a/internal/run/node/overhead_test.go
+++ b/internal/run/node/overhead_test.go
@@ -32,7 +32,7 @@
 	b.Helper()
 	// The engines have room for a thousand answers, so that the node is what is
 	// measured.
-	rates := standin.Rates{Step: 10 * time.Millisecond, StepEach: 20 * time.Microsecond, Prefill: 1_000_000, Concurrency: 600}
+	rates := standin.Rates{Step: 10 * time.Millisecond, StepPerRequest: 20 * time.Microsecond, PrefillPerSecond: 1_000_000, Concurrency: 600}
 	world, err := demo.NewWorld(demo.BasePort(benchPort), demo.Speed(rates), demo.Size(demo.Shape{
 		DataCentres: []string{"bench"}, Nodes: 1, Domains: 1, Engines: 8,
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
@@ -47,7 +47,7 @@
 		b.Fatal(err)
 	}
 	running.Start()
-	world.Log.Append("Config", fleet.ChangeBody(fleet.Target("report", "drafting", 1), 0, "bench"))
+	world.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget("report", "drafting", 1), 0, "bench"))
 	for range 200 {
 		if groups := running.State().Groups; len(groups) == 2 && groups[0].Serving && groups[1].Serving {
 			break
--- a/internal/run/node/random_test.go
+++ b/internal/run/node/random_test.go
@@ -42,7 +42,7 @@
 				chaos := &chaos{t: t, running: running, random: rand.New(rand.NewPCG(seed, 7))}
 				chaos.run(seed)
 				running.Eventually(4*time.Minute, "everything serves again", servesBoth(running, 4))
-				g.Expect(running.Draft(0, "report", "after all", 10).Whole).To(gomega.BeTrue())
+				g.Expect(running.Generate(0, "report", "after all", 10).Complete).To(gomega.BeTrue())
 			})
 		})
 	}
@@ -77,11 +77,11 @@
 
 // step breaks or mends one thing.
 func (chaos *chaos) step() {
-	engines := chaos.running.World.Engines
+	engines := chaos.running.Environment.Engines
 	server := engines[chaos.random.IntN(len(engines))]
 	node := chaos.random.IntN(len(chaos.running.Nodes))
-	name := chaos.running.Trees[node].Name
-	peer := chaos.running.Trees[(node+1)%len(chaos.running.Trees)].Listen.Peer
+	name := chaos.running.Settings[node].Name
+	peer := chaos.running.Settings[(node+1)%len(chaos.running.Settings)].Listen.Peer
 	switch chaos.random.IntN(12) {
 	case 0:
 		server.SetFaults(engine.Faults{Dead: true})
@@ -96,14 +96,14 @@
 	case 6:
 		server.SetFaults(engine.Faults{})
 	case 7:
-		chaos.running.Network.Cut(name, peer)
+		chaos.running.Network.Partition(name, peer)
 	case 8:
-		chaos.running.Network.Cut(name, server.Report().Address)
+		chaos.running.Network.Partition(name, server.Report().Address)
 	case 9:
 		chaos.running.Network.Heal(name, peer, server.Report().Address)
 	case 10:
 		faults := []platform.LogFaults{{}, {Dark: true}, {LoseReplies: true}, {LatencyMs: 2000}, {StaleBy: 2}}
-		chaos.running.World.Log.SetFaults(faults[chaos.random.IntN(len(faults))])
+		chaos.running.Environment.Log.SetFaults(faults[chaos.random.IntN(len(faults))])
 	case 11:
 		chaos.replaceNode(node)
 	}
@@ -116,17 +116,17 @@
 }
 
 func (chaos *chaos) mend() {
-	chaos.running.World.Log.SetFaults(platform.LogFaults{})
+	chaos.running.Environment.Log.SetFaults(platform.LogFaults{})
 	// Nobody is restarted for it: whoever believes in an old group must be
 	// found and put to use as it is.
-	for _, server := range chaos.running.World.Engines {
+	for _, server := range chaos.running.Environment.Engines {
 		server.SetFaults(engine.Faults{})
 	}
-	for _, tree := range chaos.running.Trees {
-		for _, other := range chaos.running.Trees {
+	for _, tree := range chaos.running.Settings {
+		for _, other := range chaos.running.Settings {
 			chaos.running.Network.Heal(tree.Name, other.Listen.Peer)
 		}
-		for _, server := range chaos.running.World.Engines {
+		for _, server := range chaos.running.Environment.Engines {
 			chaos.running.Network.Heal(tree.Name, server.Report().Address)
 		}
 	}
@@ -142,7 +142,7 @@
 			return
 		}
 		time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
-		node := random.IntN(len(chaos.running.Trees))
+		node := random.IntN(len(chaos.running.Settings))
 		if random.IntN(2) == 0 {
 			chaos.draft(node, fmt.Sprintf("caller %d, draft %d", caller, serial))
 			continue
@@ -153,19 +153,19 @@
 
 func (chaos *chaos) draft(node int, content string) {
 	const tokens = 30
-	answer := chaos.running.Draft(node, "report", content, tokens)
-	want := engine.Answer(fleet.Prompt(content), tokens)
+	answer := chaos.running.Generate(node, "report", content, tokens)
+	want := engine.Completion(fleet.Prompt(content), tokens)
 	switch {
-	case answer.Whole && answer.Text != want:
+	case answer.Complete && answer.Text != want:
 		chaos.t.Errorf("%s: a whole answer is wrong: %q", content, answer.Text)
-	case !answer.Whole && answer.Text != "" && answer.Status == 200 && len(answer.Text) <= len(want) && answer.Text != want[:len(answer.Text)]:
+	case !answer.Complete && answer.Text != "" && answer.Status == 200 && len(answer.Text) <= len(want) && answer.Text != want[:len(answer.Text)]:
 		chaos.t.Errorf("%s: a part of an answer is wrong: %q", content, answer.Text)
 	}
 }
 
 func (chaos *chaos) book(node int, key string) {
-	answer := chaos.running.Book(node, key, key)
-	if answer.Outcome == outcome.Run && chaos.running.World.Book.Executions(key) != 1 {
-		chaos.t.Errorf("%s: Run was said of a call that ran %d times", key, chaos.running.World.Book.Executions(key))
+	answer := chaos.running.BookSlot(node, key, key)
+	if answer.Outcome == outcome.Run && chaos.running.Environment.Book.Executions(key) != 1 {
+		chaos.t.Errorf("%s: Run was said of a call that ran %d times", key, chaos.running.Environment.Book.Executions(key))
 	}
 }
--- a/internal/run/node/repair_test.go
+++ b/internal/run/node/repair_test.go
@@ -31,7 +31,7 @@
 		if !group.Serving {
 			continue
 		}
-		for _, server := range running.World.Engines {
+		for _, server := range running.Environment.Engines {
 			if server.Report().Address == group.Members[len(group.Members)-1] {
 				return server, group.Number
 			}
@@ -43,7 +43,7 @@
 func servesBoth(running *fleet.Fleet, wanted int) func() bool {
 	return func() bool {
 		for index := range running.Nodes {
-			if running.Nodes[index] != nil && running.Serving(index, "drafting") != wanted {
+			if running.Nodes[index] != nil && running.ServingGroups(index, "drafting") != wanted {
 				return false
 			}
 		}
@@ -58,8 +58,8 @@
 	inBubble(t, spare(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		member, number := memberOf(running, 0)
 		member.SetFaults(engine.Faults{Dead: true})
-		answer := running.Draft(0, "report", "through a loss", 300)
-		g.Expect(answer.Text).To(gomega.Equal(engine.Answer(fleet.Prompt("through a loss"), 300)), answer.Error)
+		answer := running.Generate(0, "report", "through a loss", 300)
+		g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("through a loss"), 300)), answer.Error)
 		running.Eventually(5*time.Second, "the group has stopped serving", func() bool {
 			for index := range running.Nodes {
 				for _, group := range running.Nodes[index].State().Groups {
@@ -79,7 +79,7 @@
 // groups all the same: the engines are the arbiters, not the log.
 func TestRepairGoesOnInLogOutageWhereEnginesCheckNumbers(t *testing.T) {
 	inBubble(t, spare(0), func(_ *testing.T, running *fleet.Fleet, _ *gomega.WithT) {
-		running.World.Log.SetFaults(platform.LogFaults{Dark: true})
+		running.Environment.Log.SetFaults(platform.LogFaults{Dark: true})
 		running.Kill(0)
 		member, _ := memberOf(running, 1)
 		member.SetFaults(engine.Faults{Dead: true})
@@ -92,15 +92,15 @@
 // stand go on serving, the broken one is not rebuilt until the log is back.
 func TestRepairWaitsForTheLogWhereEnginesIgnoreNumbers(t *testing.T) {
 	inBubble(t, spare(1), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		running.World.Log.SetFaults(platform.LogFaults{Dark: true})
+		running.Environment.Log.SetFaults(platform.LogFaults{Dark: true})
 		time.Sleep(15 * time.Second)
 		member, _ := memberOf(running, 0)
 		member.SetFaults(engine.Faults{Dead: true})
 		time.Sleep(40 * time.Second)
-		g.Expect(running.Serving(0, "drafting")).To(gomega.Equal(1))
-		answer := running.Draft(0, "report", "still serving", 10)
-		g.Expect(answer.Whole).To(gomega.BeTrue(), answer.Error)
-		running.World.Log.SetFaults(platform.LogFaults{})
+		g.Expect(running.ServingGroups(0, "drafting")).To(gomega.Equal(1))
+		answer := running.Generate(0, "report", "still serving", 10)
+		g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
+		running.Environment.Log.SetFaults(platform.LogFaults{})
 		running.Eventually(40*time.Second, "two groups serve again", servesBoth(running, 2))
 	})
 }
@@ -112,12 +112,12 @@
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		member, number := memberOf(running, 0)
 		for index := range running.Nodes {
-			running.Network.Cut(running.Trees[index].Name, member.Report().Address)
+			running.Network.Partition(running.Settings[index].Name, member.Report().Address)
 			time.Sleep(20 * time.Second)
 			for other := range running.Nodes {
-				g.Expect(running.Serving(other, "drafting")).To(gomega.Equal(2))
+				g.Expect(running.ServingGroups(other, "drafting")).To(gomega.Equal(2))
 			}
-			running.Network.Heal(running.Trees[index].Name, member.Report().Address)
+			running.Network.Heal(running.Settings[index].Name, member.Report().Address)
 			time.Sleep(5 * time.Second)
 		}
 		g.Expect(member.Report().Group).To(gomega.Equal(number))
@@ -129,8 +129,8 @@
 // a while, but no engine may end in two groups, and the groups must settle.
 func TestNodesCutOffFromEachOtherSettle(t *testing.T) {
 	inBubble(t, spare(0), func(_ *testing.T, running *fleet.Fleet, _ *gomega.WithT) {
-		running.Network.Cut(running.Trees[0].Name, running.Trees[1].Listen.Peer)
-		running.Network.Cut(running.Trees[1].Name, running.Trees[0].Listen.Peer)
+		running.Network.Partition(running.Settings[0].Name, running.Settings[1].Listen.Peer)
+		running.Network.Partition(running.Settings[1].Name, running.Settings[0].Listen.Peer)
 		time.Sleep(10 * time.Second)
 		member, _ := memberOf(running, 0)
 		member.SetFaults(engine.Faults{Dead: true})
@@ -179,12 +179,12 @@
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
 	}
 	inBubble(t, shape, func(_ *testing.T, running *fleet.Fleet, _ *gomega.WithT) {
-		for _, server := range running.World.Engines[:4] {
+		for _, server := range running.Environment.Engines[:4] {
 			server.SetFaults(engine.Faults{Dead: true})
 		}
 		running.Eventually(6*time.Second, "one group serves", servesBoth(running, 1))
 		time.Sleep(30 * time.Second)
-		for _, server := range running.World.Engines[:4] {
+		for _, server := range running.Environment.Engines[:4] {
 			server.Restart()
 		}
 		running.Eventually(20*time.Second, "two groups serve again", servesBoth(running, 2))
@@ -270,7 +270,7 @@
 		reply := member.Order(peer.Order{Number: 1, Model: "drafting", Members: others})
 		g.Expect(reply.Accepted).To(gomega.BeTrue())
 		running.Eventually(4*time.Second, "the group has stopped", func() bool { return !serves(running, number) })
-		g.Expect(running.Draft(0, "report", "meanwhile", 10).Whole).To(gomega.BeTrue())
+		g.Expect(running.Generate(0, "report", "meanwhile", 10).Complete).To(gomega.BeTrue())
 		running.Eventually(60*time.Second, "two groups serve again", servesBoth(running, 2))
 	})
 }
@@ -296,16 +296,16 @@
 	}
 	inBubble(t, shape, func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		time.Sleep(10 * time.Second)
-		for _, server := range running.World.Engines[:4] {
+		for _, server := range running.Environment.Engines[:4] {
 			server.SetFaults(engine.Faults{Dead: true})
 		}
-		running.Eventually(10*time.Second, "the group has stopped", func() bool { return running.Serving(0, "drafting") == 0 })
+		running.Eventually(10*time.Second, "the group has stopped", func() bool { return running.ServingGroups(0, "drafting") == 0 })
 		time.Sleep(5 * time.Second)
 		for index := range running.Nodes {
-			answer := running.Draft(index, "report", "from next door", 10)
-			g.Expect(answer.Text).To(gomega.Equal(engine.Answer(fleet.Prompt("from next door"), 10)), answer.Error)
+			answer := running.Generate(index, "report", "from next door", 10)
+			g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("from next door"), 10)), answer.Error)
 		}
-		for _, server := range running.World.Engines[:4] {
+		for _, server := range running.Environment.Engines[:4] {
 			server.Restart()
 		}
 	})
@@ -342,30 +342,30 @@
 		running := fleet.New(t, shape)
 		defer running.Stop()
 		running.Start()
-		running.Classes(fleet.Target("urgent", "drafting", 0.9), fleet.Target("later", "summary", 0))
+		running.ApplyClasses(fleet.ClassTarget("urgent", "drafting", 0.9), fleet.ClassTarget("later", "summary", 0))
 		running.Eventually(60*time.Second, "both groups serve", func() bool {
-			return running.Serving(0, "drafting") == 1 && running.Serving(0, "summary") == 1
+			return running.ServingGroups(0, "drafting") == 1 && running.ServingGroups(0, "summary") == 1
 		})
 		time.Sleep(5 * time.Second)
-		answers := make(chan fleet.Answer, 2)
+		answers := make(chan fleet.Result, 2)
 		callers := conc.NewWaitGroup()
 		for index := range 2 {
-			callers.Go(func() { answers <- running.Draft(index, "later", "a long summary", 6000) })
+			callers.Go(func() { answers <- running.Generate(index, "later", "a long summary", 6000) })
 		}
 		time.Sleep(time.Second)
 		memberOfModel(running, "drafting").SetFaults(engine.Faults{Dead: true})
-		running.Eventually(10*time.Second, "the group has stopped", func() bool { return running.Serving(0, "drafting") == 0 })
+		running.Eventually(10*time.Second, "the group has stopped", func() bool { return running.ServingGroups(0, "drafting") == 0 })
 		done := make(chan struct{})
 		callers.Go(func() { keepDrafting(running, g, done) })
 		running.Eventually(100*time.Second, "the model that matters serves again", func() bool {
-			return running.Serving(0, "drafting") == 1
+			return running.ServingGroups(0, "drafting") == 1
 		})
 		close(done)
 		callers.Wait()
 		for range 2 {
 			answer := <-answers
-			g.Expect(answer.Whole).To(gomega.BeTrue(), answer.Error)
-			g.Expect(answer.Text).To(gomega.Equal(engine.Answer(fleet.Prompt("a long summary"), 6000)))
+			g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
+			g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("a long summary"), 6000)))
 		}
 		for _, node := range running.Nodes {
 			g.Expect(node.State().Drafts.Resumed).To(gomega.BeZero())
@@ -384,13 +384,13 @@
 		}
 		// A refusal takes no time; without a pause this would never let any pass.
 		time.Sleep(500 * time.Millisecond)
-		answer := running.Draft(1, "later", "one more", 400)
-		g.Expect(answer.Whole || answer.Outcome == outcome.NotRun).To(gomega.BeTrue(), answer.Error)
+		answer := running.Generate(1, "later", "one more", 400)
+		g.Expect(answer.Complete || answer.Outcome == outcome.NotRun).To(gomega.BeTrue(), answer.Error)
 	}
 }
 
 func memberOfModel(running *fleet.Fleet, model string) *engine.Engine {
-	for _, server := range running.World.Engines {
+	for _, server := range running.Environment.Engines {
 		if report := server.Report(); report.Model == model && report.Members[0] != report.Address {
 			return server
 		}
--- a/internal/run/node/state_bench_test.go
+++ b/internal/run/node/state_bench_test.go
@@ -91,7 +91,7 @@
 	for change := range changes {
 		name := fmt.Sprintf("class-%d-%d", b.N, change)
 		began := time.Now()
-		world.Log.Append("Config", fleet.ChangeBody(fleet.Target(name, "drafting", 0.1), 0, name))
+		world.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget(name, "drafting", 0.1), 0, name))
 		waits := conc.NewWaitGroup()
 		spent := make([]time.Duration, count)
 		for index, running := range nodes {
--- a/internal/run/node/traffic_test.go
+++ b/internal/run/node/traffic_test.go
@@ -24,10 +24,10 @@
 	}
 	inBubble(t, shape, func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		time.Sleep(20 * time.Second)
-		before, appends := totals(running), running.World.Log.Appends()
+		before, appends := totals(running), running.Environment.Log.Appends()
 		time.Sleep(quiet * time.Second)
 		after := totals(running)
-		g.Expect(running.World.Log.Appends()).To(gomega.Equal(appends), "appends while nothing happens")
+		g.Expect(running.Environment.Log.Appends()).To(gomega.Equal(appends), "appends while nothing happens")
 		g.Expect(after.asked-before.asked).To(gomega.BeNumerically("<=", nodes*(nodes-1)*quiet), "questions to peers")
 		g.Expect(after.reports-before.reports).To(gomega.BeNumerically("<=", servers*(quiet+1)), "reports, each server read by one node")
 		g.Expect(after.lists-before.lists).To(gomega.BeNumerically("<=", quiet/3+quiet/15+nodes), "readings of the list, by one node")
@@ -59,10 +59,10 @@
 func TestNodeCutOffFromTheListLearnsFromPeers(t *testing.T) {
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		running.Kill(0)
-		running.Network.Cut(running.Trees[0].Name, "127.0.0.1:7001")
+		running.Network.Partition(running.Settings[0].Name, "127.0.0.1:7001")
 		running.StartNode(0)
 		running.Eventually(20*time.Second, "the cut-off node sees the groups", servesBoth(running, 2))
-		g.Expect(running.Draft(0, "report", "cut off", 5).Whole).To(gomega.BeTrue())
+		g.Expect(running.Generate(0, "report", "cut off", 5).Complete).To(gomega.BeTrue())
 	})
 }
 
@@ -77,10 +77,10 @@
 	inBubble(t, shape, func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		time.Sleep(20 * time.Second)
 		for _, index := range []int{2, 3} {
-			running.Network.Cut(running.Trees[index].Name, "127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
+			running.Network.Partition(running.Settings[index].Name, "127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
 		}
 		time.Sleep(15 * time.Second)
-		running.World.Log.Append("Config", fleet.ChangeBody(fleet.Target("late", "drafting", 0.1), 0, "late"))
+		running.Environment.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget("late", "drafting", 0.1), 0, "late"))
 		running.Eventually(9*time.Second, "the change is in force everywhere", func() bool {
 			for _, node := range running.Nodes {
 				if node.State().Classes.Classes != 2 {
@@ -89,7 +89,7 @@
 			}
 			return true
 		})
-		g.Expect(running.Draft(2, "late", "cut off", 5).Whole).To(gomega.BeTrue())
+		g.Expect(running.Generate(2, "late", "cut off", 5).Complete).To(gomega.BeTrue())
 	})
 }
 
@@ -99,7 +99,7 @@
 func TestDraftsShareConnections(t *testing.T) {
 	inBubble(t, small(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		for range 20 {
-			g.Expect(running.Draft(0, "report", "one after the other", 3).Whole).To(gomega.BeTrue())
+			g.Expect(running.Generate(0, "report", "one after the other", 3).Complete).To(gomega.BeTrue())
 		}
 		g.Expect(running.Nodes[0].State().Traffic.Drafts.Connections).To(gomega.BeNumerically("<=", 2))
 	})
@@ -115,27 +115,27 @@
 	}
 	inBubble(t, shape, func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		time.Sleep(30 * time.Second)
-		g.Expect(running.Book(0, "visit", "lakes").Outcome).To(gomega.Equal(outcome.Run))
-		g.Expect(running.Book(2, "face", "costa").Outcome).To(gomega.Equal(outcome.Run))
+		g.Expect(running.BookSlot(0, "visit", "lakes").Outcome).To(gomega.Equal(outcome.Run))
+		g.Expect(running.BookSlot(2, "face", "costa").Outcome).To(gomega.Equal(outcome.Run))
 		_, known := running.Nodes[2].Booking(demo.ServiceName, "visit")
 		g.Expect(known).To(gomega.BeFalse())
 
 		for _, index := range []int{2, 3} {
-			running.Network.Cut(running.Trees[index].Name, "127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
+			running.Network.Partition(running.Settings[index].Name, "127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
 		}
 		time.Sleep(15 * time.Second)
-		running.World.Log.Append("Config", fleet.ChangeBody(fleet.Target("late", "drafting", 0.1), 0, "late"))
+		running.Environment.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget("late", "drafting", 0.1), 0, "late"))
 		running.Eventually(9*time.Second, "the change is in force in both regions", func() bool {
 			return running.Nodes[2].InForce("late") == 1 && running.Nodes[3].InForce("late") == 1
 		})
-		for _, server := range running.World.Engines[4:] {
+		for _, server := range running.Environment.Engines[4:] {
 			server.SetFaults(engine.Faults{Dead: true})
 		}
-		running.Eventually(10*time.Second, "the region's group has stopped", func() bool { return running.Serving(2, "drafting") == 0 })
+		running.Eventually(10*time.Second, "the region's group has stopped", func() bool { return running.ServingGroups(2, "drafting") == 0 })
 		time.Sleep(5 * time.Second)
-		answer := running.Draft(2, "report", "far away", 3)
+		answer := running.Generate(2, "report", "far away", 3)
 		g.Expect(answer.Outcome).To(gomega.Equal(outcome.NotRun), answer.Text)
-		for _, server := range running.World.Engines[4:] {
+		for _, server := range running.Environment.Engines[4:] {
 			server.Restart()
 		}
 	})
--- a/internal/run/trial/trial.go
+++ b/internal/run/trial/trial.go
@@ -46,7 +46,7 @@
 )
 
 // engineRates make a group of eight places give 1,000 tokens a second.
-var engineRates = engine.Rates{Step: 4 * time.Millisecond, StepEach: 500 * time.Microsecond, Prefill: 20_000, Concurrency: 8}
+var engineRates = engine.Rates{Step: 4 * time.Millisecond, StepPerRequest: 500 * time.Microsecond, PrefillPerSecond: 20_000, Concurrency: 8}
 
 // The classes of the trials and their targets.
 var (
--- a/internal/standin/backends/backends.go
+++ b/internal/standin/backends/backends.go
@@ -1,18 +1,16 @@
-// Package backends stands in for the backend servers whose groups run models:
-// it takes orders, keeps memberships as the real servers do, and counts what
-// must never happen.
+// Package backends simulates the backend servers whose groups run models. The simulation executes orders, tracks group
+// memberships as real servers do, and records violations of the group protocol.
 //
-// It is a register for each server: orders under a number lower than one it has
-// seen are refused, a join must name the count of orders taken, epochs only
-// rise. Faults are switched on for each server: it can die, be cut off from the
-// callers named, lose answers, or carry orders out late.
+// Each server is a compare-and-set register. The server refuses an order with a lower term than the highest term it has
+// seen. An order that expects another count of executed orders conflicts. Epochs only rise. Faults are set per server:
+// a server can stop, be partitioned from given callers, lose replies or execute orders late.
 //
 // # Usage
 //
-//	world := backends.New(clock, engine)
-//	world.Add("i-1", "domain-1", "east")
-//	result, err := world.Order("node-1", "i-1", order)
-//	world.Violations()
+//	cluster := backends.New(clock, engine, seed)
+//	cluster.Add("i-1", "domain-1", "east")
+//	result, err := cluster.Order("node-1", "i-1", order)
+//	violations := cluster.Violations()
 package backends
 
 import (
@@ -31,23 +29,24 @@
 	"hazelslip/internal/state/configuration"
 )
 
-// ErrSilent is how a call to a server that doesn't answer ends.
-var ErrSilent = errors.New("the server doesn't answer")
+// ErrNoResponse is returned for a call to a server that is stopped or unreachable.
+var ErrNoResponse = errors.New("no response from the backend server")
 
-// server is one backend server.
+// server holds the state of one simulated backend server and its host.
 type server struct {
 	id, domain, dataCentre string
 	dead                   bool
-	// ended says that the process ended, of which its connections tell, where a dead
-	// one falls silent.
-	ended    bool
+	// crashed marks a dead server whose process exited, so that its connections are closed. Any other dead server
+	// stops responding and leaves its connections open.
+	crashed  bool
 	draining bool
-	// unlisted says that the registry doesn't show it, although it lives.
-	unlisted bool
-	// cut are the callers that can't reach it.
-	cut    map[string]bool
-	faults Faults
-	// born is the millisecond at which the process started.
+	// deregistered hides the running server from the registry.
+	deregistered bool
+	// partitionedFrom holds the callers that cannot reach the server.
+	partitionedFrom map[string]bool
+	faults          Faults
+	// born identifies the server process. The value is 0 for the first process. Each restart raises it by 1 plus the
+	// time of the restart in milliseconds.
 	born      int64
 	orders    int64
 	term      int64
@@ -55,14 +54,14 @@
 	group     membership
 	staged    []string
 	lastModel string
-	// loading is the model that is being loaded onto the host, until loadedAt.
+	// loading is the model that is being loaded onto the host. The load ends at loadedAt.
 	loading  string
 	loadedAt time.Duration
-	// past are reports that no longer hold, the oldest first.
-	past []pastReport
+	// pastReports holds superseded reports, oldest first, for Cluster.ReportLag.
+	pastReports []pastReport
 }
 
-// pastReport is what a server said of itself until a time.
+// pastReport is a superseded report and the time until which it was current.
 type pastReport struct {
 	report formation.Report
 	until  time.Duration
@@ -77,87 +76,88 @@
 	state   string
 	readyAt time.Duration
 	openAt  time.Duration
-	// stalledAt is when a head noticed that a member is missing.
+	// stalledAt is the time at which the head noticed a missing member.
 	stalledAt time.Duration
 	stalled   bool
-	// loads says that the join brings the model's weights onto the host.
+	// loads is set if the join loads the model's weights onto the host.
 	loads bool
 }
 
-// World is all servers.
-type World struct {
+// Cluster holds all simulated backend servers and the violations that they recorded.
+type Cluster struct {
 	now    clock.Now
 	engine *configuration.Engine
-	// Stall is how long a head without a member goes on accepting calls.
-	Stall time.Duration
-	// Idle says that heads have no calls, and so don't notice a missing member.
-	Idle bool
-	// ReportLag is how old the reports of servers are.
+	// StallTimeout is the time from a missing member until the group breaks. The head accepts calls during that time.
+	StallTimeout time.Duration
+	// HeadsIdle simulates heads without calls. Such heads do not notice a missing member.
+	HeadsIdle bool
+	// ReportLag is the age of the reports that servers return.
 	ReportLag time.Duration
 
-	mu         sync.Mutex
-	servers    map[string]*server
-	ready      map[string]map[string]bool
-	violations []string
-	// epochs are the groups that were formed, by their epochs.
-	epochs    map[int64]string
-	draw      *rand.Rand
-	loads     []time.Duration
-	joinLoads int
+	mu           sync.Mutex
+	servers      map[string]*server
+	readyMembers map[string]map[string]bool
+	violations   []string
+	// groupsByEpoch maps each epoch to the name of the group that was formed in it.
+	groupsByEpoch map[int64]string
+	random        *rand.Rand
+	loadStarts    []time.Duration
+	joinLoads     int
 }
 
-// New returns a world without servers. All its chance comes from the seed.
-func New(now clock.Now, engine *configuration.Engine, seed uint64) *World {
-	return &World{
-		now: now, engine: engine, Stall: 6 * time.Second, servers: map[string]*server{}, epochs: map[int64]string{},
-		ready: map[string]map[string]bool{}, draw: rand.New(rand.NewPCG(seed, 1)),
+// New returns a cluster without servers. The seed determines all random choices.
+func New(now clock.Now, engine *configuration.Engine, seed uint64) *Cluster {
+	return &Cluster{
+		now: now, engine: engine, StallTimeout: 6 * time.Second, servers: map[string]*server{}, groupsByEpoch: map[int64]string{},
+		readyMembers: map[string]map[string]bool{}, random: rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
-// Add adds a server with models staged on its host.
-func (world *World) Add(id, domain, dataCentre string, staged ...string) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	world.servers[id] = &server{id: id, domain: domain, dataCentre: dataCentre, cut: map[string]bool{}, staged: staged}
+// Add adds a server whose host already stores the staged models.
+func (cluster *Cluster) Add(id, domain, dataCentre string, staged ...string) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.servers[id] = &server{id: id, domain: domain, dataCentre: dataCentre, partitionedFrom: map[string]bool{}, staged: staged}
 }
 
-// Members returns the servers of the group that a server is in, the head first.
-func (world *World) Members(id string) []string {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	return slices.Clone(world.servers[id].group.members)
+// Members returns the members of the server's group, with the head first.
+func (cluster *Cluster) Members(id string) []string {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return slices.Clone(cluster.servers[id].group.members)
 }
 
-// Violations returns what must never happen and did.
-func (world *World) Violations() []string {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	return append([]string{}, world.violations...)
+// Violations describes each violation of the group protocol: a head that was opened before all members were ready, a
+// server that left a serving group to join another one, or an epoch with two groups.
+func (cluster *Cluster) Violations() []string {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return append([]string{}, cluster.violations...)
 }
 
-// Loads is how many loads from the weight store have begun.
-func (world *World) Loads() int {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	return len(world.loads)
+// Loads returns how many loads from the weight store have started.
+func (cluster *Cluster) Loads() int {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return len(cluster.loadStarts)
 }
 
-// JoinLoads is how many servers loaded from the weight store to join a group.
-func (world *World) JoinLoads() int {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	return world.joinLoads
+// JoinLoads returns how many joins required a load from the weight store.
+func (cluster *Cluster) JoinLoads() int {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.joinLoads
 }
 
-// LoadsWithin is the most loads that began in any window of a span.
-func (world *World) LoadsWithin(span time.Duration) int {
-	world.mu.Lock()
-	defer world.mu.Unlock()
+// MaxLoadsWithin returns the maximum number of loads that started in any window of length span.
+func (cluster *Cluster) MaxLoadsWithin(span time.Duration) int {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
 	most := 0
-	for first := range world.loads {
+	for first := range cluster.loadStarts {
 		count := 0
-		for _, at := range world.loads[first:] {
-			if at-world.loads[first] < span {
+		for _, at := range cluster.loadStarts[first:] {
+			if at-cluster.loadStarts[first] < span {
 				count++
 			}
 		}
@@ -166,18 +166,18 @@
 	return most
 }
 
-func (world *World) reach(caller, id string) (*server, error) {
-	found, ok := world.servers[id]
-	if !ok || found.dead || found.cut[caller] {
-		return nil, errors.Wrapf(ErrSilent, "server %s", id)
+func (cluster *Cluster) reachableServer(caller, id string) (*server, error) {
+	found, ok := cluster.servers[id]
+	if !ok || found.dead || found.partitionedFrom[caller] {
+		return nil, errors.Wrapf(ErrNoResponse, "server %s", id)
 	}
-	world.settle(found)
+	cluster.advance(found)
 	return found, nil
 }
 
-// settle moves a server's state on to now.
-func (world *World) settle(found *server) {
-	now := world.now()
+// advance applies the state changes of the server that are due by now.
+func (cluster *Cluster) advance(found *server) {
+	now := cluster.now()
 	group := &found.group
 	if found.loading != "" && now >= found.loadedAt {
 		found.staged, found.loading = []string{found.loading}, ""
@@ -189,22 +189,22 @@
 		}
 		found.lastModel = group.model
 		key := readyKey(group)
-		if world.ready[key] == nil {
-			world.ready[key] = map[string]bool{}
+		if cluster.readyMembers[key] == nil {
+			cluster.readyMembers[key] = map[string]bool{}
 		}
-		world.ready[key][found.id] = true
+		cluster.readyMembers[key][found.id] = true
 	}
 	if group.rank != 0 || (group.state != roster.Open && group.state != roster.Closing) {
 		return
 	}
-	if world.Idle || world.whole(group) {
+	if cluster.HeadsIdle || cluster.allMembersPresent(group) {
 		group.stalled = false
 		return
 	}
 	if !group.stalled {
 		group.stalled, group.stalledAt = true, now
 	}
-	if now-group.stalledAt >= world.Stall {
+	if now-group.stalledAt >= cluster.StallTimeout {
 		group.state = roster.Broken
 	}
 }
@@ -213,10 +213,10 @@
 	return fmt.Sprint(group.name, "/", group.epoch, "/", group.members)
 }
 
-// whole says whether all members are there for their head.
-func (world *World) whole(group *membership) bool {
+// allMembersPresent reports whether every listed member is alive and belongs to the same group and epoch.
+func (cluster *Cluster) allMembersPresent(group *membership) bool {
 	for _, id := range group.members {
-		member, ok := world.servers[id]
+		member, ok := cluster.servers[id]
 		if !ok || member.dead || member.group.name != group.name || member.group.epoch != group.epoch {
 			return false
 		}
@@ -224,28 +224,28 @@
 	return true
 }
 
-// Report answers a question.
-func (world *World) Report(caller, id string) (formation.Report, error) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	found, err := world.reach(caller, id)
+// Report returns the report of the server to the caller, as old as ReportLag.
+func (cluster *Cluster) Report(caller, id string) (formation.Report, error) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	found, err := cluster.reachableServer(caller, id)
 	if err != nil {
 		return formation.Report{}, err
 	}
-	return world.lagged(found), nil
+	return cluster.laggedReport(found), nil
 }
 
-func (found *server) report() formation.Report {
+func (server *server) report() formation.Report {
 	return formation.Report{
-		Born: found.born, Group: found.membership(), Model: found.group.model, Staged: append([]string{}, found.staged...),
-		Orders: found.orders, Busy: found.group.state == roster.Joining || found.loading != "", Pace: 1,
+		Born: server.born, Group: server.membership(), Model: server.group.model, Staged: append([]string{}, server.staged...),
+		Orders: server.orders, Busy: server.group.state == roster.Joining || server.loading != "", Pace: 1,
 	}
 }
 
-// lagged is what a server said of itself as long ago as reports are behind.
-func (world *World) lagged(found *server) formation.Report {
-	asOf := world.now() - world.ReportLag
-	for _, past := range found.past {
+// laggedReport returns the report that was current ReportLag ago.
+func (cluster *Cluster) laggedReport(found *server) formation.Report {
+	asOf := cluster.now() - cluster.ReportLag
+	for _, past := range found.pastReports {
 		if past.until > asOf {
 			return past.report
 		}
@@ -253,11 +253,11 @@
 	return found.report()
 }
 
-// turn keeps what a server says of itself before it changes.
-func (world *World) turn(found *server) {
-	asOf := world.now() - world.ReportLag
-	found.past = slices.DeleteFunc(found.past, func(past pastReport) bool { return past.until <= asOf })
-	found.past = append(found.past, pastReport{report: found.report(), until: world.now()})
+// saveReport saves the current report of the server before its state changes, and deletes reports older than ReportLag.
+func (cluster *Cluster) saveReport(found *server) {
+	asOf := cluster.now() - cluster.ReportLag
+	found.pastReports = slices.DeleteFunc(found.pastReports, func(past pastReport) bool { return past.until <= asOf })
+	found.pastReports = append(found.pastReports, pastReport{report: found.report(), until: cluster.now()})
 }
 
 func (server *server) membership() roster.Membership {
@@ -265,58 +265,58 @@
 	return roster.Membership{Name: group.name, Epoch: group.epoch, Rank: group.rank, State: group.state}
 }
 
-// Standing is what a head can do with calls.
-type Standing int
+// HeadState describes how a server handles calls for its group.
+type HeadState int
 
-// The standings of a head.
+// The states of a head.
 const (
-	// Serving: it runs calls.
-	Serving Standing = iota
-	// Still: it accepts calls, and nothing moves.
-	Still
-	// Shut: it refuses calls.
-	Shut
-	// Gone: it doesn't answer.
-	Gone
+	// Serving means that the server runs calls.
+	Serving HeadState = iota
+	// Stalled means that the server accepts calls and makes no progress on them.
+	Stalled
+	// Refusing means that the server refuses calls.
+	Refusing
+	// Unresponsive means that the server does not respond.
+	Unresponsive
 )
 
-// Head returns what a server does with calls of a group's model.
-func (world *World) Head(id string) Standing {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	found, ok := world.servers[id]
-	if !ok || (found.dead && !found.ended) {
-		return Gone
+// HeadState returns how the server handles calls for its group's model.
+func (cluster *Cluster) HeadState(id string) HeadState {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	found, ok := cluster.servers[id]
+	if !ok || (found.dead && !found.crashed) {
+		return Unresponsive
 	}
-	if found.ended {
-		return Shut
+	if found.crashed {
+		return Refusing
 	}
-	world.settle(found)
+	cluster.advance(found)
 	group := &found.group
 	switch {
 	case group.rank != 0 || group.state != roster.Open:
-		return Shut
-	case world.now() < group.openAt+world.engine.FormTime:
-		return Shut
-	case !world.whole(group):
-		return Still
+		return Refusing
+	case cluster.now() < group.openAt+cluster.engine.FormTime:
+		return Refusing
+	case !cluster.allMembersPresent(group):
+		return Stalled
 	}
 	return Serving
 }
 
-// Servers returns the list of servers as the registry would show it.
-func (world *World) Servers(service string) []*roster.Server {
-	world.mu.Lock()
-	defer world.mu.Unlock()
+// Servers returns the registered servers, ordered by ID.
+func (cluster *Cluster) Servers(service string) []*roster.Server {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
 	list := []*roster.Server{}
-	for _, found := range world.servers {
-		if found.dead || found.unlisted {
+	for _, found := range cluster.servers {
+		if found.dead || found.deregistered {
 			continue
 		}
-		world.settle(found)
+		cluster.advance(found)
 		list = append(list, &roster.Server{
 			ID: found.id, Born: found.born, Service: service, Address: found.id + ":1", DataCentre: found.dataCentre,
-			Slots: world.engine.Slots, Draining: found.draining, FabricDomain: found.domain,
+			Slots: cluster.engine.Slots, Draining: found.draining, FabricDomain: found.domain,
 			Staged: append([]string{}, found.staged...), Model: found.group.model, Group: found.membership(),
 		})
 	}
@@ -324,19 +324,19 @@
 	return list
 }
 
-// Whole returns how many groups serve with all members, by model.
-func (world *World) Whole() map[string]int {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	whole := map[string]int{}
-	for _, found := range world.servers {
+// CompleteGroups returns the number of open groups with all members present, by model.
+func (cluster *Cluster) CompleteGroups() map[string]int {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	complete := map[string]int{}
+	for _, found := range cluster.servers {
 		if found.dead {
 			continue
 		}
-		world.settle(found)
-		if found.group.rank == 0 && found.group.state == roster.Open && world.whole(&found.group) {
-			whole[found.group.model]++
+		cluster.advance(found)
+		if found.group.rank == 0 && found.group.state == roster.Open && cluster.allMembersPresent(&found.group) {
+			complete[found.group.model]++
 		}
 	}
-	return whole
+	return complete
 }
--- a/internal/standin/backends/faults.go
+++ b/internal/standin/backends/faults.go
@@ -4,75 +4,74 @@
 	"time"
 )
 
-// Faults are what goes wrong with orders at one server.
+// Faults sets how orders to one server fail.
 type Faults struct {
-	// LostAnswers is the share of orders that are carried out and not answered.
-	LostAnswers float64
-	// Late is the share that are not answered and carried out LateBy later.
-	Late   float64
-	LateBy time.Duration
+	// LostReplies is the probability, 0 to 1, that the server executes an order and its reply is lost.
+	LostReplies float64
+	// Delayed is the probability, 0 to 1, that an order gets no reply and the server executes it after Delay.
+	Delayed float64
+	Delay   time.Duration
 }
 
-// Kill ends a server for good, without a word.
-func (world *World) Kill(id string) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	world.servers[id].dead = true
+// Kill stops a server permanently. Its connections stay open without a response.
+func (cluster *Cluster) Kill(id string) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.servers[id].dead = true
 }
 
-// End ends a server's process, which breaks its connections off, and starts it again
-// after a while.
-func (world *World) End(id string, down time.Duration) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	world.servers[id].dead, world.servers[id].ended = true, true
-	time.AfterFunc(down, func() { world.Restart(id) })
+// Crash ends a server's process, which closes its connections, and restarts the process after the given downtime.
+func (cluster *Cluster) Crash(id string, downtime time.Duration) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.servers[id].dead, cluster.servers[id].crashed = true, true
+	time.AfterFunc(downtime, func() { cluster.Restart(id) })
 }
 
-// Restart ends a server's process and starts it again under its ID: it is in no
-// group, has taken no order and seen no term. What lies on its host stays.
-func (world *World) Restart(id string) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	found := world.servers[id]
-	world.settle(found)
-	world.servers[id] = &server{
-		id: id, domain: found.domain, dataCentre: found.dataCentre, cut: found.cut, staged: found.staged,
-		born: found.born + 1 + world.now().Milliseconds(),
+// Restart replaces a server's process under the same ID. The new process has no group, has executed no orders and knows
+// no term. The models staged on the host remain.
+func (cluster *Cluster) Restart(id string) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	found := cluster.servers[id]
+	cluster.advance(found)
+	cluster.servers[id] = &server{
+		id: id, domain: found.domain, dataCentre: found.dataCentre, partitionedFrom: found.partitionedFrom, staged: found.staged,
+		born: found.born + 1 + cluster.now().Milliseconds(),
 	}
 }
 
-// Put replaces what lies on a server's host.
-func (world *World) Put(id, model string) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	world.servers[id].staged = []string{model}
+// SetStaged replaces the models staged on a server's host with one model.
+func (cluster *Cluster) SetStaged(id, model string) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.servers[id].staged = []string{model}
 }
 
-// Drain makes a server announce that it is leaving.
-func (world *World) Drain(id string) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	world.servers[id].draining = true
+// Drain makes a server announce that it is draining.
+func (cluster *Cluster) Drain(id string) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.servers[id].draining = true
 }
 
-// Unlist takes a server's entry out of the registry while it goes on.
-func (world *World) Unlist(id string) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	world.servers[id].unlisted = true
+// Deregister removes a server's registry entry while the server continues to run.
+func (cluster *Cluster) Deregister(id string) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.servers[id].deregistered = true
 }
 
-// Cut cuts a server off from a caller, or mends that.
-func (world *World) Cut(id, caller string, cut bool) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	world.servers[id].cut[caller] = cut
+// SetPartitioned starts or ends a partition between a server and a caller.
+func (cluster *Cluster) SetPartitioned(id, caller string, partitioned bool) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.servers[id].partitionedFrom[caller] = partitioned
 }
 
-// SetFaults switches faults of a server's orders on.
-func (world *World) SetFaults(id string, faults Faults) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	world.servers[id].faults = faults
+// SetFaults replaces the order faults of a server.
+func (cluster *Cluster) SetFaults(id string, faults Faults) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.servers[id].faults = faults
 }
--- a/internal/standin/backends/orders.go
+++ b/internal/standin/backends/orders.go
@@ -10,37 +10,38 @@
 	"hazelslip/internal/fleet/roster"
 )
 
-// Order takes an order, or loses its answer, or carries it out late.
-func (world *World) Order(caller, id string, order formation.Order) (formation.Result, error) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	found, err := world.reach(caller, id)
+// Order executes an order on a server. Depending on the server's Faults, the reply is lost or the execution is delayed;
+// both return ErrNoResponse.
+func (cluster *Cluster) Order(caller, id string, order formation.Order) (formation.Result, error) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	found, err := cluster.reachableServer(caller, id)
 	if err != nil {
 		return formation.Invalid, err
 	}
-	if world.draw.Float64() < found.faults.Late {
-		time.AfterFunc(found.faults.LateBy, func() { world.carryOut(id, order) })
-		return formation.Invalid, errors.Wrapf(ErrSilent, "order to %s", id)
+	if cluster.random.Float64() < found.faults.Delayed {
+		time.AfterFunc(found.faults.Delay, func() { cluster.executeDelayed(id, order) })
+		return formation.Invalid, errors.Wrapf(ErrNoResponse, "order to %s", id)
 	}
-	result := world.take(found, order)
-	if world.draw.Float64() < found.faults.LostAnswers {
-		return formation.Invalid, errors.Wrapf(ErrSilent, "order to %s", id)
+	result := cluster.executeOrder(found, order)
+	if cluster.random.Float64() < found.faults.LostReplies {
+		return formation.Invalid, errors.Wrapf(ErrNoResponse, "order to %s", id)
 	}
 	return result, nil
 }
 
-func (world *World) carryOut(id string, order formation.Order) {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	found := world.servers[id]
+func (cluster *Cluster) executeDelayed(id string, order formation.Order) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	found := cluster.servers[id]
 	if found == nil || found.dead {
 		return
 	}
-	world.settle(found)
-	world.take(found, order)
+	cluster.advance(found)
+	cluster.executeOrder(found, order)
 }
 
-func (world *World) take(found *server, order formation.Order) formation.Result {
+func (cluster *Cluster) executeOrder(found *server, order formation.Order) formation.Result {
 	if order.Term < found.term {
 		return formation.Outdated
 	}
@@ -48,23 +49,23 @@
 	if order.Expected >= 0 && order.Expected != found.orders {
 		return formation.Conflict
 	}
-	world.turn(found)
+	cluster.saveReport(found)
 	switch order.Kind {
 	case formation.Join:
-		return world.join(found, order)
+		return cluster.join(found, order)
 	case formation.Stage:
-		return world.stage(found, order.Model)
+		return cluster.stage(found, order.Model)
 	}
 	group := &found.group
 	if group.name != order.Group || group.epoch != order.Epoch {
 		return formation.Conflict
 	}
-	return world.change(found, order.Kind)
+	return cluster.change(found, order.Kind)
 }
 
-// stage loads a model onto a host, one at a time.
-func (world *World) stage(found *server, name string) formation.Result {
-	model, ok := world.engine.Model(name)
+// stage starts to load a model onto a host. A second load on the same host conflicts with the first.
+func (cluster *Cluster) stage(found *server, name string) formation.Result {
+	model, ok := cluster.engine.Model(name)
 	switch {
 	case !ok:
 		return formation.Invalid
@@ -72,13 +73,13 @@
 		return formation.Conflict
 	}
 	found.orders++
-	world.loads = append(world.loads, world.now())
-	found.loading, found.loadedAt = name, world.now()+model.LoadTime
+	cluster.loadStarts = append(cluster.loadStarts, cluster.now())
+	found.loading, found.loadedAt = name, cluster.now()+model.LoadTime
 	return formation.Begun
 }
 
-// change carries out an order about the group that a server is in.
-func (world *World) change(found *server, kind formation.Kind) formation.Result {
+// change executes a Leave, Open or Close order for the server's current group.
+func (cluster *Cluster) change(found *server, kind formation.Kind) formation.Result {
 	group := &found.group
 	switch kind {
 	case formation.Leave:
@@ -90,8 +91,8 @@
 		if group.state != roster.Ready || group.rank != 0 {
 			return formation.Conflict
 		}
-		group.state, group.openAt = roster.Open, world.now()
-		world.checkWhole(group)
+		group.state, group.openAt = roster.Open, cluster.now()
+		cluster.checkAllReady(group)
 	case formation.Close:
 		if group.state == roster.Ready {
 			return formation.Done
@@ -104,15 +105,15 @@
 	return formation.Begun
 }
 
-// checkWhole notes a head that is opened before every member was ready.
-func (world *World) checkWhole(group *membership) {
-	model, _ := world.engine.Model(group.model)
-	if len(group.members) != model.Size || len(world.ready[readyKey(group)]) != model.Size {
-		world.violations = append(world.violations, "a head was opened before all its members were ready: "+readyKey(group))
+// checkAllReady records a violation if the head opens before every member was ready.
+func (cluster *Cluster) checkAllReady(group *membership) {
+	model, _ := cluster.engine.Model(group.model)
+	if len(group.members) != model.Size || len(cluster.readyMembers[readyKey(group)]) != model.Size {
+		cluster.violations = append(cluster.violations, "a head was opened before all members of its group were ready: "+readyKey(group))
 	}
 }
 
-func (world *World) join(found *server, order formation.Order) formation.Result {
+func (cluster *Cluster) join(found *server, order formation.Order) formation.Result {
 	group := &found.group
 	if order.Epoch < found.epoch {
 		return formation.Outdated
@@ -120,66 +121,67 @@
 	if group.name == order.Group && group.epoch == order.Epoch {
 		return formation.Done
 	}
-	world.checkFree(found, order)
-	world.checkEpoch(order)
+	cluster.checkNotServing(found, order)
+	cluster.checkEpoch(order)
 	rank := 0
-	for number, id := range order.Members {
+	for index, id := range order.Members {
 		if id == found.id {
-			rank = number
+			rank = index
 		}
 	}
 	found.epoch = order.Epoch
 	found.orders++
-	takes, loads := world.joinTime(found, order.Model)
+	takes, loads := cluster.joinTime(found, order.Model)
 	found.group = membership{
 		name: order.Group, epoch: order.Epoch, model: order.Model, members: order.Members, rank: rank,
-		state: roster.Joining, readyAt: world.now() + takes, loads: loads,
+		state: roster.Joining, readyAt: cluster.now() + takes, loads: loads,
 	}
 	return formation.Begun
 }
 
-// checkEpoch notes an epoch under which two groups were formed: two nodes gave orders
-// under one term.
-func (world *World) checkEpoch(order formation.Order) {
-	name, known := world.epochs[order.Epoch]
+// checkEpoch records a violation if two groups were formed with one epoch, which means that two nodes gave orders in
+// the same term.
+func (cluster *Cluster) checkEpoch(order formation.Order) {
+	name, known := cluster.groupsByEpoch[order.Epoch]
 	if known && name != order.Group {
-		world.violations = append(world.violations, fmt.Sprintf("epoch %d is that of %s and of %s", order.Epoch, name, order.Group))
+		cluster.violations = append(cluster.violations, fmt.Sprintf("epoch %d is used by group %s and by group %s", order.Epoch, name, order.Group))
 	}
-	world.epochs[order.Epoch] = order.Group
+	cluster.groupsByEpoch[order.Epoch] = order.Group
 }
 
-// joinTime is how long a server takes to be ready for a model, and whether it must
-// load it: it starts the one that it ran last fastest, whatever lies on its host.
-func (world *World) joinTime(found *server, name string) (takes time.Duration, loads bool) {
-	model, _ := world.engine.Model(name)
+// joinTime returns how long the server takes to become ready for a model, and whether the server must load the model
+// first. The model that the server ran last starts fastest, whichever models are staged on the host.
+func (cluster *Cluster) joinTime(found *server, name string) (takes time.Duration, loads bool) {
+	model, _ := cluster.engine.Model(name)
 	switch {
 	case found.lastModel == name:
 		return lastModelTime, false
 	case len(found.staged) > 0 && found.staged[0] == name:
 		return model.WarmupTime, false
 	case found.loading == name:
-		return found.loadedAt - world.now() + model.WarmupTime, false
+		return found.loadedAt - cluster.now() + model.WarmupTime, false
 	}
-	world.loads = append(world.loads, world.now())
-	world.joinLoads++
+	cluster.loadStarts = append(cluster.loadStarts, cluster.now())
+	cluster.joinLoads++
 	return model.LoadTime, true
 }
 
-// lastModelTime is what a server takes to start the model that it ran last.
+// lastModelTime is the time that a server takes to start the model that it ran last.
 const lastModelTime = 200 * time.Millisecond
 
-// checkFree notes a server that is taken out of a group that may serve.
-func (world *World) checkFree(found *server, order formation.Order) {
+// checkNotServing records a violation if a member other than the head joins another group while the head of its group
+// is open or closing, because that group may still serve calls.
+func (cluster *Cluster) checkNotServing(found *server, order formation.Order) {
 	if found.group.name == "" || found.group.rank == 0 {
 		return
 	}
-	head, ok := world.servers[found.group.members[0]]
+	head, ok := cluster.servers[found.group.members[0]]
 	if !ok || head.dead || head.group.name != found.group.name || head.group.epoch != found.group.epoch {
 		return
 	}
-	world.settle(head)
+	cluster.advance(head)
 	if head.group.state == roster.Open || head.group.state == roster.Closing {
-		world.violations = append(world.violations, fmt.Sprintf("server %s was joined to %s while %s of %s was open",
+		cluster.violations = append(cluster.violations, fmt.Sprintf("server %s joined group %s while its group %s with head %s was open",
 			found.id, order.Group, found.group.name, head.id))
 	}
 }
--- a/internal/standin/engine/draft.go
+++ b/internal/standin/engine/draft.go
@@ -16,27 +16,26 @@
 )
 
 const (
-	// collectiveTimeout is how long a group waits for a paused member before
-	// it gives up its answers.
-	collectiveTimeout = 5 * time.Second
+	// memberTimeout is how long a group waits for a paused member before its generations fail.
+	memberTimeout     = 5 * time.Second
 	bytesPerToken     = 4
 	prefixBytes       = 64
-	prefixesKept      = 64
+	maxCachedPrefixes = 64
 )
 
-// draft is one answer that waits for its turn.
-type draft struct {
+// waitingRequest is a request that waits for a free slot in the batch. Closing turn gives the slot to the request.
+type waitingRequest struct {
 	priority int32
 	turn     chan struct{}
 }
 
-// Token is the token at one position of the answer to a prompt.
+// Token returns the token at one position of the generation for a prompt.
 func Token(prompt string, position int) string {
 	return fmt.Sprintf("w%d.%04x ", position, xxhash.Sum64String(fmt.Sprintf("%s/%d", prompt, position))&0xffff)
 }
 
-// Answer is the whole answer to a prompt.
-func Answer(prompt string, tokens int) string {
+// Completion returns the complete generation for a prompt.
+func Completion(prompt string, tokens int) string {
 	var text strings.Builder
 	for position := range tokens {
 		text.WriteString(Token(prompt, position))
@@ -55,13 +54,13 @@
 		http.Error(writer, refusal, http.StatusConflict)
 		return
 	}
-	if !engine.enter(request.Context(), generate.Priority) {
+	if !engine.acquireSlot(request.Context(), generate.Priority) {
 		return
 	}
-	defer engine.leave()
-	answer := &answer{engine: engine, generate: generate, members: members, writer: writer, ctx: request.Context()}
-	answer.breakAt = engine.takeBreak()
-	answer.run()
+	defer engine.releaseSlot()
+	generation := &generation{engine: engine, generate: generate, members: members, writer: writer, ctx: request.Context()}
+	generation.breakAt = engine.nextBreakPosition()
+	generation.run()
 }
 
 func (engine *Engine) admit(generate peer.Generate) (members []string, refusal string) {
@@ -81,15 +80,16 @@
 	return slices.Clone(engine.members), ""
 }
 
-// enter waits until a place in the batch is free, the highest priority first.
-func (engine *Engine) enter(ctx context.Context, priority int32) bool {
+// acquireSlot waits for a free slot in the batch. Slots go to the highest priority first, and to the earliest request
+// within one priority. acquireSlot returns false if the context ends first.
+func (engine *Engine) acquireSlot(ctx context.Context, priority int32) bool {
 	engine.mu.Lock()
 	if engine.running < engine.rates.Concurrency {
 		engine.running++
 		engine.mu.Unlock()
 		return true
 	}
-	entry := &draft{priority: priority, turn: make(chan struct{})}
+	entry := &waitingRequest{priority: priority, turn: make(chan struct{})}
 	at := len(engine.waiting)
 	for at > 0 && engine.waiting[at-1].priority < priority {
 		at--
@@ -100,12 +100,12 @@
 	case <-entry.turn:
 		return true
 	case <-ctx.Done():
-		engine.giveUp(entry)
+		engine.abandonWait(entry)
 		return false
 	}
 }
 
-func (engine *Engine) giveUp(entry *draft) {
+func (engine *Engine) abandonWait(entry *waitingRequest) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	at := slices.Index(engine.waiting, entry)
@@ -113,16 +113,16 @@
 		engine.waiting = slices.Delete(engine.waiting, at, at+1)
 		return
 	}
-	engine.passOnLocked()
+	engine.releaseSlotLocked()
 }
 
-func (engine *Engine) leave() {
+func (engine *Engine) releaseSlot() {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	engine.passOnLocked()
+	engine.releaseSlotLocked()
 }
 
-func (engine *Engine) passOnLocked() {
+func (engine *Engine) releaseSlotLocked() {
 	if len(engine.waiting) == 0 {
 		engine.running--
 		return
@@ -131,7 +131,7 @@
 	engine.waiting = engine.waiting[1:]
 }
 
-func (engine *Engine) takeBreak() int {
+func (engine *Engine) nextBreakPosition() int {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	if engine.faults.BreakDrafts == 0 {
@@ -141,8 +141,9 @@
 	return engine.faults.BreakAtToken
 }
 
-// prefill is how long the prompt takes, less what the prefix cache holds.
-func (engine *Engine) prefill(generate peer.Generate) time.Duration {
+// prefillTime returns the time to process the prompt. A prompt whose first prefixBytes bytes are in the prefix cache
+// takes half the time.
+func (engine *Engine) prefillTime(generate peer.Generate) time.Duration {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	tokens := len(generate.Prompt)/bytesPerToken + len(generate.Resume)
@@ -152,20 +153,20 @@
 		engine.prefixes = slices.Delete(engine.prefixes, at, at+1)
 	}
 	engine.prefixes = append(engine.prefixes, prefix)
-	if len(engine.prefixes) > prefixesKept {
+	if len(engine.prefixes) > maxCachedPrefixes {
 		engine.prefixes = engine.prefixes[1:]
 	}
-	return time.Duration(float64(tokens) / float64(engine.rates.Prefill) * float64(time.Second))
+	return time.Duration(float64(tokens) / float64(engine.rates.PrefillPerSecond) * float64(time.Second))
 }
 
-func (engine *Engine) step() time.Duration {
+func (engine *Engine) nextStepTime() time.Duration {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.generated++
-	return engine.rates.Step + time.Duration(engine.running)*engine.rates.StepEach
+	return engine.rates.Step + time.Duration(engine.running)*engine.rates.StepPerRequest
 }
 
-func (engine *Engine) queue(tokens int) {
+func (engine *Engine) addQueuedTokens(tokens int) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.queued += tokens
@@ -177,101 +178,102 @@
 	return engine.faults
 }
 
-// answer is one draft being written.
-type answer struct {
-	engine   *Engine
-	generate peer.Generate
-	members  []string
-	writer   http.ResponseWriter
-	ctx      context.Context
-	breakAt  int
-	held     *peer.Piece
+// generation is one running request, whose tokens are written to the response as they are generated.
+type generation struct {
+	engine    *Engine
+	generate  peer.Generate
+	members   []string
+	writer    http.ResponseWriter
+	ctx       context.Context
+	breakAt   int
+	heldPiece *peer.Piece
 }
 
-func (answer *answer) run() {
-	left := answer.generate.MaxTokens - len(answer.generate.Resume)
-	answer.engine.queue(left)
-	defer func() { answer.engine.queue(-left) }()
-	late := time.Duration(answer.engine.currentFaults().LateMs) * time.Millisecond
-	if !answer.sleep(answer.engine.prefill(answer.generate) + late) {
+func (generation *generation) run() {
+	remaining := generation.generate.MaxTokens - len(generation.generate.Resume)
+	generation.engine.addQueuedTokens(remaining)
+	defer func() { generation.engine.addQueuedTokens(-remaining) }()
+	delay := time.Duration(generation.engine.currentFaults().LateMs) * time.Millisecond
+	if !generation.sleep(generation.engine.prefillTime(generation.generate) + delay) {
 		return
 	}
-	for position := len(answer.generate.Resume); position < answer.generate.MaxTokens; position++ {
-		if position == answer.breakAt {
+	for position := len(generation.generate.Resume); position < generation.generate.MaxTokens; position++ {
+		if position == generation.breakAt {
 			panic(http.ErrAbortHandler)
 		}
-		if !answer.sleep(answer.engine.step()) || !answer.collective() {
+		if !generation.sleep(generation.engine.nextStepTime()) || !generation.waitForMembers() {
 			return
 		}
-		left--
-		answer.engine.queue(-1)
-		answer.token(position)
+		remaining--
+		generation.engine.addQueuedTokens(-1)
+		generation.writeToken(position)
 	}
-	answer.flushHeld()
-	answer.write(peer.Piece{Attempt: answer.generate.Attempt, Offset: answer.generate.MaxTokens, End: true, Reason: "length"})
+	generation.writeHeldPiece()
+	generation.write(peer.Piece{Attempt: generation.generate.Attempt, Offset: generation.generate.MaxTokens, End: true, Reason: "length"})
 }
 
-// collective waits for paused members and fails the answer of a broken group.
-func (answer *answer) collective() bool {
-	for waited := time.Duration(0); waited < collectiveTimeout; waited += pauseCheck {
-		switch answer.engine.domain.condition(answer.generate.Group, answer.members) {
-		case intact:
+// waitForMembers waits while a member is paused, up to memberTimeout. A lost member aborts the connection, and a member
+// that stays paused fails the generation.
+func (generation *generation) waitForMembers() bool {
+	for waited := time.Duration(0); waited < memberTimeout; waited += pausePollInterval {
+		switch generation.engine.domain.groupCondition(generation.generate.Group, generation.members) {
+		case groupIntact:
 			return true
-		case lost:
+		case memberLost:
 			panic(http.ErrAbortHandler)
 		}
-		if !answer.sleep(pauseCheck) {
+		if !generation.sleep(pausePollInterval) {
 			return false
 		}
 	}
-	answer.write(peer.Piece{Attempt: answer.generate.Attempt, Failure: "a member of the group does not answer"})
+	generation.write(peer.Piece{Attempt: generation.generate.Attempt, Failure: "a member of the group does not answer"})
 	return false
 }
 
-func (answer *answer) sleep(duration time.Duration) bool {
+func (generation *generation) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-answer.ctx.Done():
+	case <-generation.ctx.Done():
 		return false
 	}
 }
 
-// token writes one token, with the faults of pieces where they are on.
-func (answer *answer) token(position int) {
-	piece := peer.Piece{Attempt: answer.generate.Attempt, Offset: position, Token: Token(answer.generate.Prompt, position)}
-	faults := answer.engine.currentFaults()
+// writeToken writes the piece for one token and applies the faults that lose, reorder, duplicate or outdate pieces.
+func (generation *generation) writeToken(position int) {
+	piece := peer.Piece{Attempt: generation.generate.Attempt, Offset: position, Token: Token(generation.generate.Prompt, position)}
+	faults := generation.engine.currentFaults()
 	if faults.LoseToken > 0 && position == faults.LoseToken {
 		return
 	}
 	if faults.StaleAttempts {
-		answer.write(peer.Piece{Attempt: piece.Attempt - 1, Offset: position, Token: "stale "})
+		generation.write(peer.Piece{Attempt: piece.Attempt - 1, Offset: position, Token: "stale "})
 	}
-	if faults.ReorderTokens && answer.held == nil {
-		answer.held = &piece
+	if faults.ReorderTokens && generation.heldPiece == nil {
+		generation.heldPiece = &piece
 		return
 	}
-	answer.write(piece)
-	answer.flushHeld()
+	generation.write(piece)
+	generation.writeHeldPiece()
 	if faults.DuplicateToken {
-		answer.write(piece)
+		generation.write(piece)
 	}
 }
 
-func (answer *answer) flushHeld() {
-	if answer.held != nil {
-		answer.write(*answer.held)
-		answer.held = nil
+func (generation *generation) writeHeldPiece() {
+	if generation.heldPiece != nil {
+		generation.write(*generation.heldPiece)
+		generation.heldPiece = nil
 	}
 }
 
-func (answer *answer) write(piece peer.Piece) {
-	if err := json.NewEncoder(answer.writer).Encode(piece); err != nil {
+func (generation *generation) write(piece peer.Piece) {
+	if err := json.NewEncoder(generation.writer).Encode(piece); err != nil {
 		return
 	}
-	if flusher, ok := answer.writer.(http.Flusher); ok {
+	if flusher, ok := generation.writer.(http.Flusher); ok {
 		flusher.Flush()
 	}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,11 +1,9 @@
-// Package engine is a stand-in for the model engines of one fabric domain:
-// continuous batching with a service rate, a small prefix cache, orders with
-// or without fencing numbers, and faults to switch on.
+// Package engine simulates the model engines of one fabric domain. The simulation covers continuous batching at a
+// configurable rate, a small prefix cache, orders with or without fencing numbers, and injected faults.
 //
-// The engines of a Domain know of each other as the members of a collective
-// do: the first member of a group produces no token while another member is
-// missing, paused or in another group. Tokens are a function of the prompt and
-// their position, so a test can tell a whole answer from a damaged one.
+// The engines of a Domain see each other's state, like the members of a collective operation: the first member of a
+// group generates no token while another member is missing, paused or in another group. Each token is a function of the
+// prompt and the token's position, so a test can tell a complete generation from a damaged one.
 //
 // # Usage
 //
@@ -30,20 +28,20 @@
 	"hazelslip/internal/standin/platform"
 )
 
-// Rates is how fast an engine works. A step makes one token for each running
-// answer and takes Step plus StepEach for each of them.
+// Rates sets the speed of an engine. Each step generates one token for every running request and takes Step plus
+// StepPerRequest for each of them. Concurrency is the maximum number of running requests.
 type Rates struct {
-	Step        time.Duration
-	StepEach    time.Duration
-	Prefill     int
-	Concurrency int
+	Step             time.Duration
+	StepPerRequest   time.Duration
+	PrefillPerSecond int
+	Concurrency      int
 }
 
-// DefaultRates let a group make 1,000 tokens a second with 40 answers running.
-var DefaultRates = Rates{Step: 4 * time.Millisecond, StepEach: 500 * time.Microsecond, Prefill: 20_000, Concurrency: 64}
+// DefaultRates let a group generate 1,000 tokens per second with 40 running requests.
+var DefaultRates = Rates{Step: 4 * time.Millisecond, StepPerRequest: 500 * time.Microsecond, PrefillPerSecond: 20_000, Concurrency: 64}
 
-// Faults are the faults that an engine can be given. A count takes effect on
-// that many of the next drafts.
+// Faults sets the injected faults of an engine. RefuseDrafts and BreakDrafts are counts: each applies to that many of
+// the next requests.
 type Faults struct {
 	Dead           bool
 	Paused         bool
@@ -55,12 +53,12 @@
 	ReorderTokens  bool
 	StaleAttempts  bool
 	LateMs         int
-	// LoseToken is a position whose piece is lost on the way, 0 for none.
+	// LoseToken is the position of the token whose piece is never sent, 0 for none.
 	LoseToken    int
 	StallReports bool
 }
 
-// Domain is the fabric domain that its engines share.
+// Domain is a fabric domain with its engines and the weight store that they load from.
 type Domain struct {
 	weights *platform.Weights
 
@@ -69,12 +67,12 @@
 	loads   conc.WaitGroup
 }
 
-// NewDomain returns a domain whose engines load from the given store.
+// NewDomain returns an empty domain whose engines load weights from the given store.
 func NewDomain(weights *platform.Weights) *Domain {
 	return &Domain{weights: weights, engines: map[string]*Engine{}}
 }
 
-// Engine is one instance.
+// Engine simulates the model engine of one instance.
 type Engine struct {
 	name          string
 	address       string
@@ -82,38 +80,38 @@
 	checksFencing bool
 	rates         Rates
 
-	mu          sync.Mutex
-	faults      Faults
-	incarnation uint64
-	state       string
-	group       uint64
-	highest     uint64
-	model       string
-	members     []string
-	cancelLoad  context.CancelFunc
-	running     int
-	waiting     []*draft
-	queued      int
-	prefixes    []string
-	stalled     *peer.Report
-	violations  []string
-	generated   uint64
-}
-
-// Option changes how an Engine is built.
+	mu           sync.Mutex
+	faults       Faults
+	incarnation  uint64
+	state        string
+	group        uint64
+	highest      uint64
+	model        string
+	members      []string
+	cancelLoad   context.CancelFunc
+	running      int
+	waiting      []*waitingRequest
+	queued       int
+	prefixes     []string
+	frozenReport *peer.Report
+	violations   []string
+	generated    uint64
+}
+
+// Option configures an Engine.
 type Option func(*Engine)
 
-// ChecksFencing says whether the engine refuses orders with an old number.
+// ChecksFencing sets whether the engine refuses orders with an outdated fencing number.
 func ChecksFencing(checks bool) Option {
 	return func(engine *Engine) { engine.checksFencing = checks }
 }
 
-// Speed sets the engine's rates.
-func Speed(rates Rates) Option {
+// WithRates sets the engine's rates. The default is DefaultRates.
+func WithRates(rates Rates) Option {
 	return func(engine *Engine) { engine.rates = rates }
 }
 
-// New returns an idle engine and adds it to its domain.
+// New returns an idle engine and registers it in its domain under its address.
 func New(name, address string, domain *Domain, options ...Option) *Engine {
 	engine := &Engine{
 		name: name, address: address, domain: domain, checksFencing: true,
@@ -128,44 +126,43 @@
 	return engine
 }
 
-// SetFaults replaces the engine's faults.
+// SetFaults replaces the engine's faults. StallReports freezes the report at its current content.
 func (engine *Engine) SetFaults(faults Faults) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	engine.stalled = nil
+	engine.frozenReport = nil
 	if faults.StallReports {
 		report := engine.reportLocked()
-		engine.stalled = &report
+		engine.frozenReport = &report
 	}
 	engine.faults = faults
 }
 
-// Restart empties the engine as a restarted process would be: a new
-// incarnation that remembers no order and no fencing number.
+// Restart simulates a restarted process: a new incarnation without a group, fencing number or faults.
 func (engine *Engine) Restart() {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.incarnation++
 	engine.highest = 0
 	engine.faults = Faults{}
-	engine.emptyLocked()
+	engine.resetLocked()
 }
 
-// Violations lists what the engine saw that must never happen.
+// Violations describes each fencing number that the engine saw for two different groups.
 func (engine *Engine) Violations() []string {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	return slices.Clone(engine.violations)
 }
 
-// Generated is how many tokens the engine has made.
+// Generated returns the number of tokens that the engine has generated.
 func (engine *Engine) Generated() uint64 {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	return engine.generated
 }
 
-// Report is the engine's own view of itself.
+// Report returns the engine's report, which StallReports may have frozen.
 func (engine *Engine) Report() peer.Report {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -173,17 +170,17 @@
 }
 
 func (engine *Engine) reportLocked() peer.Report {
-	if engine.stalled != nil {
-		return *engine.stalled
+	if engine.frozenReport != nil {
+		return *engine.frozenReport
 	}
-	perStep := engine.rates.Step + time.Duration(engine.rates.Concurrency)*engine.rates.StepEach
+	perStep := engine.rates.Step + time.Duration(engine.rates.Concurrency)*engine.rates.StepPerRequest
 	return peer.Report{
 		Instance: engine.name, Address: engine.address, Incarnation: engine.incarnation,
 		State: engine.state, Group: engine.group, Highest: engine.highest, Model: engine.model,
 		Members: engine.members, Running: uint32(engine.running + len(engine.waiting)),
 		QueuedTokens:     uint32(engine.queued),
 		TokensPerSecond:  uint32(float64(engine.rates.Concurrency) / perStep.Seconds()),
-		PrefillPerSecond: uint32(engine.rates.Prefill),
+		PrefillPerSecond: uint32(engine.rates.PrefillPerSecond),
 		Concurrency:      uint32(engine.rates.Concurrency), Leaving: engine.faults.Leaving,
 	}
 }
@@ -191,9 +188,9 @@
 // Handler serves the engine over HTTP.
 func (engine *Engine) Handler() http.Handler {
 	router := httprouter.New()
-	router.GET("/report", engine.alive(engine.serveReport))
-	router.POST("/orders", engine.alive(engine.serveOrder))
-	router.POST("/generate", engine.alive(engine.serveGenerate))
+	router.GET("/report", engine.simulateOutage(engine.serveReport))
+	router.POST("/orders", engine.simulateOutage(engine.serveOrder))
+	router.POST("/generate", engine.simulateOutage(engine.serveGenerate))
 	router.POST("/faults", engine.serveFaults)
 	router.POST("/restart", func(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		engine.Restart()
@@ -202,16 +199,17 @@
 	return router
 }
 
-const pauseCheck = 10 * time.Millisecond
+const pausePollInterval = 10 * time.Millisecond
 
-// alive drops the connection of a dead engine and holds that of a paused one.
-func (engine *Engine) alive(next httprouter.Handle) httprouter.Handle {
+// simulateOutage wraps a handler with the faults Dead and Paused: a dead engine aborts the connection, a paused one
+// holds the request until the engine resumes or dies.
+func (engine *Engine) simulateOutage(next httprouter.Handle) httprouter.Handle {
 	return func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 		for engine.paused() {
 			select {
 			case <-request.Context().Done():
 				panic(http.ErrAbortHandler)
-			case <-time.After(pauseCheck):
+			case <-time.After(pausePollInterval):
 			}
 		}
 		if engine.dead() {
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -21,34 +21,34 @@
 	writeJSON(writer, engine.Order(order))
 }
 
-// Order takes or refuses one order.
+// Order executes one order, or refuses an order with an outdated fencing number if the engine checks fencing.
 func (engine *Engine) Order(order peer.Order) peer.OrderReply {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	if engine.checksFencing && order.Number < engine.highest {
 		return peer.OrderReply{Highest: engine.highest, Cause: "the number is older than one accepted before"}
 	}
-	engine.checkEqualLocked(order)
+	engine.checkNumberReuseLocked(order)
 	engine.highest = max(engine.highest, order.Number)
 	switch {
 	case len(order.Members) == 0 && (order.Release == 0 || order.Release == engine.group):
-		engine.emptyLocked()
+		engine.resetLocked()
 	case len(order.Members) > 0 && order.Number != engine.group:
 		engine.joinLocked(order)
 	}
 	return peer.OrderReply{Accepted: true, Highest: engine.highest}
 }
 
-// checkEqualLocked notes two different groups under one number: a number must
-// be unique to the node that gives it.
-func (engine *Engine) checkEqualLocked(order peer.Order) {
+// checkNumberReuseLocked records a violation if one number names two different groups. A number must be unique to the
+// node that issues it.
+func (engine *Engine) checkNumberReuseLocked(order peer.Order) {
 	sameNumber := len(order.Members) > 0 && order.Number == engine.group && engine.group != 0
 	if sameNumber && !slices.Equal(order.Members, engine.members) {
-		engine.violations = append(engine.violations, fmt.Sprintf("number %d names two groups", order.Number))
+		engine.violations = append(engine.violations, fmt.Sprintf("fencing number %d is used by two groups", order.Number))
 	}
 }
 
-func (engine *Engine) emptyLocked() {
+func (engine *Engine) resetLocked() {
 	if engine.cancelLoad != nil {
 		engine.cancelLoad()
 	}
@@ -57,7 +57,7 @@
 }
 
 func (engine *Engine) joinLocked(order peer.Order) {
-	engine.emptyLocked()
+	engine.resetLocked()
 	engine.state, engine.group, engine.model = peer.StateLoading, order.Number, order.Model
 	engine.members = slices.Clone(order.Members)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -76,46 +76,46 @@
 	}
 }
 
-// Close ends what the domain's engines are loading.
+// Close resets all engines of the domain, which cancels their loads, and waits until the loads have returned.
 func (domain *Domain) Close() {
 	domain.mu.Lock()
 	for _, engine := range domain.engines {
 		engine.mu.Lock()
-		engine.emptyLocked()
+		engine.resetLocked()
 		engine.mu.Unlock()
 	}
 	domain.mu.Unlock()
 	domain.loads.Wait()
 }
 
-// condition tells whether a group can make its next token.
-type condition int
+// groupCondition describes whether a group can generate its next token.
+type groupCondition int
 
 const (
-	intact condition = iota
-	waiting
-	lost
+	groupIntact groupCondition = iota
+	memberPaused
+	memberLost
 )
 
-// condition reads the state of every member, as the collective would notice.
-func (domain *Domain) condition(group uint64, members []string) condition {
+// groupCondition checks every member of the group. A lost member takes precedence over a paused one.
+func (domain *Domain) groupCondition(group uint64, members []string) groupCondition {
 	domain.mu.Lock()
 	defer domain.mu.Unlock()
-	result := intact
+	result := groupIntact
 	for _, address := range members {
 		engine, ok := domain.engines[address]
 		if !ok {
-			return lost
+			return memberLost
 		}
 		engine.mu.Lock()
 		gone := engine.faults.Dead || engine.group != group || engine.state != peer.StateReady
 		paused := engine.faults.Paused
 		engine.mu.Unlock()
 		if gone {
-			return lost
+			return memberLost
 		}
 		if paused {
-			result = waiting
+			result = memberPaused
 		}
 	}
 	return result
--- a/internal/standin/platform/list.go
+++ b/internal/standin/platform/list.go
@@ -12,15 +12,14 @@
 	"hazelslip/internal/peer/instancelist"
 )
 
-// List is a stand-in for the platform's instance list. A change shows in it
-// only after its lag has passed.
+// List simulates the platform's instance list. Each change becomes visible after the lag.
 type List struct {
 	lag time.Duration
 
-	mu      sync.Mutex
-	dark    bool
-	current map[string]instancelist.Instance
-	changes []listChange
+	mu          sync.Mutex
+	unavailable bool
+	current     map[string]instancelist.Instance
+	changes     []listChange
 }
 
 type listChange struct {
@@ -30,7 +29,7 @@
 	removed  bool
 }
 
-// NewList returns an empty list that shows each change after the lag.
+// NewList returns an empty list in which each change becomes visible after the lag.
 func NewList(lag time.Duration) *List {
 	return &List{lag: lag, current: map[string]instancelist.Instance{}}
 }
@@ -40,7 +39,7 @@
 	list.change(listChange{id: instance.ID, instance: instance})
 }
 
-// Remove takes an instance off the list.
+// Remove removes an instance.
 func (list *List) Remove(id string) {
 	list.change(listChange{id: id, removed: true})
 }
@@ -52,18 +51,18 @@
 	list.changes = append(list.changes, change)
 }
 
-// SetDark makes the list answer nothing, or answer again.
-func (list *List) SetDark(dark bool) {
+// SetUnavailable sets whether Handler fails requests with status 503.
+func (list *List) SetUnavailable(unavailable bool) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	list.dark = dark
+	list.unavailable = unavailable
 }
 
-// Instances returns what the list shows now, ordered by ID.
+// Instances returns the visible instances that match the query, ordered by ID.
 func (list *List) Instances(query instancelist.Query) []instancelist.Instance {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	list.settle()
+	list.applyDueChanges()
 	found := []instancelist.Instance{}
 	for _, instance := range list.current {
 		if query.Matches(instance) {
@@ -74,7 +73,7 @@
 	return found
 }
 
-func (list *List) settle() {
+func (list *List) applyDueChanges() {
 	now := time.Now()
 	for len(list.changes) > 0 && !list.changes[0].due.After(now) {
 		change := list.changes[0]
@@ -87,14 +86,14 @@
 	}
 }
 
-// Handler serves the list over HTTP.
+// Handler serves the list over HTTP at GET /instances.
 func (list *List) Handler() http.Handler {
 	router := httprouter.New()
 	router.GET("/instances", func(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 		list.mu.Lock()
-		dark := list.dark
+		unavailable := list.unavailable
 		list.mu.Unlock()
-		if dark {
+		if unavailable {
 			http.Error(writer, "the instance list is dark", http.StatusServiceUnavailable)
 			return
 		}
--- a/internal/standin/platform/log.go
+++ b/internal/standin/platform/log.go
@@ -13,38 +13,35 @@
 	"hazelslip/internal/peer/logservice"
 )
 
-// LogFaults are the faults that the log can be given. They can be changed at
-// any time through Log.SetFaults or POST /faults.
+// LogFaults sets the injected faults of a Log. Log.SetFaults and POST /faults replace them at any time.
 type LogFaults struct {
-	// Dark makes every request fail before it has an effect.
+	// Dark makes the log unavailable: every request fails with status 503 and has no effect.
 	Dark bool
-	// LoseReplies makes every append take effect and then break the
-	// connection before its reply.
+	// LoseReplies makes every append take effect and then aborts the connection before the reply.
 	LoseReplies bool
-	// LatencyMs delays every request.
+	// LatencyMs delays every request by this many milliseconds.
 	LatencyMs int
-	// StaleBy makes reads end this many records before the newest one, as a
-	// replica that lags would.
+	// StaleBy hides this many of the newest records from reads, as on a lagging replica.
 	StaleBy int
 }
 
-// Log is a stand-in for the platform's log service.
+// Log simulates the platform's log service in memory, with retention and a rate limit on appends.
 type Log struct {
 	retention        time.Duration
 	appendsPerSecond float64
 
-	mu      sync.Mutex
-	faults  LogFaults
-	streams map[string]*stream
-	tokens  float64
-	filled  time.Time
-	appends uint64
+	mu         sync.Mutex
+	faults     LogFaults
+	streams    map[string]*stream
+	tokens     float64
+	refilledAt time.Time
+	appends    uint64
 }
 
 type stream struct {
 	earliest uint64
 	records  []storedRecord
-	grown    chan struct{}
+	appended chan struct{}
 }
 
 type storedRecord struct {
@@ -52,16 +49,15 @@
 	written time.Time
 }
 
-// LogOption changes how a Log is built.
+// LogOption configures a Log.
 type LogOption func(*Log)
 
-// Retention sets how long records are kept. The default is a day.
+// Retention sets how long records are kept. The default is one day.
 func Retention(retention time.Duration) LogOption {
 	return func(log *Log) { log.retention = retention }
 }
 
-// AppendsPerSecond sets how many appends a second the log takes from
-// everybody together. The default is 400.
+// AppendsPerSecond sets the limit on appends per second over all clients and streams. The default is 400.
 func AppendsPerSecond(rate float64) LogOption {
 	return func(log *Log) { log.appendsPerSecond = rate }
 }
@@ -77,7 +73,7 @@
 		retention:        defaultRetention,
 		appendsPerSecond: defaultAppendsPerSecond,
 		streams:          map[string]*stream{},
-		filled:           time.Now(),
+		refilledAt:       time.Now(),
 	}
 	for _, option := range options {
 		option(log)
@@ -93,22 +89,21 @@
 	log.faults = faults
 }
 
-// Appends is how many appends the log has taken.
+// Appends returns the number of records appended so far.
 func (log *Log) Appends() uint64 {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	return log.appends
 }
 
-// Wipe forgets every record, as a log that was restored empty.
+// Wipe deletes every record and stream, as if the log had been restored without data.
 func (log *Log) Wipe() {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	log.streams = map[string]*stream{}
 }
 
-// DropBefore drops the records of a stream before the offset, as retention
-// would.
+// DropBefore deletes the records of a stream before the offset, as retention does.
 func (log *Log) DropBefore(name string, offset uint64) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -122,7 +117,7 @@
 	}
 }
 
-// Append adds a record directly, without the faults.
+// Append adds a record directly, without faults or rate limit, and returns its offset.
 func (log *Log) Append(name string, body []byte) uint64 {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -133,15 +128,15 @@
 	stream := log.stream(name)
 	stream.records = append(stream.records, storedRecord{body: body, written: time.Now()})
 	log.appends++
-	close(stream.grown)
-	stream.grown = make(chan struct{})
+	close(stream.appended)
+	stream.appended = make(chan struct{})
 	return stream.next() - 1
 }
 
 func (log *Log) stream(name string) *stream {
 	found, ok := log.streams[name]
 	if !ok {
-		found = &stream{grown: make(chan struct{})}
+		found = &stream{appended: make(chan struct{})}
 		log.streams[name] = found
 	}
 	return found
@@ -151,7 +146,7 @@
 	return stream.earliest + uint64(len(stream.records))
 }
 
-// Handler serves the log over HTTP.
+// Handler serves the log and its faults over HTTP.
 func (log *Log) Handler() http.Handler {
 	router := httprouter.New()
 	router.POST("/streams/:Stream/records", log.serveAppend)
@@ -176,12 +171,12 @@
 		http.Error(writer, "the record is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	faults := log.delay()
+	faults := log.simulateLatency()
 	if faults.Dark {
 		http.Error(writer, "the log is dark", http.StatusServiceUnavailable)
 		return
 	}
-	offset, err := log.limitedAppend(params.ByName("Stream"), body)
+	offset, err := log.appendRateLimited(params.ByName("Stream"), body)
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusTooManyRequests)
 		return
@@ -192,7 +187,7 @@
 	writeJSON(writer, logservice.Appended{Offset: offset})
 }
 
-func (log *Log) delay() LogFaults {
+func (log *Log) simulateLatency() LogFaults {
 	log.mu.Lock()
 	faults := log.faults
 	log.mu.Unlock()
@@ -202,12 +197,12 @@
 	return faults
 }
 
-func (log *Log) limitedAppend(name string, body []byte) (uint64, error) {
+func (log *Log) appendRateLimited(name string, body []byte) (uint64, error) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	now := time.Now()
-	log.tokens = min(log.appendsPerSecond, log.tokens+now.Sub(log.filled).Seconds()*log.appendsPerSecond)
-	log.filled = now
+	log.tokens = min(log.appendsPerSecond, log.tokens+now.Sub(log.refilledAt).Seconds()*log.appendsPerSecond)
+	log.refilledAt = now
 	if log.tokens < 1 {
 		return 0, errors.New("too many appends this second")
 	}
@@ -221,14 +216,14 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if log.delay().Dark {
+	if log.simulateLatency().Dark {
 		http.Error(writer, "the log is dark", http.StatusServiceUnavailable)
 		return
 	}
 	page, grown := log.page(params.ByName("Stream"), from, maxRecords)
 	if len(page.Records) == 0 && wait > 0 {
-		waitFor(request, grown, wait)
-		if log.delay().Dark {
+		waitForAppend(request, grown, wait)
+		if log.simulateLatency().Dark {
 			http.Error(writer, "the log is dark", http.StatusServiceUnavailable)
 			return
 		}
@@ -237,7 +232,7 @@
 	writeJSON(writer, page)
 }
 
-func waitFor(request *http.Request, grown <-chan struct{}, wait time.Duration) {
+func waitForAppend(request *http.Request, grown <-chan struct{}, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -258,7 +253,7 @@
 		body := stream.records[offset-stream.earliest].body
 		page.Records = append(page.Records, logservice.Record{Offset: offset, Body: body})
 	}
-	return page, stream.grown
+	return page, stream.appended
 }
 
 func (log *Log) expire(stream *stream) {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,7 +1,6 @@
-// Package platform holds small stand-ins for the platform's services: the
-// append-only log, the lagging instance list and the rate-limited weight
-// store. They keep everything in memory and have faults to switch on. Demo and
-// tests use them; a deployment never does.
+// Package platform simulates the platform's services: the append-only log, the instance list with its lag, and the
+// rate-limited weight store. The simulations keep all data in memory, and the log and the instance list support
+// injected faults. Only the demo and tests use this package; a deployment never does.
 //
 // # Usage
 //
--- a/internal/standin/platform/weights.go
+++ b/internal/standin/platform/weights.go
@@ -10,20 +10,19 @@
 	"hazelslip/internal/peer/weightstore"
 )
 
-// Weights is a stand-in for the rate-limited weight store: a few loads run at
-// once, each takes its time, and the rest wait.
+// Weights simulates the rate-limited weight store. A limited number of loads run at once, each for a fixed time;
+// further loads wait for a slot.
 type Weights struct {
 	loadTime time.Duration
 	slots    chan struct{}
 }
 
-// NewWeights returns a store that serves the given number of loads at once.
+// NewWeights returns a store that runs at most the given number of loads at once.
 func NewWeights(slots int, loadTime time.Duration) *Weights {
 	return &Weights{loadTime: loadTime, slots: make(chan struct{}, slots)}
 }
 
-// Load waits for a slot and then for the load itself. It reports false when
-// the context ended first.
+// Load waits for a slot and then for the load. Load returns false if the context ends first.
 func (weights *Weights) Load(ctx context.Context) bool {
 	select {
 	case weights.slots <- struct{}{}:
@@ -41,7 +40,7 @@
 	}
 }
 
-// Handler serves the store's status over HTTP.
+// Handler serves the store's status over HTTP at GET /status.
 func (weights *Weights) Handler() http.Handler {
 	router := httprouter.New()
 	router.GET("/status", func(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,13 +1,13 @@
-// Package service is a stand-in for a plain service beside the model engines,
-// such as a scheduling app or a booking ledger. It counts how often each key
-// was executed, so that a test can hold the system's answers against what
-// really ran.
+// Package service simulates a plain service beside the model engines, such as a scheduling app or a booking ledger. The
+// simulation counts the executions per idempotency key, so that a test can compare the responses of the system with the
+// calls that actually ran.
 //
 // # Usage
 //
-//	ledger := service.New("ledger-1")
+//	counter := service.NewExecutionCounter()
+//	ledger := service.New("ledger-1", counter)
 //	http.Serve(listener, ledger.Handler())
-//	ledger.Executions("key-1") // 0 or 1, or the system failed
+//	counter.Executions("key-1") // 0 or 1; a higher count is a violation
 package service
 
 import (
@@ -23,70 +23,70 @@
 
 const maxBodyBytes = 1 << 20
 
-// Faults are the faults that a service can be given.
+// Faults sets the injected faults of a Service.
 type Faults struct {
-	// Refuse makes it refuse every call without running it.
+	// Refuse makes the service refuse every call without executing it.
 	Refuse bool
-	// LoseReplies makes it run every call and then break the connection.
+	// LoseReplies makes the service execute every call and then abort the connection.
 	LoseReplies bool
-	// DelayMs holds every call before it runs.
+	// DelayMs delays the execution of every call by this many milliseconds.
 	DelayMs int
 }
 
-// Book counts executions over all the instances of one service.
-type Book struct {
+// ExecutionCounter counts the executions over all instances of one service.
+type ExecutionCounter struct {
 	mu         sync.Mutex
 	executions map[string]int
 	total      int
-	doubled    int
+	duplicates int
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{executions: map[string]int{}}
+// NewExecutionCounter returns a counter at zero.
+func NewExecutionCounter() *ExecutionCounter {
+	return &ExecutionCounter{executions: map[string]int{}}
 }
 
-// Run enters one execution and returns its serial number.
-func (book *Book) Run(key string) int {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	book.total++
+// Record counts one execution and returns its serial number. An empty key counts only towards the total.
+func (counter *ExecutionCounter) Record(key string) int {
+	counter.mu.Lock()
+	defer counter.mu.Unlock()
+	counter.total++
 	if key == "" {
-		return book.total
+		return counter.total
 	}
-	book.executions[key]++
-	if book.executions[key] > 1 {
-		book.doubled++
+	counter.executions[key]++
+	if counter.executions[key] > 1 {
+		counter.duplicates++
 	}
-	return book.total
+	return counter.total
 }
 
-// Executions is how often the call with this key was run.
-func (book *Book) Executions(key string) int {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	return book.executions[key]
+// Executions returns how often the call with this idempotency key was executed.
+func (counter *ExecutionCounter) Executions(key string) int {
+	counter.mu.Lock()
+	defer counter.mu.Unlock()
+	return counter.executions[key]
 }
 
-// Doubled is how many calls were run more than once.
-func (book *Book) Doubled() int {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	return book.doubled
+// Duplicates returns the number of executions beyond the first for each key.
+func (counter *ExecutionCounter) Duplicates() int {
+	counter.mu.Lock()
+	defer counter.mu.Unlock()
+	return counter.duplicates
 }
 
 // Service is one instance of the service.
 type Service struct {
-	name string
-	book *Book
+	name    string
+	counter *ExecutionCounter
 
 	mu     sync.Mutex
 	faults Faults
 }
 
-// New returns an instance that enters what it runs in the book.
-func New(name string, book *Book) *Service {
-	return &Service{name: name, book: book}
+// New returns an instance that records its executions in the counter.
+func New(name string, counter *ExecutionCounter) *Service {
+	return &Service{name: name, counter: counter}
 }
 
 // SetFaults replaces the service's faults.
@@ -96,7 +96,7 @@
 	service.faults = faults
 }
 
-// Handler serves any method and path.
+// Handler serves any method and path. POST /faults replaces the faults.
 func (service *Service) Handler() http.Handler {
 	return http.HandlerFunc(service.serve)
 }
@@ -115,9 +115,8 @@
 		return
 	}
 	if faults.Refuse {
-		// A refusal that comes before the body was read can be lost to the
-		// caller's failing write of the body; the caller then says Unknown,
-		// which is true, and no test can expect more.
+		// The body is read before the refusal. Otherwise the caller's write of the body can fail and hide the refusal.
+		// The caller then correctly reports the outcome Unknown, and a test cannot check for the refusal.
 		writer.Header().Set(peer.HeaderRefused, "true")
 		http.Error(writer, "leaving", http.StatusServiceUnavailable)
 		return
@@ -125,7 +124,7 @@
 	time.Sleep(time.Duration(faults.DelayMs) * time.Millisecond)
 	serial := 0
 	if request.Method != http.MethodGet {
-		serial = service.book.Run(request.Header.Get("Idempotency-Key"))
+		serial = service.counter.Record(request.Header.Get("Idempotency-Key"))
 	}
 	if faults.LoseReplies {
 		panic(http.ErrAbortHandler)
@@ -144,9 +143,9 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// Total is how many calls were run, with and without a key.
-func (book *Book) Total() int {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	return book.total
+// Total returns the number of executions, with and without a key.
+func (counter *ExecutionCounter) Total() int {
+	counter.mu.Lock()
+	defer counter.mu.Unlock()
+	return counter.total
 }
--- a/internal/state/booking/booking_test.go
+++ b/internal/state/booking/booking_test.go
@@ -39,7 +39,7 @@
 // ledger is a log, a service and the nodes before them.
 type ledger struct {
 	log   *platform.Log
-	book  *standin.Book
+	book  *standin.ExecutionCounter
 	nodes []*node
 
 	mu        sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 func newLedger(nodes int) *ledger {
-	ledger := &ledger{log: platform.NewLog(), book: standin.NewBook(), byNumber: map[uint64]*node{}}
+	ledger := &ledger{log: platform.NewLog(), book: standin.NewExecutionCounter(), byNumber: map[uint64]*node{}}
 	for range nodes {
 		ledger.nodes = append(ledger.nodes, ledger.start())
 	}
@@ -132,7 +132,7 @@
 
 func (ledger *ledger) execute(key string) int {
 	time.Sleep(10 * time.Millisecond)
-	return ledger.book.Run(key)
+	return ledger.book.Record(key)
 }
 
 // withLedger runs a test on nodes that have read the log, in virtual time.
--- a/internal/state/booking/random_test.go
+++ b/internal/state/booking/random_test.go
@@ -123,7 +123,7 @@
 
 func (ledger *ledger) check(t *testing.T, requests []request) {
 	t.Helper()
-	if doubled := ledger.book.Doubled(); doubled != 0 {
+	if doubled := ledger.book.Duplicates(); doubled != 0 {
 		t.Errorf("%d calls ran twice", doubled)
 	}
 	accounted := map[string]bool{}
--- a/internal/state/booking/table_test.go
+++ b/internal/state/booking/table_test.go
@@ -23,7 +23,7 @@
 // Random intents and outcomes, many of them void, with a node that starts from
 // a checkpoint: the table must say what one plain map says.
 func TestTableAgainstOneMap(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		table := booking.NewTable(time.Hour)
 		model := map[string]claim{}
--- a/internal/state/class/class_test.go
+++ b/internal/state/class/class_test.go
@@ -46,7 +46,7 @@
 }
 
 func change(name, id string, base uint64, firstToken uint32) *record.ConfigChange {
-	target := fleet.Target(name, "drafting", 0.1)
+	target := fleet.ClassTarget(name, "drafting", 0.1)
 	target.FirstTokenMs = firstToken
 	return &record.ConfigChange{ChangeID: id, Name: name, BaseRevision: base, Target: target, Operator: id}
 }
@@ -107,11 +107,11 @@
 		g := gomega.NewWithT(t)
 		log := platform.NewLog()
 		old := class.New()
-		apply(t, old, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
-		log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
+		apply(t, old, 0, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "first"))
+		log.Append(class.StreamName, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "first"))
 		checkpoint, err := old.Fold().Snapshot(1)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.7), 1, "second"))
+		log.Append(class.StreamName, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.7), 1, "second"))
 		log.Append(class.StreamName, checkpoint)
 		log.DropBefore(class.StreamName, 1)
 
@@ -140,7 +140,7 @@
 		g := gomega.NewWithT(t)
 		log := platform.NewLog()
 		for index := range 3 {
-			log.Append(class.StreamName, fleet.ChangeBody(fleet.Target(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)))
+			log.Append(class.StreamName, fleet.EncodeClassChange(fleet.ClassTarget(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)))
 		}
 		log.DropBefore(class.StreamName, 2)
 		late, peer := follow(log), follow(platform.NewLog())
@@ -154,7 +154,7 @@
 		for index := range 3 {
 			peer.Offer(stream.Relayed{Records: []logservice.Record{{
 				Offset: uint64(index),
-				Body:   fleet.ChangeBody(fleet.Target(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)),
+				Body:   fleet.EncodeClassChange(fleet.ClassTarget(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)),
 			}}})
 		}
 		relayed, err := peer.Fetch(late.Want(), 10)
@@ -174,7 +174,7 @@
 		"a replica lags":   func(log *platform.Log) { log.SetFaults(platform.LogFaults{StaleBy: 2}) },
 		"comes back with an old record": func(log *platform.Log) {
 			log.Wipe()
-			log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "imposter"))
+			log.Append(class.StreamName, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "imposter"))
 		},
 	}
 	for name, fault := range cases {
@@ -210,7 +210,7 @@
 // carry the field on, or a rolling upgrade would lose it.
 func TestUnknownFieldIsKept(t *testing.T) {
 	g := gomega.NewWithT(t)
-	body := fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "newer")
+	body := fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "newer")
 	decoded := &record.ConfigRecord{}
 	g.Expect(proto.Unmarshal(body, decoded)).To(gomega.Succeed())
 	const unknownField = "\xa2\x06\x03new"
@@ -241,7 +241,7 @@
 // between and nodes that start from one: every node must come to the state of
 // the naive model.
 func TestFoldAgainstNaiveModel(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		log := [][]byte{}
 		model := naive{}
@@ -312,10 +312,10 @@
 func TestOldCheckpointChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := class.New()
-	apply(t, table, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
+	apply(t, table, 0, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "first"))
 	old, err := table.Fold().Snapshot(1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	apply(t, table, 1, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.2), 1, "second"))
+	apply(t, table, 1, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.2), 1, "second"))
 	apply(t, table, 2, old)
 	g.Expect(table.Snapshot().Entries["urgent"].ChangeID).To(gomega.Equal("second"))
 	g.Expect(table.State().Reverts).To(gomega.BeZero())
--- a/internal/testlib/fleet/bubble.go
+++ b/internal/testlib/fleet/bubble.go
@@ -6,18 +6,15 @@
 	"testing/synctest"
 )
 
-// Bubble runs a test in virtual time, as synctest.Test does, and may be called
-// more than once in a process.
+// Bubble runs a test in virtual time, like synctest.Test, and may be called more than once per process.
 //
-// yamux keeps timers in a sync.Pool for the whole process. A timer that one
-// bubble put there and another takes ends the test process ("select on
-// synctest channel from outside bubble"). Two collections empty every pool, so
-// nothing crosses from one bubble to the next. Bubbles must not run at the same
-// time.
+// yamux keeps timers in a process-wide sync.Pool. If one bubble reuses a timer that another bubble put there, the test
+// process crashes with "select on synctest channel from outside bubble". Two garbage collections empty every pool, so
+// no timer passes from one bubble to the next. Bubbles must not run concurrently.
 func Bubble(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
-	const collectionsThatEmptyAPool = 2
-	for range collectionsThatEmptyAPool {
+	const collectionsToEmptyPools = 2
+	for range collectionsToEmptyPools {
 		runtime.GC()
 	}
 	synctest.Test(t, test)
--- a/internal/testlib/fleet/fleet.go
+++ b/internal/testlib/fleet/fleet.go
@@ -1,14 +1,13 @@
-// Package fleet runs whole nodes before stand-ins on a network in memory, for
-// tests in virtual time. It is the nodes' own code; only dialling, listening
-// and the clock are replaced.
+// Package fleet runs complete nodes against simulated backends on an in-memory network, for tests in virtual time. The
+// nodes run their production code; only dialing, listening and the clock are replaced.
 //
 // # Usage
 //
-//	synctest.Test(t, func(t *testing.T) {
-//		running := fleet.New(t, fleet.Shape(demo.Shape{...}))
+//	fleet.Bubble(t, func(t *testing.T) {
+//		running := fleet.New(t, demo.Shape{...})
 //		running.Start()
-//		running.State("urgent", change)
-//		answer := running.Draft(0, "urgent", "hello", 10)
+//		running.ApplyClasses(fleet.ClassTarget("urgent", "model", 0.5))
+//		result := running.Generate(0, "urgent", "hello", 10)
 //		running.Stop()
 //	})
 package fleet
@@ -35,62 +34,62 @@
 	"hazelslip/internal/wire/record"
 )
 
-// Fleet is a running deployment.
+// Fleet holds the nodes of a test deployment with their environment, network and settings. Nodes has a nil entry for
+// each node that is not running.
 type Fleet struct {
-	World   *demo.World
-	Network *network.Network
-	Nodes   []*node.Node
-	Trees   []settings.Node
+	Environment *demo.World
+	Network     *network.Network
+	Nodes       []*node.Node
+	Settings    []settings.Node
 
-	t       *testing.T
-	now     clock.Now
-	logger  *slog.Logger
-	client  *http.Client
-	serials uint64
+	t          *testing.T
+	now        clock.Now
+	logger     *slog.Logger
+	client     *http.Client
+	nodeStarts uint64
 }
 
-// New builds the stand-ins and the nodes' settings; nothing runs yet but the
-// stand-ins.
+// New starts the simulated environment and prepares the settings of the nodes. The nodes start with Start or StartNode.
 func New(t *testing.T, shape demo.Shape) *Fleet {
 	t.Helper()
-	wires := network.New()
-	world, err := demo.NewWorld(demo.Size(shape), demo.Listen(wires.Listen))
+	memoryNetwork := network.New()
+	environment, err := demo.NewWorld(demo.Size(shape), demo.Listen(memoryNetwork.Listen))
 	if err != nil {
 		t.Fatal(err)
 	}
-	transport := &http.Transport{DialContext: wires.Dialer("caller"), DisableKeepAlives: true}
+	transport := &http.Transport{DialContext: memoryNetwork.Dialer("caller"), DisableKeepAlives: true}
 	fleet := &Fleet{
-		World: world, Network: wires, t: t, now: clock.Virtual(), Trees: world.Settings(),
+		Environment: environment, Network: memoryNetwork, t: t, now: clock.Virtual(), Settings: environment.Settings(),
 		logger: slog.New(slog.NewTextHandler(io.Discard, nil)), client: &http.Client{Transport: transport},
 	}
-	for index := range fleet.Trees {
-		fleet.Trees[index].Stopping = settings.Stopping{NoticeSeconds: 1, DrainSeconds: 60}
+	for index := range fleet.Settings {
+		fleet.Settings[index].Stopping = settings.Stopping{NoticeSeconds: 1, DrainSeconds: 60}
 	}
 	if testing.Verbose() {
 		fleet.logger = slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelInfo}))
 	}
-	fleet.Nodes = make([]*node.Node, len(fleet.Trees))
+	fleet.Nodes = make([]*node.Node, len(fleet.Settings))
 	return fleet
 }
 
 // Start starts every node.
 func (fleet *Fleet) Start() {
 	fleet.t.Helper()
-	for index := range fleet.Trees {
+	for index := range fleet.Settings {
 		fleet.StartNode(index)
 	}
 }
 
-// StartNode starts one node, as a new incarnation.
+// StartNode starts one node as a new incarnation.
 func (fleet *Fleet) StartNode(index int) {
 	fleet.t.Helper()
-	fleet.serials++
-	tree := fleet.Trees[index]
+	fleet.nodeStarts++
+	nodeSettings := fleet.Settings[index]
 	created, err := node.New(
-		tree,
-		node.Network(fleet.Network.Dialer(tree.Name), fleet.Network.Listen),
-		node.Clock(fleet.now), node.Seed(fleet.serials*7919),
-		node.Logger(fleet.logger.With("Node", tree.Name)),
+		nodeSettings,
+		node.Network(fleet.Network.Dialer(nodeSettings.Name), fleet.Network.Listen),
+		node.Clock(fleet.now), node.Seed(fleet.nodeStarts*7919),
+		node.Logger(fleet.logger.With("Node", nodeSettings.Name)),
 	)
 	if err != nil {
 		fleet.t.Fatal(err)
@@ -99,13 +98,13 @@
 	fleet.Nodes[index] = created
 }
 
-// Kill ends a node without warning.
+// Kill stops a node without a graceful shutdown.
 func (fleet *Fleet) Kill(index int) {
 	fleet.Nodes[index].Kill()
 	fleet.Nodes[index] = nil
 }
 
-// Stop ends everything. It must be called inside the bubble.
+// Stop stops the nodes and the environment. Stop must be called inside the bubble.
 func (fleet *Fleet) Stop() {
 	stops := conc.NewWaitGroup()
 	for _, running := range fleet.Nodes {
@@ -114,20 +113,19 @@
 		}
 	}
 	stops.Wait()
-	fleet.World.Stop()
+	fleet.Environment.Stop()
 	fleet.client.CloseIdleConnections()
-	// Connections that are closed keep a timer each for a while.
+	// Each closed connection keeps a timer for some time. The bubble ends only after these timers have expired.
 	time.Sleep(2 * time.Minute)
 }
 
-// Classes states classes, writing to the log as a node would, and waits until
-// each node has them in force.
-func (fleet *Fleet) Classes(targets ...*record.ClassTarget) {
+// ApplyClasses appends the class targets to the log, as a node does, and waits until every running node applies them.
+func (fleet *Fleet) ApplyClasses(targets ...*record.ClassTarget) {
 	fleet.t.Helper()
 	for _, target := range targets {
-		fleet.World.Log.Append("Config", ChangeBody(target, 0, "fleet-"+target.Name))
+		fleet.Environment.Log.Append("Config", EncodeClassChange(target, 0, "fleet-"+target.Name))
 	}
-	fleet.Eventually(20*time.Second, "classes in force", func() bool {
+	fleet.Eventually(20*time.Second, "all running nodes apply the classes", func() bool {
 		for _, running := range fleet.Nodes {
 			if running != nil && len(running.State().Members.Live) > 0 && running.State().Classes.Classes < len(targets) {
 				return false
@@ -137,16 +135,16 @@
 	})
 }
 
-// Target is a class target with values that most tests do not care about.
-func Target(name, model string, share float64) *record.ClassTarget {
+// ClassTarget returns a class target with default values for the fields that most tests do not depend on.
+func ClassTarget(name, model string, share float64) *record.ClassTarget {
 	return &record.ClassTarget{
 		Name: name, Model: model, FirstTokenMs: 2000, BetweenTokensMs: 100, InTargetShare: 0.95,
 		Priority: 10, GuaranteedShare: share,
 	}
 }
 
-// Eventually waits in virtual time until the condition holds.
-func (fleet *Fleet) Eventually(within time.Duration, what string, holds func() bool) {
+// Eventually polls the condition in virtual time and fails the test if the condition does not hold within the limit.
+func (fleet *Fleet) Eventually(within time.Duration, description string, holds func() bool) {
 	fleet.t.Helper()
 	for waited := time.Duration(0); waited < within; waited += 50 * time.Millisecond {
 		if holds() {
@@ -154,11 +152,11 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	fleet.t.Fatalf("not within %s: %s", within, what)
+	fleet.t.Fatalf("condition did not hold within %s: %s", within, description)
 }
 
-// Serving is how many groups of a model a node sees serving.
-func (fleet *Fleet) Serving(index int, model string) int {
+// ServingGroups returns the number of groups of a model that are serving according to a node.
+func (fleet *Fleet) ServingGroups(index int, model string) int {
 	count := 0
 	for _, group := range fleet.Nodes[index].State().Groups {
 		if group.Serving && group.Model == model {
@@ -168,39 +166,39 @@
 	return count
 }
 
-// Answer is what a caller got.
-type Answer struct {
-	Status   int
-	Outcome  outcome.Outcome
-	Text     string
-	Whole    bool
-	Error    string
-	Header   http.Header
-	Request  string
-	Duration time.Duration
+// Result is the response to one request as the caller received it. Complete is set if a stream ended with [DONE].
+type Result struct {
+	Status    int
+	Outcome   outcome.Outcome
+	Text      string
+	Complete  bool
+	Error     string
+	Header    http.Header
+	RequestID string
+	Duration  time.Duration
 }
 
-// Draft sends a streamed model request to a node and reads its answer.
-func (fleet *Fleet) Draft(index int, class, content string, tokens int) Answer {
+// Generate sends a streamed chat completion request to a node and reads the response.
+func (fleet *Fleet) Generate(index int, class, content string, tokens int) Result {
 	body, _ := json.Marshal(map[string]any{
 		"messages": []map[string]string{{"role": "user", "content": content}}, "stream": true, "max_tokens": tokens,
 	})
 	header := http.Header{caller.HeaderClass: {class}}
-	answer := fleet.Call(index, http.MethodPost, "/v1/chat/completions", header, string(body))
-	if answer.Status != http.StatusOK {
-		return answer
+	result := fleet.Call(index, http.MethodPost, "/v1/chat/completions", header, string(body))
+	if result.Status != http.StatusOK {
+		return result
 	}
-	events := answer.Text
-	answer.Text = ""
+	events := result.Text
+	result.Text = ""
 	for _, event := range strings.Split(events, "\n\n") {
-		answer.readEvent(strings.TrimPrefix(event, "data: "))
+		result.readEvent(strings.TrimPrefix(event, "data: "))
 	}
-	return answer
+	return result
 }
 
-func (answer *Answer) readEvent(event string) {
+func (result *Result) readEvent(event string) {
 	if event == "[DONE]" {
-		answer.Whole = true
+		result.Complete = true
 		return
 	}
 	var chunk struct {
@@ -218,48 +216,48 @@
 		return
 	}
 	for _, choice := range chunk.Choices {
-		answer.Text += choice.Delta.Content
+		result.Text += choice.Delta.Content
 	}
 	if chunk.Error.Message != "" {
-		answer.Error, answer.Outcome = chunk.Error.Message, outcome.Outcome(chunk.Error.Outcome)
+		result.Error, result.Outcome = chunk.Error.Message, outcome.Outcome(chunk.Error.Outcome)
 	}
 }
 
-// Prompt is the prompt that a node makes of a caller's content.
+// Prompt returns the prompt that a node builds from the content of a user message.
 func Prompt(content string) string {
 	return "user: " + content + "\n"
 }
 
-// Call sends any request to a node.
-func (fleet *Fleet) Call(index int, method, path string, header http.Header, body string) Answer {
+// Call sends a request to the caller address of a node and reads the response.
+func (fleet *Fleet) Call(index int, method, path string, header http.Header, body string) Result {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+fleet.Trees[index].Listen.Caller+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+fleet.Settings[index].Listen.Caller+path, strings.NewReader(body))
 	if err != nil {
 		fleet.t.Fatal(err)
 	}
 	for name, values := range header {
 		request.Header[name] = values
 	}
-	began := time.Now()
+	sentAt := time.Now()
 	response, err := fleet.client.Do(request)
 	if err != nil {
-		return Answer{Error: err.Error(), Duration: time.Since(began)}
+		return Result{Error: err.Error(), Duration: time.Since(sentAt)}
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	answer := Answer{
+	result := Result{
 		Status: response.StatusCode, Outcome: outcome.Outcome(response.Header.Get(outcome.Header)),
-		Text: string(text), Header: response.Header, Request: response.Header.Get(caller.HeaderRequest),
-		Duration: time.Since(began),
+		Text: string(text), Header: response.Header, RequestID: response.Header.Get(caller.HeaderRequest),
+		Duration: time.Since(sentAt),
 	}
 	if err != nil {
-		answer.Error = err.Error()
+		result.Error = err.Error()
 	}
-	return answer
+	return result
 }
 
-// Book makes a call under a key that may not be repeated.
-func (fleet *Fleet) Book(index int, key, body string) Answer {
+// BookSlot calls the simulated service with an idempotency key. The node must run such a call at most once.
+func (fleet *Fleet) BookSlot(index int, key, body string) Result {
 	return fleet.Call(index, http.MethodPost, "/services/"+demo.ServiceName+"/slots", http.Header{caller.HeaderKey: {key}}, body)
 }
--- a/internal/testlib/inprocess/inprocess.go
+++ b/internal/testlib/inprocess/inprocess.go
@@ -1,5 +1,5 @@
-// Package inprocess lets an HTTP client call a handler without a network, so
-// that tests of clients run in virtual time and start no goroutines.
+// Package inprocess connects an HTTP client to a handler without a network, so that client tests run in virtual time
+// and start no goroutines.
 //
 // # Usage
 //
@@ -13,17 +13,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Transport answers requests with a handler.
+// Transport is an http.RoundTripper that serves each request with a handler.
 type Transport struct {
 	Handler http.Handler
 }
 
-// RoundTrip serves the request. A handler that aborts breaks the connection,
-// after whatever it did.
+// RoundTrip serves the request. If the handler panics, as with http.ErrAbortHandler, RoundTrip returns an error like
+// for a broken connection. The effects of the handler up to the panic remain.
 func (transport Transport) RoundTrip(request *http.Request) (response *http.Response, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			response, err = nil, errors.New("the connection broke")
+			response, err = nil, errors.New("the handler aborted the connection")
 		}
 	}()
 	recorder := httptest.NewRecorder()
--- a/internal/testlib/network/network.go
+++ b/internal/testlib/network/network.go
@@ -1,18 +1,17 @@
-// Package network is a network in memory, for tests that run whole nodes in
-// virtual time. Connections are pipes, so a synctest bubble can tell when
-// everybody waits; places can be cut off from each other.
+// Package network is an in-memory network for tests that run complete nodes in virtual time. Connections are pipes, so
+// a synctest bubble detects when all goroutines are blocked. A host is a name that the test chooses for the source of
+// connections; tests can partition hosts from addresses.
 //
-// A cut is silent, as a lost link is: what is written on a connection that a
-// cut goes through vanishes, and nothing more is read from it. New connections
-// time out. A place may also be refused new connections while its open ones live on, or have
-// those reset. A slow place takes its time for everything that it sends and is sent.
+// A partition drops data without an error, like a lost link: data written to an affected connection is lost and the
+// other end reads nothing more. New connections time out. A test can also refuse new connections while open ones
+// continue, reset open connections, or delay all data from and to a host.
 //
 // # Usage
 //
-//	wires := network.New()
-//	listener, err := wires.Listen("127.0.0.1:7000")
-//	conn, err := wires.Dialer("lakes-a")(ctx, "tcp", "127.0.0.1:7000")
-//	wires.Cut("lakes-a", "127.0.0.1:7000")
+//	memory := network.New()
+//	listener, err := memory.Listen("127.0.0.1:7000")
+//	conn, err := memory.Dialer("lakes-a")(ctx, "tcp", "127.0.0.1:7000")
+//	memory.Partition("lakes-a", "127.0.0.1:7000")
 package network
 
 import (
@@ -29,25 +28,25 @@
 )
 
 const (
-	backlog     = 256
-	dialTimeout = 500 * time.Millisecond
+	maxPendingConnections = 256
+	dialTimeout           = 500 * time.Millisecond
 )
 
-// Network holds listeners by address.
+// Network holds the listeners and open connections with the faults of each link.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	cuts      map[link]bool
-	refused   map[link]bool
-	delays    map[string]time.Duration
-	conns     map[*conn]struct{}
+	mu         sync.Mutex
+	listeners  map[string]*listener
+	partitions map[link]bool
+	refused    map[link]bool
+	delays     map[string]time.Duration
+	conns      map[*conn]struct{}
 }
 
 type link struct{ from, to string }
 
 // New returns an empty network.
 func New() *Network {
-	return &Network{listeners: map[string]*listener{}, cuts: map[link]bool{}, refused: map[link]bool{}, delays: map[string]time.Duration{}, conns: map[*conn]struct{}{}}
+	return &Network{listeners: map[string]*listener{}, partitions: map[link]bool{}, refused: map[link]bool{}, delays: map[string]time.Duration{}, conns: map[*conn]struct{}{}}
 }
 
 // Listen opens a listener at an address.
@@ -55,50 +54,50 @@
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if network.listeners[address] != nil {
-		return nil, errors.Newf("%s is taken", address)
+		return nil, errors.Newf("listen on %s: the address is already in use", address)
 	}
-	opened := &listener{network: network, address: address, accepted: make(chan net.Conn, backlog), closed: make(chan struct{})}
+	opened := &listener{network: network, address: address, pending: make(chan net.Conn, maxPendingConnections), closed: make(chan struct{})}
 	network.listeners[address] = opened
 	return opened, nil
 }
 
-// Dialer returns how the named place connects.
-func (network *Network) Dialer(place string) func(ctx context.Context, _, address string) (net.Conn, error) {
+// Dialer returns the dial function of the named host.
+func (network *Network) Dialer(host string) func(ctx context.Context, _, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		return network.dial(ctx, place, address)
+		return network.dial(ctx, host, address)
 	}
 }
 
-func (network *Network) dial(ctx context.Context, place, address string) (net.Conn, error) {
+func (network *Network) dial(ctx context.Context, host, address string) (net.Conn, error) {
 	network.mu.Lock()
 	target, ok := network.listeners[address]
-	cut, refused := network.cuts[link{place, address}], network.refused[link{place, address}]
+	partitioned, refused := network.partitions[link{host, address}], network.refused[link{host, address}]
 	network.mu.Unlock()
 	switch {
-	case cut:
-		return nil, timeOut(ctx)
+	case partitioned:
+		return nil, waitForTimeout(ctx)
 	case refused:
 		return nil, &net.OpError{Op: "dial", Net: "memory", Err: syscall.ECONNREFUSED}
 	}
 	if !ok {
-		return nil, &net.OpError{Op: "dial", Net: "memory", Err: errors.Newf("nobody listens at %s", address)}
+		return nil, &net.OpError{Op: "dial", Net: "memory", Err: errors.Newf("no listener at %s", address)}
 	}
-	near, far := net.Pipe()
-	opened := &conn{Conn: near, network: network, link: link{place, address}, remote: address}
-	answered := &conn{Conn: far, network: network, link: opened.link, remote: place, peer: opened}
-	opened.peer = answered
+	dialerEnd, listenerEnd := net.Pipe()
+	opened := &conn{Conn: dialerEnd, network: network, link: link{host, address}, remote: address}
+	accepted := &conn{Conn: listenerEnd, network: network, link: opened.link, remote: host, peer: opened}
+	opened.peer = accepted
 	network.mu.Lock()
-	network.conns[opened], network.conns[answered] = struct{}{}, struct{}{}
+	network.conns[opened], network.conns[accepted] = struct{}{}, struct{}{}
 	network.mu.Unlock()
 	select {
-	case target.accepted <- answered:
+	case target.pending <- accepted:
 		return opened, nil
 	case <-target.closed:
-		return nil, &net.OpError{Op: "dial", Net: "memory", Err: errors.Newf("%s was closed", address)}
+		return nil, &net.OpError{Op: "dial", Net: "memory", Err: errors.Newf("the listener at %s was closed", address)}
 	}
 }
 
-func timeOut(ctx context.Context) error {
+func waitForTimeout(ctx context.Context) error {
 	timer := time.NewTimer(dialTimeout)
 	defer timer.Stop()
 	select {
@@ -108,27 +107,28 @@
 	return &net.OpError{Op: "dial", Net: "memory", Err: os.ErrDeadlineExceeded}
 }
 
-// Cut cuts the place off from the addresses.
-func (network *Network) Cut(place string, addresses ...string) {
+// Partition drops all data between the host and the addresses and makes new connections of the host time out, until
+// Heal.
+func (network *Network) Partition(host string, addresses ...string) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	for _, address := range addresses {
-		network.cuts[link{place, address}] = true
+		network.partitions[link{host, address}] = true
 		for open := range network.conns {
-			if open.link == (link{place, address}) {
-				open.lost.Store(true)
+			if open.link == (link{host, address}) {
+				open.partitioned.Store(true)
 			}
 		}
 	}
 }
 
-// Reset ends all connections that the place opened, as where a load balancer or a host
-// between them starts again. It may connect anew at once.
-func (network *Network) Reset(place string) {
+// Disconnect closes all connections that the host opened, like a restart of a load balancer or of a machine in between.
+// The host may reconnect at once.
+func (network *Network) Disconnect(host string) {
 	network.mu.Lock()
 	ended := []*conn{}
 	for open := range network.conns {
-		if open.link.from == place && open.remote == place {
+		if open.link.from == host && open.remote == host {
 			ended = append(ended, open)
 		}
 	}
@@ -138,52 +138,54 @@
 	}
 }
 
-// Refuse makes new connections of the place to the addresses be refused. Open ones live on.
-func (network *Network) Refuse(place string, addresses ...string) {
+// RefuseConnections refuses new connections from the host to the addresses, until Heal. Open connections continue.
+func (network *Network) RefuseConnections(host string, addresses ...string) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	for _, address := range addresses {
-		network.refused[link{place, address}] = true
+		network.refused[link{host, address}] = true
 	}
 }
 
-// Sever resets the open connections of the place to the addresses.
-func (network *Network) Sever(place string, addresses ...string) {
+// ResetConnections resets the open connections from the host to the addresses: reads and writes on both ends return
+// ECONNRESET.
+func (network *Network) ResetConnections(host string, addresses ...string) {
 	network.mu.Lock()
-	severed := []*conn{}
+	matching := []*conn{}
 	for open := range network.conns {
-		if open.link.from == place && slices.Contains(addresses, open.link.to) {
-			severed = append(severed, open)
+		if open.link.from == host && slices.Contains(addresses, open.link.to) {
+			matching = append(matching, open)
 		}
 	}
 	network.mu.Unlock()
-	for _, open := range severed {
+	for _, open := range matching {
 		open.reset.Store(true)
 	}
-	for _, open := range severed {
+	for _, open := range matching {
 		_ = open.Conn.Close()
 	}
 }
 
-// Heal joins the place to the addresses again.
-func (network *Network) Heal(place string, addresses ...string) {
+// Heal ends the partition and the refusal between the host and the addresses. Connections that were open during the
+// partition remain without data.
+func (network *Network) Heal(host string, addresses ...string) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	for _, address := range addresses {
-		delete(network.cuts, link{place, address})
-		delete(network.refused, link{place, address})
+		delete(network.partitions, link{host, address})
+		delete(network.refused, link{host, address})
 	}
 }
 
-// Slow makes everything that the place or an address sends take longer, also what a
-// place is sent by it. 0 ends it.
-func (network *Network) Slow(place string, delay time.Duration) {
+// SetDelay delays every write on the connections from or to the host or listener address, in both directions. A delay
+// of 0 removes it.
+func (network *Network) SetDelay(host string, delay time.Duration) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
-	network.delays[place] = delay
+	network.delays[host] = delay
 }
 
-// delay is how long what is sent over a link takes.
+// delay returns the delay of each write on a link, which is the larger of the delays of its two ends.
 func (network *Network) delay(link link) time.Duration {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -191,24 +193,24 @@
 }
 
 type listener struct {
-	network  *Network
-	address  string
-	accepted chan net.Conn
-	closed   chan struct{}
-	once     sync.Once
+	network *Network
+	address string
+	pending chan net.Conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
 // Accept returns the next connection.
 func (listener *listener) Accept() (net.Conn, error) {
 	select {
-	case accepted := <-listener.accepted:
+	case accepted := <-listener.pending:
 		return accepted, nil
 	case <-listener.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close frees the address.
+// Close closes the connections that were not accepted and releases the address.
 func (listener *listener) Close() error {
 	listener.once.Do(func() {
 		close(listener.closed)
@@ -217,7 +219,7 @@
 		delete(listener.network.listeners, listener.address)
 		for {
 			select {
-			case waiting := <-listener.accepted:
+			case waiting := <-listener.pending:
 				_ = waiting.(*conn).Conn.Close()
 			default:
 				return
@@ -232,24 +234,24 @@
 
 type address string
 
-// Network names the kind of address.
+// Network returns the network name "memory".
 func (address) Network() string { return "memory" }
 
 // String returns the address.
 func (address address) String() string { return string(address) }
 
-// conn is one end of a connection.
+// conn is one end of a connection. The link names the host that opened the connection and the address that it dialed.
 type conn struct {
 	net.Conn
-	network *Network
-	link    link
-	remote  string
-	peer    *conn
-	lost    atomic.Bool
-	reset   atomic.Bool
+	network     *Network
+	link        link
+	remote      string
+	peer        *conn
+	partitioned atomic.Bool
+	reset       atomic.Bool
 }
 
-// Read returns what the other end wrote.
+// Read reads data from the other end, and returns ECONNRESET after a reset.
 func (conn *conn) Read(buffer []byte) (int, error) {
 	n, err := conn.Conn.Read(buffer)
 	if err != nil && conn.reset.Load() {
@@ -258,12 +260,13 @@
 	return n, err
 }
 
-// Write passes data on, or loses it where a cut goes through the connection.
+// Write sends data to the other end after the delay of the link. On a partitioned connection the data is dropped and
+// Write succeeds.
 func (conn *conn) Write(buffer []byte) (int, error) {
 	if conn.reset.Load() {
 		return 0, &net.OpError{Op: "write", Net: "memory", Err: syscall.ECONNRESET}
 	}
-	if conn.lost.Load() || conn.peer.lost.Load() {
+	if conn.partitioned.Load() || conn.peer.partitioned.Load() {
 		return len(buffer), nil
 	}
 	if delay := conn.network.delay(conn.link); delay > 0 {
@@ -272,7 +275,7 @@
 	return conn.Conn.Write(buffer)
 }
 
-// Close ends the connection.
+// Close closes the connection and removes it from the network.
 func (conn *conn) Close() error {
 	conn.network.mu.Lock()
 	delete(conn.network.conns, conn)
@@ -280,5 +283,5 @@
 	return conn.Conn.Close()
 }
 
-// RemoteAddr returns the other end.
+// RemoteAddr returns the address or host name of the other end.
 func (conn *conn) RemoteAddr() net.Addr { return address(conn.remote) }
--- a/internal/testlib/suite/suite.go
+++ b/internal/testlib/suite/suite.go
@@ -1,6 +1,5 @@
-// Package suite runs ginkgo specs and rapid properties with seeds that are
-// fixed, so that CI gives the same verdict every run. HAZELSLIP_SEED sets
-// another one.
+// Package suite runs ginkgo specs and rapid properties with a fixed seed, so that every CI run gives the same result.
+// The environment variable HAZELSLIP_SEED sets another seed.
 //
 // # Usage
 //
@@ -20,7 +19,7 @@
 // SeedVariable names the environment variable that sets the seed.
 const SeedVariable = "HAZELSLIP_SEED"
 
-// Seed returns the seed of this run.
+// Seed returns the seed of this test run. The default is 1.
 func Seed() uint64 {
 	seed, err := strconv.ParseUint(os.Getenv(SeedVariable), 10, 64)
 	if err != nil {
@@ -29,19 +28,18 @@
 	return seed
 }
 
-// RoundsVariable names the environment variable that sets how many random runs
-// a test makes, for `make random`.
+// RoundsVariable names the environment variable that sets the number of random rounds per test, for `make random`.
 const RoundsVariable = "HAZELSLIP_ROUNDS"
 
-// Rounds returns how many random runs to make.
-func Rounds(otherwise int) int {
-	if asked, err := strconv.Atoi(os.Getenv(RoundsVariable)); err == nil {
-		return asked
+// Rounds returns the number of random rounds, or the fallback if the environment variable is not set.
+func Rounds(fallback int) int {
+	if rounds, err := strconv.Atoi(os.Getenv(RoundsVariable)); err == nil {
+		return rounds
 	}
-	return otherwise
+	return fallback
 }
 
-// Run runs the specs of a package.
+// Run runs the ginkgo specs of a package with the seed of this test run.
 func Run(t *testing.T, name string) {
 	gomega.RegisterFailHandler(ginkgo.Fail)
 	configuration, reporter := ginkgo.GinkgoConfiguration()
@@ -49,9 +47,9 @@
 	ginkgo.RunSpecs(t, name, configuration, reporter)
 }
 
-// FixRapid gives rapid the seed of this run, unless its own flag was given.
-func FixRapid(t *testing.T) {
-	if known := flag.Lookup("rapid.seed"); known != nil && known.Value.String() == known.DefValue {
+// SeedRapid sets rapid's seed to the seed of this test run, unless the flag -rapid.seed was given.
+func SeedRapid(t *testing.T) {
+	if seedFlag := flag.Lookup("rapid.seed"); seedFlag != nil && seedFlag.Value.String() == seedFlag.DefValue {
 		if err := flag.Set("rapid.seed", strconv.FormatUint(Seed(), 10)); err != nil {
 			t.Fatal(err)
 		}
