--- a/internal/testlib/suite/suite.go
+++ b/internal/testlib/suite/suite.go
@@ -31,7 +31,7 @@
 // RoundsVariable names the environment variable that sets the number of random rounds per test, for `make random`.
 const RoundsVariable = "HAZELSLIP_ROUNDS"
 
-// Rounds returns the number of random rounds, or the fallback if the environment variable is not set.
+// Rounds returns the number of random rounds, or the fallback if the environment variable is unset or not a number.
 func Rounds(fallback int) int {
 	if rounds, err := strconv.Atoi(os.Getenv(RoundsVariable)); err == nil {
 		return rounds
