--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -41,7 +41,7 @@
 		decoded.Apply(offset)
 		offset++
 	}
-	applyRecord(fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.3), 0, "first"))
+	applyRecord(fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.3), 0, "first"))
 	handler := &operator.Handler{
 		Classes: table,
 		Groups: func() []operator.GroupInfo {
--- a/internal/fleet/drain/drain_test.go
+++ b/internal/fleet/drain/drain_test.go
@@ -74,7 +74,7 @@
 
 // Guards against nodes that disagree because they received records in different orders.
 func TestOrderOfRecordsDoesNotMatter(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) drain.Record {
 			return drain.Record{
--- a/internal/fleet/formation/fault_schedules_test.go
+++ b/internal/fleet/formation/fault_schedules_test.go
@@ -91,7 +91,7 @@
 func newSimulation() *simulation {
 	simulation := &simulation{fleet: newFleet(1, 1, 3, 2), termLog: &termLog{}, stop: make(chan struct{}), leaders: map[int64]int{}, startedAt: time.Now()}
 	for server := range 3 {
-		simulation.fleet.world.Put(serverID(server), "small")
+		simulation.fleet.world.SetStaged(serverID(server), "small")
 	}
 	for index, node := range simulation.fleet.nodes {
 		var keeper *tenure.Elector
@@ -181,9 +181,9 @@
 			simulation.termLog.holders = simulation.termLog.holders[:max(0, len(simulation.termLog.holders)-1)]
 		})
 	case loseReplies:
-		world.SetFaults(serverID(0), backends.Faults{LostAnswers: 1})
+		world.SetFaults(serverID(0), backends.Faults{LostReplies: 1})
 	case delayOrders:
-		world.SetFaults(serverID(1), backends.Faults{Late: 1, LateBy: 1500 * time.Millisecond})
+		world.SetFaults(serverID(1), backends.Faults{Delayed: 1, Delay: 1500 * time.Millisecond})
 	case clearServerFaults:
 		world.SetFaults(serverID(0), backends.Faults{})
 		world.SetFaults(serverID(1), backends.Faults{})
@@ -230,11 +230,11 @@
 // one if no group serves after all faults have ended.
 func (simulation *simulation) checkServing() {
 	for index, node := range simulation.fleet.nodes {
-		if group := servingGroupOf(node, "small"); group.Name != "" && simulation.fleet.world.Head(group.Head()) != backends.Serving {
+		if group := servingGroupOf(node, "small"); group.Name != "" && simulation.fleet.world.HeadState(group.Head()) != backends.Serving {
 			simulation.violations = append(simulation.violations, fmt.Sprintf("node %d sends calls to a group that doesn't serve", index))
 		}
 	}
-	if simulation.fleet.world.Whole()["small"] == 0 {
+	if simulation.fleet.world.CompleteGroups()["small"] == 0 {
 		simulation.violations = append(simulation.violations, "no group serves after all faults have ended")
 	}
 }
--- a/internal/fleet/formation/stalled_test.go
+++ b/internal/fleet/formation/stalled_test.go
@@ -52,7 +52,7 @@
 			node.setTerm(4096)
 			time.Sleep(8 * time.Second)
 			group := servingGroupOf(node, "large")
-			fleet.world.Unlist(group.Members[rank])
+			fleet.world.Deregister(group.Members[rank])
 			changes := []formation.Change{}
 			for began := time.Now(); time.Since(began) < 20*time.Second && !node.view.MembersFree(group.Name); time.Sleep(50 * time.Millisecond) {
 				for _, announcement := range node.view.RecentAnnouncements() {
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -91,7 +91,7 @@
 // Checks random requests and releases: a class within its guaranteed share is never refused, the admitted drafts
 // never exceed the capacity and the shares together, and the counts return to zero.
 func TestGateInvariants(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		gate := admission.New()
 		capacity := admission.Capacity{
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -157,7 +157,7 @@
 // Guards against nodes whose lists differ after all announcements were exchanged in any order, late
 // and repeatedly.
 func TestListsConverge(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Hour
 		clock := quarantine.Clock(func() time.Duration { return now })
--- a/internal/policy/ratelimit/permits_test.go
+++ b/internal/policy/ratelimit/permits_test.go
@@ -212,7 +212,7 @@
 // Guards against claims that report more permits as used or returned than were lent: those permits
 // would be issued again.
 func TestClaimsAboveLoanAreIgnored(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &fakeClock{current: time.Minute}
 		limits, _ := newNode(clock, 1, 2)
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -13,7 +13,7 @@
 // request asks for retries. The balance must stay between 0 and 50, and the granted retries must
 // not exceed the initial balance plus one tenth of the successes.
 func TestBudgetBoundsRetries(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		budget := retry.New()
 		initial := budget.State().Left
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -105,7 +105,7 @@
 // Checks random tables and loads against the reference rule: a chosen group must accept the draft, and no group
 // is chosen only if none accepts it. The number of running drafts never goes below zero and returns to zero.
 func TestPickMatchesReferenceRule(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 8).Draw(t, "nodes")
 		groups := targets(rapid.IntRange(1, 60).Draw(t, "groups"))
--- a/internal/run/demo/demo.go
+++ b/internal/run/demo/demo.go
@@ -92,7 +92,7 @@
 	Log     *platform.Log
 	List    *platform.List
 	Weights *platform.Weights
-	Book    *service.Book
+	Book    *service.ExecutionCounter
 	Domains map[string]*engine.Domain
 	Engines []*engine.Engine
 
@@ -134,7 +134,7 @@
 func NewEnvironment(options ...Option) (*Environment, error) {
 	environment := &Environment{
 		Log: platform.NewLog(), List: platform.NewList(listLag), Weights: platform.NewWeights(weightSlots, weightLoadTime),
-		Book: service.NewBook(), Domains: map[string]*engine.Domain{}, basePort: 7000, shape: DefaultShape(), rates: engine.DefaultRates,
+		Book: service.NewExecutionCounter(), Domains: map[string]*engine.Domain{}, basePort: 7000, shape: DefaultShape(), rates: engine.DefaultRates,
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 	}
 	for _, option := range options {
@@ -221,7 +221,7 @@
 		for number := range environment.shape.Engines {
 			offset := environment.offsetAfterNodes(firstEngine) + (index*environment.shape.Domains+domain)*environment.shape.Engines + number
 			id := fmt.Sprintf("%s-engine-%d", name, number+1)
-			engineServer := engine.New(id, environment.address(offset), environment.Domains[name], engine.ChecksFencing(!slices.Contains(environment.uncheckedDomains(), name)), engine.Speed(environment.rates))
+			engineServer := engine.New(id, environment.address(offset), environment.Domains[name], engine.ChecksFencing(!slices.Contains(environment.uncheckedDomains(), name)), engine.WithRates(environment.rates))
 			environment.Engines = append(environment.Engines, engineServer)
 			environment.addServer(offset, engineServer.Handler())
 			environment.List.Put(instancelist.Instance{
--- a/internal/run/node/input_test.go
+++ b/internal/run/node/input_test.go
@@ -53,7 +53,7 @@
 			g.Expect(answer.Text).To(gomega.ContainSubstring(testCase.says), testCase.name)
 			g.Expect(answer.Text).To(gomega.ContainSubstring(`"error"`), testCase.name)
 		}
-		g.Expect(running.Draft(0, "report", "still here", 3).Whole).To(gomega.BeTrue())
+		g.Expect(running.Generate(0, "report", "still here", 3).Complete).To(gomega.BeTrue())
 	})
 }
 
@@ -61,7 +61,7 @@
 // of them may keep a connection open indefinitely or stop the node, and no incomplete request may be executed.
 func TestBrokenConnectionsDoNotStopNode(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		nodeSettings := running.Trees[0]
+		nodeSettings := running.Settings[0]
 		dial := running.Network.Dialer("stranger")
 		send := func(address, text string, closeAfterwards bool) io.ReadCloser {
 			conn, err := dial(context.Background(), "tcp", address)
@@ -97,8 +97,8 @@
 			connection.Close()
 		}
 		g.Expect(running.Nodes[0].State().Traffic.PeerBadFrames).To(gomega.BeNumerically(">=", 2))
-		g.Expect(running.World.Book.Executions("stuck") + running.World.Book.Executions("half")).To(gomega.BeZero())
-		g.Expect(running.Draft(0, "report", "still here", 3).Whole).To(gomega.BeTrue())
+		g.Expect(running.Environment.Book.Executions("stuck") + running.Environment.Book.Executions("half")).To(gomega.BeZero())
+		g.Expect(running.Generate(0, "report", "still here", 3).Complete).To(gomega.BeTrue())
 	})
 }
 
@@ -107,10 +107,10 @@
 func TestUndecodableRecordIsSkipped(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		for _, name := range []string{"Config", "Groups.lakes-a", "Bookings." + "great-lakes"} {
-			running.World.Log.Append(name, []byte("\xff no record"))
-			running.World.Log.Append(name, nil)
+			running.Environment.Log.Append(name, []byte("\xff no record"))
+			running.Environment.Log.Append(name, nil)
 		}
-		running.World.Log.Append("Config", fleet.ChangeBody(fleet.Target("later", "drafting", 0.1), 0, "later"))
+		running.Environment.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget("later", "drafting", 0.1), 0, "later"))
 		time.Sleep(time.Second)
 		for _, node := range running.Nodes {
 			g.Expect(node.State().Classes.Classes).To(gomega.Equal(2))
@@ -118,7 +118,7 @@
 				g.Expect(stream.Undecodable).To(gomega.BeNumerically(">=", 1), stream.Stream)
 			}
 		}
-		g.Expect(running.Book(1, "after", "x").Outcome).To(gomega.Equal(outcome.Run))
+		g.Expect(running.BookSlot(1, "after", "x").Outcome).To(gomega.Equal(outcome.Run))
 	})
 }
 
@@ -137,17 +137,17 @@
 	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-				for _, server := range running.World.Services {
+				for _, server := range running.Environment.Services {
 					server.SetFaults(testCase.faults)
 				}
-				g.Expect(running.Book(0, "visit", "x").Outcome).To(gomega.Equal(testCase.outcome))
-				g.Expect(running.Book(1, "visit", "x").Outcome).To(gomega.Equal(testCase.outcome))
-				g.Expect(running.World.Book.Executions("visit")).To(gomega.Equal(testCase.executed))
+				g.Expect(running.BookSlot(0, "visit", "x").Outcome).To(gomega.Equal(testCase.outcome))
+				g.Expect(running.BookSlot(1, "visit", "x").Outcome).To(gomega.Equal(testCase.outcome))
+				g.Expect(running.Environment.Book.Executions("visit")).To(gomega.Equal(testCase.executed))
 
-				before := running.World.Book.Total()
+				before := running.Environment.Book.Total()
 				withoutKey := running.Call(0, http.MethodPost, "/services/scheduling/slots", nil, "x")
 				g.Expect(withoutKey.Outcome).To(gomega.Equal(testCase.outcome), withoutKey.Text)
-				g.Expect(running.World.Book.Total() - before).To(gomega.Equal(testCase.executed))
+				g.Expect(running.Environment.Book.Total() - before).To(gomega.Equal(testCase.executed))
 			})
 		})
 	}
@@ -157,14 +157,14 @@
 // a Retry-After header, instead of waiting.
 func TestDraftRefusedByAllEnginesFailsFast(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		for _, server := range running.World.Engines {
+		for _, server := range running.Environment.Engines {
 			server.SetFaults(engine.Faults{RefuseDrafts: 1000})
 		}
-		answer := running.Draft(0, "report", "nobody", 5)
+		answer := running.Generate(0, "report", "nobody", 5)
 		g.Expect(answer.Outcome).To(gomega.Equal(outcome.NotRun), fmt.Sprint(answer))
 		g.Expect(answer.Header.Get("Retry-After")).NotTo(gomega.BeEmpty())
 		g.Expect(answer.Duration).To(gomega.BeNumerically("<", 6*time.Second))
-		running.World.Engines[0].SetFaults(engine.Faults{})
+		running.Environment.Engines[0].SetFaults(engine.Faults{})
 	})
 }
 
@@ -172,27 +172,27 @@
 // executed once, by the node that did.
 func TestTicketIsRunByItsIssuer(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		running.World.Log.SetFaults(logOutage)
+		running.Environment.Log.SetFaults(logOutage)
 		time.Sleep(6 * time.Second)
-		g.Expect(running.Book(1, "no-ticket", "x").Outcome).To(gomega.Equal(outcome.NotRun))
+		g.Expect(running.BookSlot(1, "no-ticket", "x").Outcome).To(gomega.Equal(outcome.NotRun))
 		ticketResponse := running.Call(0, http.MethodPost, "/tickets", nil, "")
 		var decodedTicket caller.Ticket
 		g.Expect(json.Unmarshal([]byte(ticketResponse.Text), &decodedTicket)).To(gomega.Succeed())
 		ticket := decodedTicket.Key
 		for _, index := range []int{1, 0, 1} {
-			answer := running.Book(index, ticket, "x")
+			answer := running.BookSlot(index, ticket, "x")
 			g.Expect(answer.Outcome).To(gomega.Equal(outcome.Run), answer.Text)
 		}
-		g.Expect(running.World.Book.Executions(ticket)).To(gomega.Equal(1))
+		g.Expect(running.Environment.Book.Executions(ticket)).To(gomega.Equal(1))
 		// Regression: the forwarding node dropped the issuer's Replayed and Conflict flags. A replayed response looked
 		// like a new execution, and a different request under the same ticket returned 503 instead of 422.
-		g.Expect(running.Book(1, ticket, "x").Header.Get(caller.HeaderReplayed)).To(gomega.Equal("true"))
-		g.Expect(running.Book(1, ticket, "another").Status).To(gomega.Equal(http.StatusUnprocessableEntity))
+		g.Expect(running.BookSlot(1, ticket, "x").Header.Get(caller.HeaderReplayed)).To(gomega.Equal("true"))
+		g.Expect(running.BookSlot(1, ticket, "another").Status).To(gomega.Equal(http.StatusUnprocessableEntity))
 
 		// After a graceful stop of the issuer, a peer that took over its tickets must reply in its place.
 		running.Nodes[0].Stop()
 		running.Nodes[0] = nil
-		g.Expect(running.Book(1, ticket, "x").Outcome).To(gomega.Equal(outcome.Run))
-		g.Expect(running.World.Book.Executions(ticket)).To(gomega.Equal(1))
+		g.Expect(running.BookSlot(1, ticket, "x").Outcome).To(gomega.Equal(outcome.Run))
+		g.Expect(running.Environment.Book.Executions(ticket)).To(gomega.Equal(1))
 	})
 }
--- a/internal/run/node/node_test.go
+++ b/internal/run/node/node_test.go
@@ -37,7 +37,7 @@
 		running := fleet.New(t, shape)
 		defer running.Stop()
 		running.Start()
-		running.Classes(fleet.Target("report", "drafting", 0.5))
+		running.ApplyClasses(fleet.ClassTarget("report", "drafting", 0.5))
 		running.Eventually(90*time.Second, "all groups serve", allNodesSeeServing(running, shape.Domains*shape.Engines/4))
 		test(t, running, gomega.NewWithT(t))
 		assertInvariants(t, running)
@@ -62,25 +62,25 @@
 		g.Expect(state.Classes.Reverts).To(gomega.BeZero(), "configuration")
 		g.Expect(state.Drafts.Violations).To(gomega.BeZero(), "drafts")
 	}
-	for _, server := range running.World.Engines {
+	for _, server := range running.Environment.Engines {
 		g.Expect(server.Violations()).To(gomega.BeEmpty())
 	}
-	g.Expect(running.World.Book.Doubled()).To(gomega.BeZero())
+	g.Expect(running.Environment.Book.Duplicates()).To(gomega.BeZero())
 }
 
 // A draft must be returned in full, and a booking repeated at another node must be replayed without a second execution.
 func TestDraftAndBookingEndToEnd(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		answer := running.Draft(0, "report", "the cellar is dry", 12)
-		g.Expect(answer.Whole).To(gomega.BeTrue(), answer.Error)
-		g.Expect(answer.Text).To(gomega.Equal(engine.Answer(fleet.Prompt("the cellar is dry"), 12)))
+		answer := running.Generate(0, "report", "the cellar is dry", 12)
+		g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
+		g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("the cellar is dry"), 12)))
 
-		booked := running.Book(0, "visit-1", "Tuesday")
+		booked := running.BookSlot(0, "visit-1", "Tuesday")
 		g.Expect(booked.Outcome).To(gomega.Equal(outcome.Run), booked.Text)
-		replayed := running.Book(1, "visit-1", "Tuesday")
+		replayed := running.BookSlot(1, "visit-1", "Tuesday")
 		g.Expect(replayed.Header.Get(caller.HeaderReplayed)).To(gomega.Equal("true"))
 		g.Expect(replayed.Text).To(gomega.Equal(booked.Text))
-		g.Expect(running.World.Book.Executions("visit-1")).To(gomega.Equal(1))
+		g.Expect(running.Environment.Book.Executions("visit-1")).To(gomega.Equal(1))
 	})
 }
 
@@ -100,17 +100,17 @@
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-				for _, server := range running.World.Engines {
+				for _, server := range running.Environment.Engines {
 					server.SetFaults(faults)
 				}
 				time.AfterFunc(2*time.Second, func() {
-					for _, server := range running.World.Engines {
+					for _, server := range running.Environment.Engines {
 						server.SetFaults(engine.Faults{})
 					}
 				})
-				answer := running.Draft(0, "report", name, 20)
-				g.Expect(answer.Whole).To(gomega.BeTrue(), answer.Error)
-				g.Expect(answer.Text).To(gomega.Equal(engine.Answer(fleet.Prompt(name), 20)))
+				answer := running.Generate(0, "report", name, 20)
+				g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
+				g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt(name), 20)))
 				time.Sleep(6 * time.Second)
 			})
 		})
@@ -123,10 +123,10 @@
 func TestGracefulShutdownFinishesDrafts(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		for index := range running.Nodes {
-			answers := make([]fleet.Answer, 8)
+			answers := make([]fleet.Result, 8)
 			callers := conc.NewWaitGroup()
 			for caller := range answers {
-				callers.Go(func() { answers[caller] = running.Draft(index, "report", "long visit", 400) })
+				callers.Go(func() { answers[caller] = running.Generate(index, "report", "long visit", 400) })
 			}
 			time.Sleep(100 * time.Millisecond)
 			stopping := running.Nodes[index]
@@ -135,12 +135,12 @@
 			g.Expect(running.Call(index, http.MethodGet, "/readyz", nil, "").Status).To(gomega.Equal(http.StatusServiceUnavailable))
 			callers.Wait()
 			for _, answer := range answers {
-				g.Expect(answer.Whole).To(gomega.BeTrue(), answer.Error)
-				g.Expect(answer.Text).To(gomega.Equal(engine.Answer(fleet.Prompt("long visit"), 400)))
+				g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
+				g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("long visit"), 400)))
 			}
 			running.StartNode(index)
 			running.Eventually(20*time.Second, "the new incarnation is ready", func() bool {
-				return running.Nodes[index].Ready() == nil && running.Serving(index, "drafting") == 2
+				return running.Nodes[index].Ready() == nil && running.ServingGroups(index, "drafting") == 2
 			})
 		}
 	})
--- a/internal/run/node/random_test.go
+++ b/internal/run/node/random_test.go
@@ -41,7 +41,7 @@
 				faultInjector := &faultInjector{t: t, running: running, random: rand.New(rand.NewPCG(seed, 7))}
 				faultInjector.run(seed)
 				running.Eventually(4*time.Minute, "all groups serve again", allNodesSeeServing(running, 4))
-				g.Expect(running.Draft(0, "report", "after all", 10).Whole).To(gomega.BeTrue())
+				g.Expect(running.Generate(0, "report", "after all", 10).Complete).To(gomega.BeTrue())
 			})
 		})
 	}
@@ -76,11 +76,11 @@
 
 // injectOrRepair injects one random fault or repairs one.
 func (faultInjector *faultInjector) injectOrRepair() {
-	engines := faultInjector.running.World.Engines
+	engines := faultInjector.running.Environment.Engines
 	server := engines[faultInjector.random.IntN(len(engines))]
 	node := faultInjector.random.IntN(len(faultInjector.running.Nodes))
-	name := faultInjector.running.Trees[node].Name
-	peer := faultInjector.running.Trees[(node+1)%len(faultInjector.running.Trees)].Listen.Peer
+	name := faultInjector.running.Settings[node].Name
+	peer := faultInjector.running.Settings[(node+1)%len(faultInjector.running.Settings)].Listen.Peer
 	switch faultInjector.random.IntN(12) {
 	case 0:
 		server.SetFaults(engine.Faults{Dead: true})
@@ -95,14 +95,14 @@
 	case 6:
 		server.SetFaults(engine.Faults{})
 	case 7:
-		faultInjector.running.Network.Cut(name, peer)
+		faultInjector.running.Network.Partition(name, peer)
 	case 8:
-		faultInjector.running.Network.Cut(name, server.Report().Address)
+		faultInjector.running.Network.Partition(name, server.Report().Address)
 	case 9:
 		faultInjector.running.Network.Heal(name, peer, server.Report().Address)
 	case 10:
 		faults := []platform.LogFaults{{}, {Dark: true}, {LoseReplies: true}, {LatencyMs: 2000}, {StaleBy: 2}}
-		faultInjector.running.World.Log.SetFaults(faults[faultInjector.random.IntN(len(faults))])
+		faultInjector.running.Environment.Log.SetFaults(faults[faultInjector.random.IntN(len(faults))])
 	case 11:
 		faultInjector.replaceNode(node)
 	}
@@ -115,17 +115,17 @@
 }
 
 func (faultInjector *faultInjector) repairAll() {
-	faultInjector.running.World.Log.SetFaults(platform.LogFaults{})
+	faultInjector.running.Environment.Log.SetFaults(platform.LogFaults{})
 	// Engines are not restarted here. The nodes must detect engines that still belong to an old group and reuse them
 	// as they are.
-	for _, server := range faultInjector.running.World.Engines {
+	for _, server := range faultInjector.running.Environment.Engines {
 		server.SetFaults(engine.Faults{})
 	}
-	for _, tree := range faultInjector.running.Trees {
-		for _, other := range faultInjector.running.Trees {
+	for _, tree := range faultInjector.running.Settings {
+		for _, other := range faultInjector.running.Settings {
 			faultInjector.running.Network.Heal(tree.Name, other.Listen.Peer)
 		}
-		for _, server := range faultInjector.running.World.Engines {
+		for _, server := range faultInjector.running.Environment.Engines {
 			faultInjector.running.Network.Heal(tree.Name, server.Report().Address)
 		}
 	}
@@ -141,7 +141,7 @@
 			return
 		}
 		time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
-		node := random.IntN(len(faultInjector.running.Trees))
+		node := random.IntN(len(faultInjector.running.Settings))
 		if random.IntN(2) == 0 {
 			faultInjector.draft(node, fmt.Sprintf("caller %d, draft %d", caller, serial))
 			continue
@@ -152,19 +152,19 @@
 
 func (faultInjector *faultInjector) draft(node int, content string) {
 	const tokens = 30
-	answer := faultInjector.running.Draft(node, "report", content, tokens)
-	want := engine.Answer(fleet.Prompt(content), tokens)
+	answer := faultInjector.running.Generate(node, "report", content, tokens)
+	want := engine.Completion(fleet.Prompt(content), tokens)
 	switch {
-	case answer.Whole && answer.Text != want:
+	case answer.Complete && answer.Text != want:
 		faultInjector.t.Errorf("%s: complete draft has the wrong text: %q", content, answer.Text)
-	case !answer.Whole && answer.Text != "" && answer.Status == 200 && len(answer.Text) <= len(want) && answer.Text != want[:len(answer.Text)]:
+	case !answer.Complete && answer.Text != "" && answer.Status == 200 && len(answer.Text) <= len(want) && answer.Text != want[:len(answer.Text)]:
 		faultInjector.t.Errorf("%s: partial draft has the wrong text: %q", content, answer.Text)
 	}
 }
 
 func (faultInjector *faultInjector) book(node int, key string) {
-	answer := faultInjector.running.Book(node, key, key)
-	if answer.Outcome == outcome.Run && faultInjector.running.World.Book.Executions(key) != 1 {
-		faultInjector.t.Errorf("%s: outcome is Run, but the call was executed %d times", key, faultInjector.running.World.Book.Executions(key))
+	answer := faultInjector.running.BookSlot(node, key, key)
+	if answer.Outcome == outcome.Run && faultInjector.running.Environment.Book.Executions(key) != 1 {
+		faultInjector.t.Errorf("%s: outcome is Run, but the call was executed %d times", key, faultInjector.running.Environment.Book.Executions(key))
 	}
 }
--- a/internal/run/node/traffic_test.go
+++ b/internal/run/node/traffic_test.go
@@ -24,10 +24,10 @@
 	}
 	withFleet(t, shape, func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		time.Sleep(20 * time.Second)
-		before, appends := sumControlTraffic(running), running.World.Log.Appends()
+		before, appends := sumControlTraffic(running), running.Environment.Log.Appends()
 		time.Sleep(idleSeconds * time.Second)
 		after := sumControlTraffic(running)
-		g.Expect(running.World.Log.Appends()).To(gomega.Equal(appends), "appends of an idle fleet")
+		g.Expect(running.Environment.Log.Appends()).To(gomega.Equal(appends), "appends of an idle fleet")
 		g.Expect(after.peerRequests-before.peerRequests).To(gomega.BeNumerically("<=", nodes*(nodes-1)*idleSeconds), "requests to peers")
 		g.Expect(after.reportRequests-before.reportRequests).To(gomega.BeNumerically("<=", servers*(idleSeconds+1)), "report requests, to each server from one node")
 		g.Expect(after.listQueries-before.listQueries).To(gomega.BeNumerically("<=", idleSeconds/3+idleSeconds/15+nodes), "queries to the instance list, from one node")
@@ -59,10 +59,10 @@
 func TestNodeWithoutInstanceListLearnsFromPeers(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		running.Kill(0)
-		running.Network.Cut(running.Trees[0].Name, "127.0.0.1:7001")
+		running.Network.Partition(running.Settings[0].Name, "127.0.0.1:7001")
 		running.StartNode(0)
 		running.Eventually(20*time.Second, "the cut-off node sees the groups", allNodesSeeServing(running, 2))
-		g.Expect(running.Draft(0, "report", "cut off", 5).Whole).To(gomega.BeTrue())
+		g.Expect(running.Generate(0, "report", "cut off", 5).Complete).To(gomega.BeTrue())
 	})
 }
 
@@ -78,10 +78,10 @@
 	withFleet(t, shape, func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		time.Sleep(20 * time.Second)
 		for _, index := range []int{2, 3} {
-			running.Network.Cut(running.Trees[index].Name, "127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
+			running.Network.Partition(running.Settings[index].Name, "127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
 		}
 		time.Sleep(15 * time.Second)
-		running.World.Log.Append("Config", fleet.ChangeBody(fleet.Target("late", "drafting", 0.1), 0, "late"))
+		running.Environment.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget("late", "drafting", 0.1), 0, "late"))
 		running.Eventually(9*time.Second, "the change is in force everywhere", func() bool {
 			for _, node := range running.Nodes {
 				if node.State().Classes.Classes != 2 {
@@ -90,7 +90,7 @@
 			}
 			return true
 		})
-		g.Expect(running.Draft(2, "late", "cut off", 5).Whole).To(gomega.BeTrue())
+		g.Expect(running.Generate(2, "late", "cut off", 5).Complete).To(gomega.BeTrue())
 	})
 }
 
@@ -99,7 +99,7 @@
 func TestDraftsReuseConnections(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		for range 20 {
-			g.Expect(running.Draft(0, "report", "one after the other", 3).Whole).To(gomega.BeTrue())
+			g.Expect(running.Generate(0, "report", "one after the other", 3).Complete).To(gomega.BeTrue())
 		}
 		g.Expect(running.Nodes[0].State().Traffic.Drafts.Connections).To(gomega.BeNumerically("<=", 2))
 	})
@@ -115,27 +115,27 @@
 	}
 	withFleet(t, shape, func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		time.Sleep(30 * time.Second)
-		g.Expect(running.Book(0, "visit", "lakes").Outcome).To(gomega.Equal(outcome.Run))
-		g.Expect(running.Book(2, "face", "costa").Outcome).To(gomega.Equal(outcome.Run))
+		g.Expect(running.BookSlot(0, "visit", "lakes").Outcome).To(gomega.Equal(outcome.Run))
+		g.Expect(running.BookSlot(2, "face", "costa").Outcome).To(gomega.Equal(outcome.Run))
 		_, known := running.Nodes[2].Booking(demo.ServiceName, "visit")
 		g.Expect(known).To(gomega.BeFalse())
 
 		for _, index := range []int{2, 3} {
-			running.Network.Cut(running.Trees[index].Name, "127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
+			running.Network.Partition(running.Settings[index].Name, "127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
 		}
 		time.Sleep(15 * time.Second)
-		running.World.Log.Append("Config", fleet.ChangeBody(fleet.Target("late", "drafting", 0.1), 0, "late"))
+		running.Environment.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget("late", "drafting", 0.1), 0, "late"))
 		running.Eventually(9*time.Second, "the change is in force in both regions", func() bool {
 			return running.Nodes[2].InForce("late") == 1 && running.Nodes[3].InForce("late") == 1
 		})
-		for _, server := range running.World.Engines[4:] {
+		for _, server := range running.Environment.Engines[4:] {
 			server.SetFaults(engine.Faults{Dead: true})
 		}
-		running.Eventually(10*time.Second, "the region's group has stopped", func() bool { return running.Serving(2, "drafting") == 0 })
+		running.Eventually(10*time.Second, "the region's group has stopped", func() bool { return running.ServingGroups(2, "drafting") == 0 })
 		time.Sleep(5 * time.Second)
-		answer := running.Draft(2, "report", "far away", 3)
+		answer := running.Generate(2, "report", "far away", 3)
 		g.Expect(answer.Outcome).To(gomega.Equal(outcome.NotRun), answer.Text)
-		for _, server := range running.World.Engines[4:] {
+		for _, server := range running.Environment.Engines[4:] {
 			server.Restart()
 		}
 	})
--- a/internal/run/trial/trial.go
+++ b/internal/run/trial/trial.go
@@ -46,7 +46,7 @@
 )
 
 // engineRates give a group with eight slots a throughput of 1,000 tokens per second.
-var engineRates = engine.Rates{Step: 4 * time.Millisecond, StepEach: 500 * time.Microsecond, Prefill: 20_000, Concurrency: 8}
+var engineRates = engine.Rates{Step: 4 * time.Millisecond, StepPerRequest: 500 * time.Microsecond, PrefillPerSecond: 20_000, Concurrency: 8}
 
 // The classes of the trials, with their targets.
 var (
--- a/internal/state/booking/booking_test.go
+++ b/internal/state/booking/booking_test.go
@@ -39,7 +39,7 @@
 // cluster holds a log, a service and the nodes that call the service.
 type cluster struct {
 	log   *platform.Log
-	book  *standin.Book
+	book  *standin.ExecutionCounter
 	nodes []*node
 
 	mu              sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 func newCluster(nodes int) *cluster {
-	cluster := &cluster{log: platform.NewLog(), book: standin.NewBook(), byIncarnation: map[uint64]*node{}}
+	cluster := &cluster{log: platform.NewLog(), book: standin.NewExecutionCounter(), byIncarnation: map[uint64]*node{}}
 	for range nodes {
 		cluster.nodes = append(cluster.nodes, cluster.start())
 	}
@@ -132,7 +132,7 @@
 
 func (cluster *cluster) execute(key string) int {
 	time.Sleep(10 * time.Millisecond)
-	return cluster.book.Run(key)
+	return cluster.book.Record(key)
 }
 
 // withCluster runs a test in virtual time, on nodes that have read the log.
--- a/internal/state/booking/random_test.go
+++ b/internal/state/booking/random_test.go
@@ -122,7 +122,7 @@
 
 func (cluster *cluster) check(t *testing.T, requests []request) {
 	t.Helper()
-	if duplicates := cluster.book.Doubled(); duplicates != 0 {
+	if duplicates := cluster.book.Duplicates(); duplicates != 0 {
 		t.Errorf("%d calls ran twice", duplicates)
 	}
 	reported := map[string]bool{}
--- a/internal/state/booking/table_test.go
+++ b/internal/state/booking/table_test.go
@@ -22,7 +22,7 @@
 // Applies random intents and outcomes, many of them without effect, and restarts the table from a checkpoint. The table
 // must match a model that is a plain map.
 func TestTableMatchesMapModel(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		table := booking.NewTable(time.Hour)
 		model := map[string]claim{}
--- a/internal/state/class/class_test.go
+++ b/internal/state/class/class_test.go
@@ -46,7 +46,7 @@
 }
 
 func change(name, id string, base uint64, firstToken uint32) *record.ConfigChange {
-	target := fleet.Target(name, "drafting", 0.1)
+	target := fleet.ClassTarget(name, "drafting", 0.1)
 	target.FirstTokenMs = firstToken
 	return &record.ConfigChange{ChangeID: id, Name: name, BaseRevision: base, Target: target, Operator: id}
 }
@@ -105,11 +105,11 @@
 		g := gomega.NewWithT(t)
 		log := platform.NewLog()
 		table := class.New()
-		apply(t, table, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
-		log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
+		apply(t, table, 0, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "first"))
+		log.Append(class.StreamName, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "first"))
 		checkpoint, err := table.StateMachine().Snapshot(1)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.7), 1, "second"))
+		log.Append(class.StreamName, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.7), 1, "second"))
 		log.Append(class.StreamName, checkpoint)
 		log.DropBefore(class.StreamName, 1)
 
@@ -137,7 +137,7 @@
 		g := gomega.NewWithT(t)
 		log := platform.NewLog()
 		for index := range 3 {
-			log.Append(class.StreamName, fleet.ChangeBody(fleet.Target(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)))
+			log.Append(class.StreamName, fleet.EncodeClassChange(fleet.ClassTarget(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)))
 		}
 		log.DropBefore(class.StreamName, 2)
 		newcomer, peer := follow(log), follow(platform.NewLog())
@@ -151,7 +151,7 @@
 		for index := range 3 {
 			peer.ApplyFetched(stream.FetchReply{Records: []logservice.Record{{
 				Offset: uint64(index),
-				Body:   fleet.ChangeBody(fleet.Target(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)),
+				Body:   fleet.EncodeClassChange(fleet.ClassTarget(fmt.Sprintf("class-%d", index), "drafting", 0.1), 0, fmt.Sprint(index)),
 			}}})
 		}
 		reply, err := peer.Fetch(newcomer.NextFetch(), 10)
@@ -170,7 +170,7 @@
 		"a replica lags":   func(log *platform.Log) { log.SetFaults(platform.LogFaults{StaleBy: 2}) },
 		"comes back with an old record": func(log *platform.Log) {
 			log.Wipe()
-			log.Append(class.StreamName, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "imposter"))
+			log.Append(class.StreamName, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "imposter"))
 		},
 	}
 	for name, fault := range cases {
@@ -206,7 +206,7 @@
 // rolling upgrade would lose it.
 func TestUnknownFieldIsKept(t *testing.T) {
 	g := gomega.NewWithT(t)
-	body := fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "newer")
+	body := fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "newer")
 	decoded := &record.ConfigRecord{}
 	g.Expect(proto.Unmarshal(body, decoded)).To(gomega.Succeed())
 	const unknownField = "\xa2\x06\x03new"
@@ -236,7 +236,7 @@
 // Applies random changes, some of them stale, repeated or invalid, with checkpoints in between, and starts a reader at
 // a random offset. The reader must reach the same revisions as the model.
 func TestTableMatchesModel(t *testing.T) {
-	suite.FixRapid(t)
+	suite.SeedRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		log := [][]byte{}
 		model := revisionModel{}
@@ -306,10 +306,10 @@
 func TestOldCheckpointChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := class.New()
-	apply(t, table, 0, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.1), 0, "first"))
+	apply(t, table, 0, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.1), 0, "first"))
 	oldCheckpoint, err := table.StateMachine().Snapshot(1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	apply(t, table, 1, fleet.ChangeBody(fleet.Target("urgent", "drafting", 0.2), 1, "second"))
+	apply(t, table, 1, fleet.EncodeClassChange(fleet.ClassTarget("urgent", "drafting", 0.2), 1, "second"))
 	apply(t, table, 2, oldCheckpoint)
 	g.Expect(table.Snapshot().Entries["urgent"].ChangeID).To(gomega.Equal("second"))
 	g.Expect(table.State().Reverts).To(gomega.BeZero())
