--- a/internal/fleet/detour/detour.go
+++ b/internal/fleet/detour/detour.go
@@ -26,7 +26,7 @@
 
 	"hazelslip/internal/common/clock"
 	"hazelslip/internal/policy/dispatch"
-	"hazelslip/internal/policy/reach"
+	"hazelslip/internal/policy/pathhealth"
 )
 
 const (
@@ -45,7 +45,7 @@
 	PeerAddress string
 	DataCentre  string
 	// Lost are the destinations to which the node has lost its path.
-	Lost []reach.Destination
+	Lost []pathhealth.Destination
 	// Calls is the number of the node's calls under way.
 	Calls int
 }
@@ -132,7 +132,7 @@
 
 // PeersWithPath returns the frame addresses of the nodes that reported recently that they still have a path to any of
 // the lost destinations.
-func (table *Table) PeersWithPath(lost []reach.Destination) []string {
+func (table *Table) PeersWithPath(lost []pathhealth.Destination) []string {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	addresses := []string{}
@@ -146,7 +146,7 @@
 
 // Choose returns a node that still has a path to one of the lost destinations of a service. It skips the excluded
 // addresses and nodes that failed recently.
-func (table *Table) Choose(service string, lost []reach.Destination, exclude []string) (*Peer, bool) {
+func (table *Table) Choose(service string, lost []pathhealth.Destination, exclude []string) (*Peer, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	now, lost := table.now(), destinationsOf(service, lost)
@@ -174,13 +174,13 @@
 }
 
 // hasPath reports whether the node has a path to any of the destinations.
-func (peer *Peer) hasPath(destinations []reach.Destination) bool {
-	return slices.ContainsFunc(destinations, func(destination reach.Destination) bool { return !slices.Contains(peer.Lost, destination) })
+func (peer *Peer) hasPath(destinations []pathhealth.Destination) bool {
+	return slices.ContainsFunc(destinations, func(destination pathhealth.Destination) bool { return !slices.Contains(peer.Lost, destination) })
 }
 
 // destinationsOf returns the destinations that belong to a service.
-func destinationsOf(service string, destinations []reach.Destination) []reach.Destination {
-	return slices.DeleteFunc(slices.Clone(destinations), func(destination reach.Destination) bool { return destination.Service != service })
+func destinationsOf(service string, destinations []pathhealth.Destination) []pathhealth.Destination {
+	return slices.DeleteFunc(slices.Clone(destinations), func(destination pathhealth.Destination) bool { return destination.Service != service })
 }
 
 // RecordQuery records that other nodes were queried and have had time to answer.
@@ -229,7 +229,7 @@
 
 // RecordLostPaths records that a node, in refusing a request, reported that it reaches no server of the service
 // either.
-func (table *Table) RecordLostPaths(address, service string, lost []reach.Destination) {
+func (table *Table) RecordLostPaths(address, service string, lost []pathhealth.Destination) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	peer, known := table.peers[address]
@@ -249,7 +249,7 @@
 // State describes a node of the table in the state dump.
 type State struct {
 	Address, DataCentre string
-	Lost                []reach.Destination
+	Lost                []pathhealth.Destination
 	// Calls is the number of calls that the node reported, Mine the number that this node has under way through it.
 	Calls, Mine     int
 	AgeMilliseconds int64
--- a/internal/fleet/detour/detour_test.go
+++ b/internal/fleet/detour/detour_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 
 	"hazelslip/internal/fleet/detour"
-	"hazelslip/internal/policy/reach"
+	"hazelslip/internal/policy/pathhealth"
 )
 
 // Guards against requests through a node that does not reach the service, has not reported recently, or has just failed
@@ -18,7 +18,7 @@
 	expect := gomega.NewWithT(t)
 	at := time.Hour
 	table := detour.New("east", detour.Clock(func() time.Duration { return at }))
-	lost := []reach.Destination{{Service: "drafts", DataCentre: "east"}, {Service: "drafts", DataCentre: "west"}}
+	lost := []pathhealth.Destination{{Service: "drafts", DataCentre: "east"}, {Service: "drafts", DataCentre: "west"}}
 	choose := func(exclude ...string) string {
 		peer, found := table.Choose("drafts", lost, exclude)
 		if !found {
@@ -59,7 +59,7 @@
 				table.RecordReport(detour.Node{Address: fmt.Sprint(node), DataCentre: "east", Calls: calls[node]})
 			}
 			for range 20 {
-				peer, found := table.Choose("drafts", []reach.Destination{{Service: "drafts"}}, nil)
+				peer, found := table.Choose("drafts", []pathhealth.Destination{{Service: "drafts"}}, nil)
 				expect.Expect(found).To(gomega.BeTrue())
 				peer.Begin(0, 0, func() {})
 				node := 0
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -31,7 +31,7 @@
 	"hazelslip/internal/fleet/overlay"
 	"hazelslip/internal/fleet/roster"
 	"hazelslip/internal/peer/store"
-	"hazelslip/internal/policy/patience"
+	"hazelslip/internal/policy/storetiming"
 	"hazelslip/internal/state/configuration"
 	"hazelslip/internal/state/storelog"
 )
@@ -154,11 +154,11 @@
 }
 
 // storeLimits returns how long this node waits for the store.
-func (follower *Follower) storeLimits() patience.Timing {
+func (follower *Follower) storeLimits() storetiming.Timing {
 	if follower.ReadPolicy().Role == overlay.Root {
-		return patience.TimingFor(patience.Representative)
+		return storetiming.TimingFor(storetiming.Representative)
 	}
-	return patience.TimingFor(patience.Listener)
+	return storetiming.TimingFor(storetiming.Listener)
 }
 
 const (
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -9,7 +9,7 @@
 
 	"hazelslip/internal/fleet/roster"
 	"hazelslip/internal/peer/store"
-	"hazelslip/internal/policy/patience"
+	"hazelslip/internal/policy/storetiming"
 	"hazelslip/internal/state/storelog"
 )
 
@@ -64,7 +64,7 @@
 	return follower.Now()-time.Duration(follower.listReadAt.Load()) < ListMaxAge
 }
 
-func (follower *Follower) readList(limits patience.Timing) error {
+func (follower *Follower) readList(limits storetiming.Timing) error {
 	readAll := follower.shouldReadAllAgain(follower.Now())
 	from := follower.listPosition(readAll)
 	listing, err := store.CallHedged(follower.Calls, follower.Component, store.HedgedRequest[store.Listing]{
--- a/internal/fleet/formation/fault_schedules_test.go
+++ b/internal/fleet/formation/fault_schedules_test.go
@@ -17,7 +17,7 @@
 
 	"hazelslip/internal/common/clock"
 	"hazelslip/internal/fleet/formation"
-	"hazelslip/internal/fleet/tenure"
+	"hazelslip/internal/fleet/leadership"
 	"hazelslip/internal/standin/backends"
 	"hazelslip/internal/state/storelog"
 )
@@ -76,7 +76,7 @@
 type simulation struct {
 	fleet   *fleet
 	termLog *termLog
-	keepers []*tenure.Elector
+	keepers []*leadership.Elector
 	stop    chan struct{}
 	done    sync.WaitGroup
 
@@ -94,11 +94,11 @@
 		simulation.fleet.world.SetStaged(serverID(server), "small")
 	}
 	for index, node := range simulation.fleet.nodes {
-		var keeper *tenure.Elector
-		keeper = tenure.New(uint64(index)+1, func() (storelog.Position, error) { return simulation.termLog.claim(node.name) }, clock.Virtual(),
+		var keeper *leadership.Elector
+		keeper = leadership.New(uint64(index)+1, func() (storelog.Position, error) { return simulation.termLog.claim(node.name) }, clock.Virtual(),
 			// One node's own terms are even and the other's odd. Two nodes that reach neither
 			// each other nor the store thus never choose the same term.
-			tenure.Random(func(int64) int64 { return (keeper.Highest() + 1 + int64(index)) % 2 }))
+			leadership.Random(func(int64) int64 { return (keeper.Highest() + 1 + int64(index)) % 2 }))
 		node.onOutdated = keeper.HandleRefusal
 		simulation.keepers = append(simulation.keepers, keeper)
 	}
@@ -139,9 +139,9 @@
 func (simulation *simulation) runKeeper(index int) {
 	own, other := simulation.keepers[index], simulation.keepers[1-index]
 	for simulation.wait(100 * time.Millisecond) {
-		peers := []tenure.Peer{}
+		peers := []leadership.Peer{}
 		if !simulation.fleet.nodes[0].isolated.Load() {
-			peers = append(peers, tenure.Peer{Incarnation: uint64(2 - index), Term: other.Term(), Eligible: true})
+			peers = append(peers, leadership.Peer{Incarnation: uint64(2 - index), Term: other.Term(), Eligible: true})
 		}
 		if own.TryTakeOver(peers, true) {
 			simulation.recordLeader(index, own.Term())
--- a/internal/fleet/formation/formation.go
+++ b/internal/fleet/formation/formation.go
@@ -1,7 +1,7 @@
 // Package formation forms replica groups from backend servers and repairs them.
 //
 // One node of the fleet is the leader and sends orders. It leads under a term, a fencing number
-// that rises with each change of the leader (see package tenure). Several nodes may believe that
+// that rises with each change of the leader (see package leadership). Several nodes may believe that
 // they lead, so safety does not depend on a single leader: a server refuses orders under a term
 // lower than one that it has seen, an order to join names the number of orders that the server had
 // accepted at its last report, and epochs rise in the order in which they are issued. Two nodes
--- a/internal/fleet/tenure/tenure.go
+++ b/internal/fleet/leadership/leadership.go
@@ -1,4 +1,4 @@
-// Package tenure elects the node that sends orders to backend servers, the leader.
+// Package leadership elects the node that sends orders to backend servers, the leader.
 //
 // Each leader has a term: a number that fences its orders. Normally a node gets a term from the platform's store, by
 // appending a record: the term derives from the record's position, so no two nodes get the same term and each term is
@@ -16,10 +16,10 @@
 //
 // # Usage
 //
-//	elector := tenure.New(incarnation, claim, clock.Boot)
+//	elector := leadership.New(incarnation, claim, clock.Boot)
 //	elector.TryTakeOver(peers, eligible)
 //	if term := elector.Term(); term != 0 { ... }
-package tenure
+package leadership
 
 import (
 	"math/rand/v2"
--- a/internal/fleet/tenure/tenure_test.go
+++ b/internal/fleet/leadership/leadership_test.go
@@ -1,4 +1,4 @@
-package tenure_test
+package leadership_test
 
 import (
 	"testing"
@@ -9,14 +9,14 @@
 	"github.com/onsi/gomega"
 
 	"hazelslip/internal/common/clock"
-	"hazelslip/internal/fleet/tenure"
+	"hazelslip/internal/fleet/leadership"
 	"hazelslip/internal/state/storelog"
 )
 
 var errUnavailable = errors.New("store unavailable")
 
 // tryFor calls TryTakeOver as often as a node does, until it succeeds or the span has passed.
-func tryFor(elector *tenure.Elector, peers []tenure.Peer, span time.Duration) bool {
+func tryFor(elector *leadership.Elector, peers []leadership.Peer, span time.Duration) bool {
 	for start := time.Now(); time.Since(start) < span; time.Sleep(100 * time.Millisecond) {
 		if elector.TryTakeOver(peers, true) {
 			return true
@@ -28,9 +28,9 @@
 func TestFirstCandidateTakesNextTermOfStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Position{Offset: 3}, nil }, clock.Virtual())
+		elector := leadership.New(7, func() (storelog.Position, error) { return storelog.Position{Offset: 3}, nil }, clock.Virtual())
 		expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
-		expect.Expect(elector.Term()).To(gomega.Equal(int64(4 * tenure.TermSpacing)))
+		expect.Expect(elector.Term()).To(gomega.Equal(int64(4 * leadership.TermSpacing)))
 	})
 }
 
@@ -41,8 +41,8 @@
 func TestTermObservedDuringClaimIsNotAdopted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		var elector *tenure.Elector
-		elector = tenure.New(7, func() (storelog.Position, error) {
+		var elector *leadership.Elector
+		elector = leadership.New(7, func() (storelog.Position, error) {
 			elector.Observe(9000)
 			return storelog.Unknown, errUnavailable
 		}, clock.Virtual())
@@ -55,17 +55,17 @@
 func TestNoTakeoverWhileLeaderIsHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Position{Offset: 3}, nil }, clock.Virtual())
-		leaders := []tenure.Peer{{Incarnation: 9, Term: 4096, Eligible: true}}
+		elector := leadership.New(7, func() (storelog.Position, error) { return storelog.Position{Offset: 3}, nil }, clock.Virtual())
+		leaders := []leadership.Peer{{Incarnation: 9, Term: 4096, Eligible: true}}
 		expect.Expect(tryFor(elector, leaders, 5*time.Second)).To(gomega.BeFalse())
-		expect.Expect(tryFor(elector, []tenure.Peer{{Incarnation: 9, Eligible: false}}, 2*time.Second)).To(gomega.BeTrue())
+		expect.Expect(tryFor(elector, []leadership.Peer{{Incarnation: 9, Eligible: false}}, 2*time.Second)).To(gomega.BeTrue())
 	})
 }
 
 func TestLeaderStepsDownForHigherTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Unknown, errUnavailable }, clock.Virtual())
+		elector := leadership.New(7, func() (storelog.Position, error) { return storelog.Unknown, errUnavailable }, clock.Virtual())
 		expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
 		elector.Observe(elector.Term() + 1)
 		expect.Expect(elector.Term()).To(gomega.BeZero())
@@ -77,7 +77,7 @@
 func TestRefusedTermStartsCooldown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
-		elector := tenure.New(7, func() (storelog.Position, error) { return storelog.Unknown, errUnavailable }, clock.Virtual())
+		elector := leadership.New(7, func() (storelog.Position, error) { return storelog.Unknown, errUnavailable }, clock.Virtual())
 		expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
 		first := elector.Term()
 		elector.HandleRefusal(first)
@@ -94,11 +94,11 @@
 		expect := gomega.NewWithT(t)
 		terms := []int64{}
 		for era := range int64(3) {
-			elector := tenure.New(uint64(era), func() (storelog.Position, error) { return storelog.Position{Era: era, Offset: 2 - era}, nil }, clock.Virtual())
+			elector := leadership.New(uint64(era), func() (storelog.Position, error) { return storelog.Position{Era: era, Offset: 2 - era}, nil }, clock.Virtual())
 			expect.Expect(tryFor(elector, nil, time.Second)).To(gomega.BeTrue())
 			terms = append(terms, elector.Term())
 		}
-		expect.Expect(terms[1]).To(gomega.BeNumerically(">", terms[0]+tenure.TermSpacing))
-		expect.Expect(terms[2]).To(gomega.BeNumerically(">", terms[1]+tenure.TermSpacing))
+		expect.Expect(terms[1]).To(gomega.BeNumerically(">", terms[0]+leadership.TermSpacing))
+		expect.Expect(terms[2]).To(gomega.BeNumerically(">", terms[1]+leadership.TermSpacing))
 	})
 }
--- a/internal/fleet/tally/tally.go
+++ b/internal/fleet/serverload/serverload.go
@@ -1,4 +1,4 @@
-// Package tally totals the loads of nodes at servers, and subtracts a node's own load from a total that includes it.
+// Package serverload totals the loads of nodes at servers, and subtracts a node's own load from a total that includes it.
 //
 // A relay sends the same total, computed and encoded once, to all its leaves. Each leaf subtracts the load that it
 // had itself reported: the total carries the sequence number of the leaf's last included report, and Reports keeps
@@ -10,8 +10,8 @@
 // # Usage
 //
 //	sequence := reports.Add(loads)
-//	others := tally.Subtract(total, reports.Find(included))
-package tally
+//	others := serverload.Subtract(total, reports.Find(included))
+package serverload
 
 import (
 	"sync"
--- a/internal/fleet/tally/tally_test.go
+++ b/internal/fleet/serverload/serverload_test.go
@@ -1,4 +1,4 @@
-package tally_test
+package serverload_test
 
 import (
 	"reflect"
@@ -7,17 +7,17 @@
 	"github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"hazelslip/internal/fleet/tally"
+	"hazelslip/internal/fleet/serverload"
 	"hazelslip/internal/policy/dispatch"
 )
 
 func TestSubtractRemovesOwnLoad(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	total := tally.ServerLoads{}
-	tally.Add(total, tally.ServerLoads{"a": {Calls: 3, PendingPromptTokens: 700}, "b": {Calls: 1}})
-	tally.Add(total, tally.ServerLoads{"a": {Calls: 2, PendingPromptTokens: 300}})
-	rest := tally.Subtract(total, tally.ServerLoads{"a": {Calls: 2, PendingPromptTokens: 900}, "b": {Calls: 1}})
-	expect.Expect(rest).To(gomega.Equal(tally.ServerLoads{"a": dispatch.ServerLoad{Calls: 3, PendingPromptTokens: 100}}))
+	total := serverload.ServerLoads{}
+	serverload.Add(total, serverload.ServerLoads{"a": {Calls: 3, PendingPromptTokens: 700}, "b": {Calls: 1}})
+	serverload.Add(total, serverload.ServerLoads{"a": {Calls: 2, PendingPromptTokens: 300}})
+	rest := serverload.Subtract(total, serverload.ServerLoads{"a": {Calls: 2, PendingPromptTokens: 900}, "b": {Calls: 1}})
+	expect.Expect(rest).To(gomega.Equal(serverload.ServerLoads{"a": dispatch.ServerLoad{Calls: 3, PendingPromptTokens: 100}}))
 }
 
 // Guards against subtracting the wrong report. A total arrives that includes only the first of three reports. If the
@@ -25,14 +25,14 @@
 // subtracted although the total lacks them.
 func TestIncludedReportIsSubtracted(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	reports := &tally.Reports{}
-	first := reports.Add(tally.ServerLoads{"a": {Calls: 5}})
-	reports.Add(tally.ServerLoads{"a": {Calls: 1}})
-	reports.Add(tally.ServerLoads{})
-	expect.Expect(tally.Subtract(tally.ServerLoads{"a": {Calls: 9}}, reports.Find(first))).To(gomega.Equal(tally.ServerLoads{"a": {Calls: 4}}))
+	reports := &serverload.Reports{}
+	first := reports.Add(serverload.ServerLoads{"a": {Calls: 5}})
+	reports.Add(serverload.ServerLoads{"a": {Calls: 1}})
+	reports.Add(serverload.ServerLoads{})
+	expect.Expect(serverload.Subtract(serverload.ServerLoads{"a": {Calls: 9}}, reports.Find(first))).To(gomega.Equal(serverload.ServerLoads{"a": {Calls: 4}}))
 	expect.Expect(reports.Find(0)).To(gomega.BeNil())
 	for range 20 {
-		reports.Add(tally.ServerLoads{})
+		reports.Add(serverload.ServerLoads{})
 	}
 	expect.Expect(reports.Find(first)).To(gomega.BeNil())
 }
@@ -41,9 +41,9 @@
 // sender's, and a frame must contain only changes.
 func TestDeltasReproduceTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sender, receiver := &tally.DeltaSender{}, &tally.DeltaReceiver{}
+		sender, receiver := &serverload.DeltaSender{}, &serverload.DeltaReceiver{}
 		for range rapid.IntRange(1, 20).Draw(t, "frames") {
-			total := tally.ServerLoads{}
+			total := serverload.ServerLoads{}
 			for _, server := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.ID).Draw(t, "servers") {
 				total[server] = dispatch.ServerLoad{Calls: rapid.IntRange(1, 3).Draw(t, "calls"), PendingPromptTokens: rapid.IntRange(0, 2).Draw(t, "unread")}
 			}
@@ -61,10 +61,10 @@
 
 func TestDecayBelowThresholdIsNotSent(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	sender := &tally.DeltaSender{}
-	sender.Next(tally.ServerLoads{"a": {Failed: 200, Answered: 400}})
-	changed, _ := sender.Next(tally.ServerLoads{"a": {Failed: 190, Answered: 380}})
+	sender := &serverload.DeltaSender{}
+	sender.Next(serverload.ServerLoads{"a": {Failed: 200, Answered: 400}})
+	changed, _ := sender.Next(serverload.ServerLoads{"a": {Failed: 190, Answered: 380}})
 	expect.Expect(changed).To(gomega.BeEmpty())
-	changed, _ = sender.Next(tally.ServerLoads{"a": {Failed: 170, Answered: 340}})
+	changed, _ = sender.Next(serverload.ServerLoads{"a": {Failed: 170, Answered: 340}})
 	expect.Expect(changed).To(gomega.HaveLen(1))
 }
--- a/internal/peer/store/calls.go
+++ b/internal/peer/store/calls.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"hazelslip/internal/common/clock"
-	"hazelslip/internal/policy/patience"
+	"hazelslip/internal/policy/storetiming"
 )
 
 // CallTracker tracks the calls of one node to the store and derives from them whether the store is available.
@@ -32,7 +32,7 @@
 	outageStartedAt time.Duration
 	// newestAnsweredStart is the latest start time of any answered call.
 	newestAnsweredStart time.Duration
-	latencies           patience.LatencyWindow
+	latencies           storetiming.LatencyWindow
 	// recovery is closed when the store answers after a failure or when HintRecovery is called, and is then
 	// replaced.
 	recovery chan struct{}
--- a/internal/peer/store/hedge.go
+++ b/internal/peer/store/hedge.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"hazelslip/internal/common/lifecycle"
-	"hazelslip/internal/policy/patience"
+	"hazelslip/internal/policy/storetiming"
 )
 
 // HedgedRequest is a read of the store that may be sent as several concurrent calls, of which the first answer counts.
@@ -17,7 +17,7 @@
 	// Wait is the long-poll time of the first call: how long the store may wait for new records before it answers.
 	Wait time.Duration
 	// Timing holds the timeout of each call and the intervals between calls.
-	Timing patience.Timing
+	Timing storetiming.Timing
 	// MayHedge reports whether another call may be started while earlier calls are overdue. Recovery of the store
 	// starts another call in any case.
 	MayHedge func() bool
@@ -92,7 +92,7 @@
 	if hedger.tracker.Unavailable() {
 		return hedger.Wait + hedger.Timing.OutageInterval
 	}
-	return patience.HedgeDelay(hedger.Wait, hedger.tracker.LongestRecentLatency())
+	return storetiming.HedgeDelay(hedger.Wait, hedger.tracker.LongestRecentLatency())
 }
 
 // minHedgeInterval is the minimum age of the latest call for recovery of the store to start another call.
@@ -131,14 +131,14 @@
 // RetryPause is the pause between a failed call and the next one.
 type RetryPause struct {
 	tracker   *CallTracker
-	timing    patience.Timing
+	timing    storetiming.Timing
 	startedAt time.Duration
 	recovery  <-chan struct{}
 }
 
 // NewRetryPause returns the pause to make if the next call fails. It must be called before that call starts, so that a
 // recovery of the store during the call is not missed.
-func (tracker *CallTracker) NewRetryPause(timing patience.Timing) RetryPause {
+func (tracker *CallTracker) NewRetryPause(timing storetiming.Timing) RetryPause {
 	return RetryPause{tracker: tracker, timing: timing, startedAt: tracker.now(), recovery: tracker.Recovery()}
 }
 
--- a/internal/peer/store/hedge_test.go
+++ b/internal/peer/store/hedge_test.go
@@ -12,7 +12,7 @@
 
 	"hazelslip/internal/common/clock"
 	"hazelslip/internal/common/lifecycle"
-	"hazelslip/internal/policy/patience"
+	"hazelslip/internal/policy/storetiming"
 )
 
 // script makes hedged requests whose calls behave according to their number, counted from 1.
@@ -21,11 +21,11 @@
 	part     *lifecycle.Component
 	started  atomic.Int32
 	mayHedge bool
-	timing   patience.Timing
+	timing   storetiming.Timing
 }
 
 func newScript() *script {
-	return &script{tracker: NewCallTracker(Clock(clock.Virtual())), part: lifecycle.New("test"), mayHedge: true, timing: patience.TimingFor(patience.Representative)}
+	return &script{tracker: NewCallTracker(Clock(clock.Virtual())), part: lifecycle.New("test"), mayHedge: true, timing: storetiming.TimingFor(storetiming.Representative)}
 }
 
 // request makes a hedged request whose calls behave as given. It returns the number of the answered call and how long the
@@ -152,7 +152,7 @@
 		expect := gomega.NewWithT(t)
 		script := newScript()
 		defer script.part.Stop()
-		script.timing = patience.Timing{HedgeInterval: 400 * time.Millisecond, OutageInterval: 2 * time.Second, CallTimeout: 3 * time.Second}
+		script.timing = storetiming.Timing{HedgeInterval: 400 * time.Millisecond, OutageInterval: 2 * time.Second, CallTimeout: 3 * time.Second}
 		others := conc.WaitGroup{}
 		others.Go(func() {
 			for range 20 {
@@ -175,7 +175,7 @@
 		defer script.part.Stop()
 		script.tracker.Start("other", 0).Finish(errNoAnswer)
 		script.tracker.Start("other", 0).Finish(errNoAnswer)
-		pause := script.tracker.NewRetryPause(patience.TimingFor(patience.Listener))
+		pause := script.tracker.NewRetryPause(storetiming.TimingFor(storetiming.Listener))
 		script.tracker.Start("other", 0).Finish(nil)
 		script.tracker.Start("other", 0).Finish(errNoAnswer)
 		script.tracker.Start("other", 0).Finish(errNoAnswer)
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -35,8 +35,8 @@
 	"hazelslip/internal/policy/demand"
 	"hazelslip/internal/policy/notice"
 	"hazelslip/internal/policy/pace"
+	"hazelslip/internal/policy/pathhealth"
 	"hazelslip/internal/policy/ratelimit"
-	"hazelslip/internal/policy/reach"
 	"hazelslip/internal/policy/warmup"
 )
 
@@ -82,7 +82,7 @@
 	// dataCentrePath is the network path to the target's data centre, nil for the node's own data centre.
 	dataCentrePath *dataCentrePath
 	// path is this node's network path to the servers of the target's service in the target's data centre.
-	path *reach.Path
+	path *pathhealth.Path
 	// slotTime holds the measured slot times of the target's pool, nil for a plain server.
 	slotTime *slotTime
 	// drainMark tells whether the target's data centre is drained.
@@ -159,7 +159,7 @@
 	random       func(n int) int
 	now          clock.Now
 	serverRecord func(run ratelimit.Run) *notice.Record
-	paths        *reach.Paths
+	paths        *pathhealth.Paths
 	// hasIdleConnection reports whether there is an open connection to an address that carries no call.
 	hasIdleConnection func(address string) bool
 	drainMark         func(dataCentre string) *drain.Status
@@ -211,7 +211,7 @@
 }
 
 // Paths sets this node's network paths to servers.
-func Paths(paths *reach.Paths) Option {
+func Paths(paths *pathhealth.Paths) Option {
 	return func(board *Board) { board.paths = paths }
 }
 
@@ -251,7 +251,7 @@
 		board.demand = demand.New(demand.Clock(board.now))
 	}
 	if board.paths == nil {
-		board.paths = reach.New(reach.Clock(board.now), reach.Random(board.random))
+		board.paths = pathhealth.New(pathhealth.Clock(board.now), pathhealth.Random(board.random))
 	}
 	return board
 }
--- a/internal/policy/dispatch/path.go
+++ b/internal/policy/dispatch/path.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hazelslip/internal/policy/reach"
+	"hazelslip/internal/policy/pathhealth"
 )
 
 const (
@@ -15,13 +15,13 @@
 	recentEvent = 250 * time.Millisecond
 )
 
-func destinationOf(spec *Spec) reach.Destination {
-	return reach.Destination{Service: spec.Service, DataCentre: spec.DataCentre}
+func destinationOf(spec *Spec) pathhealth.Destination {
+	return pathhealth.Destination{Service: spec.Service, DataCentre: spec.DataCentre}
 }
 
 // updatePathServers tells each path which servers it leads to.
 func (board *Board) updatePathServers(current *snapshot) {
-	servers := map[reach.Destination][]string{}
+	servers := map[pathhealth.Destination][]string{}
 	for _, pool := range current.pools {
 		for _, target := range pool.targets {
 			servers[destinationOf(&target.Spec)] = append(servers[destinationOf(&target.Spec)], target.ID)
@@ -50,11 +50,11 @@
 // PathHealthy reports whether the path to the target is healthy. If it isn't, a failed call there says nothing
 // about the server.
 func (target *Target) PathHealthy() bool {
-	return target.path.Status() == reach.Healthy
+	return target.path.Status() == pathhealth.Healthy
 }
 
 // Path returns this node's network path to the target.
-func (target *Target) Path() *reach.Path {
+func (target *Target) Path() *pathhealth.Path {
 	return target.path
 }
 
@@ -71,7 +71,7 @@
 		return false
 	}
 	for _, target := range pool.targets {
-		if target.path.Status() != reach.Lost {
+		if target.path.Status() != pathhealth.Lost {
 			return false
 		}
 	}
@@ -79,7 +79,7 @@
 }
 
 // Paths returns this node's network paths to servers.
-func (board *Board) Paths() *reach.Paths {
+func (board *Board) Paths() *pathhealth.Paths {
 	return board.paths
 }
 
@@ -99,7 +99,7 @@
 
 // PathProbe lists servers to connect to, with their addresses.
 type PathProbe struct {
-	reach.Probe
+	pathhealth.Probe
 	Addresses map[string]string
 }
 
@@ -122,7 +122,7 @@
 
 // MoveCallsOff moves the calls of a lost path elsewhere, except at groups that have just had an event. It
 // returns the number of calls moved.
-func (board *Board) MoveCallsOff(path *reach.Path) int {
+func (board *Board) MoveCallsOff(path *pathhealth.Path) int {
 	moved, now := 0, board.now()
 	for _, target := range board.snapshot.Load().targets {
 		if target.path == path && target.Group != "" && now-time.Duration(target.lastEventAt.Load()) > recentEvent {
--- a/internal/policy/reach/path.go
+++ b/internal/policy/pathhealth/path.go
@@ -1,4 +1,4 @@
-package reach
+package pathhealth
 
 import (
 	"sync"
--- a/internal/policy/reach/reach.go
+++ b/internal/policy/pathhealth/pathhealth.go
@@ -1,4 +1,4 @@
-// Package reach tracks whether this node can reach the servers of each service, or has lost its network path to them.
+// Package pathhealth tracks whether this node can reach the servers of each service, or has lost its network path to them.
 //
 // A node that cannot connect to a server, or whose connections to a server are reset or go silent, cannot tell from
 // this one server whether the server has ended or the node's own network has failed. Servers fail one at a time,
@@ -13,12 +13,12 @@
 //
 // # Usage
 //
-//	paths := reach.New(reach.Clock(now))
-//	path := paths.Get(reach.Destination{Service: "drafts", DataCentre: "east"})
+//	paths := pathhealth.New(pathhealth.Clock(now))
+//	path := paths.Get(pathhealth.Destination{Service: "drafts", DataCentre: "east"})
 //	path.RecordConnectFailure("i-1", begunAt)
 //	for _, probe := range paths.DueProbes() { ... probe.Complete(reached) }
 //	path.Blocks("i-1")
-package reach
+package pathhealth
 
 import (
 	"cmp"
--- a/internal/policy/reach/reach_test.go
+++ b/internal/policy/pathhealth/pathhealth_test.go
@@ -1,4 +1,4 @@
-package reach_test
+package pathhealth_test
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 
 	"github.com/onsi/gomega"
 
-	"hazelslip/internal/policy/reach"
+	"hazelslip/internal/policy/pathhealth"
 )
 
 // fixture is a path to a number of servers, some of which accept connections.
 type fixture struct {
 	now        time.Duration
-	paths      *reach.Paths
-	path       *reach.Path
+	paths      *pathhealth.Paths
+	path       *pathhealth.Path
 	reachable  map[string]bool
 	probeCount int
 }
@@ -22,8 +22,8 @@
 func newFixture(servers int) *fixture {
 	fixture := &fixture{now: time.Hour, reachable: map[string]bool{}}
 	number := 0
-	fixture.paths = reach.New(reach.Clock(func() time.Duration { return fixture.now }), reach.Random(func(n int) int { number++; return number * 7 % n }))
-	fixture.path = fixture.paths.Get(reach.Destination{Service: "drafts", DataCentre: "east"})
+	fixture.paths = pathhealth.New(pathhealth.Clock(func() time.Duration { return fixture.now }), pathhealth.Random(func(n int) int { number++; return number * 7 % n }))
+	fixture.path = fixture.paths.Get(pathhealth.Destination{Service: "drafts", DataCentre: "east"})
 	names := []string{}
 	for server := range servers {
 		names = append(names, serverName(server))
@@ -67,14 +67,14 @@
 		fixture := newFixture(servers)
 		fixture.setReachable(0)
 		for server := range min(2, servers) {
-			expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Healthy))
+			expect.Expect(fixture.path.Status()).To(gomega.Equal(pathhealth.Healthy))
 			fixture.path.RecordConnectFailure(serverName(server), fixture.now)
 		}
-		expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Suspected))
+		expect.Expect(fixture.path.Status()).To(gomega.Equal(pathhealth.Suspected))
 		fixture.runProbes(0)
-		expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Lost))
+		expect.Expect(fixture.path.Status()).To(gomega.Equal(pathhealth.Lost))
 		expect.Expect(fixture.probeCount).To(gomega.BeNumerically("<=", 4))
-		expect.Expect(fixture.paths.LostDestinations(false)).To(gomega.Equal([]reach.Destination{fixture.path.Destination}))
+		expect.Expect(fixture.paths.LostDestinations(false)).To(gomega.Equal([]pathhealth.Destination{fixture.path.Destination}))
 		expect.Expect(fixture.paths.AllLost("drafts", fixture.paths.LostDestinations(false))).To(gomega.BeTrue())
 		expect.Expect(fixture.paths.AllLost("bookings", fixture.paths.LostDestinations(false))).To(gomega.BeFalse())
 		expect.Expect(fixture.path.Blocks(serverName(0))).To(gomega.BeTrue())
@@ -120,7 +120,7 @@
 			fixture := newFixture(60)
 			act(fixture)
 			fixture.runProbes(0)
-			expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Healthy))
+			expect.Expect(fixture.path.Status()).To(gomega.Equal(pathhealth.Healthy))
 			expect.Expect(fixture.paths.AnyUnhealthy()).To(gomega.BeFalse())
 		})
 	}
@@ -132,7 +132,7 @@
 	fixture := newFixture(60)
 	fixture.path.RecordConnectFailure(serverName(0), fixture.now)
 	fixture.path.RecordBreak(serverName(1), fixture.now)
-	expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Suspected))
+	expect.Expect(fixture.path.Status()).To(gomega.Equal(pathhealth.Suspected))
 	expect.Expect([]bool{fixture.path.Blocks(serverName(0)), fixture.path.Blocks(serverName(1)), fixture.path.Blocks(serverName(2))}).To(gomega.Equal([]bool{true, true, false}))
 	due := fixture.paths.DueProbes()
 	expect.Expect([]bool{due[0].ProvesHealthy(0), due[0].ProvesHealthy(1), due[0].ProvesHealthy(2)}).To(gomega.Equal([]bool{false, false, true}))
@@ -147,16 +147,16 @@
 	fixture.path.RecordConnectFailure(serverName(11), fixture.now)
 	for range 400 {
 		fixture.runProbes(250 * time.Millisecond)
-		if fixture.path.Status() == reach.Healthy {
+		if fixture.path.Status() == pathhealth.Healthy {
 			fixture.path.RecordConnectFailure(serverName(10), fixture.now)
 			fixture.path.RecordConnectFailure(serverName(11), fixture.now)
 		}
 	}
-	expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Lost))
+	expect.Expect(fixture.path.Status()).To(gomega.Equal(pathhealth.Lost))
 	expect.Expect(fixture.probeCount).To(gomega.BeNumerically("<", 400*4))
 	fixture.path.RecordConnect(serverName(0))
 	expect.Expect(fixture.path.Blocks(serverName(0))).To(gomega.BeFalse())
-	expect.Expect(fixture.paths.LostDestinations(false)).To(gomega.Equal([]reach.Destination{fixture.path.Destination}), "the path stays lost, so that other nodes take the calls that the few reachable servers cannot")
+	expect.Expect(fixture.paths.LostDestinations(false)).To(gomega.Equal([]pathhealth.Destination{fixture.path.Destination}), "the path stays lost, so that other nodes take the calls that the few reachable servers cannot")
 	expect.Expect(fixture.path.Blocks(serverName(20))).To(gomega.BeTrue())
 	fixture.path.RecordConnectFailure(serverName(0), fixture.now)
 	expect.Expect(fixture.path.Blocks(serverName(0))).To(gomega.BeTrue())
@@ -171,15 +171,15 @@
 	fixture.path.RecordBreak(serverName(1), fixture.now)
 	for range 40 {
 		fixture.runProbes(40 * time.Millisecond)
-		expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Lost))
+		expect.Expect(fixture.path.Status()).To(gomega.Equal(pathhealth.Lost))
 	}
 	expect.Expect(fixture.probeCount).To(gomega.BeNumerically("<=", 4+2*7))
 	fixture.setReachable(60)
 	for range 14 {
 		fixture.runProbes(40 * time.Millisecond)
 	}
-	expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Healthy))
+	expect.Expect(fixture.path.Status()).To(gomega.Equal(pathhealth.Healthy))
 	fixture.path.RecordConnectFailure(serverName(0), fixture.now)
 	fixture.path.RecordConnectFailure(serverName(1), fixture.now)
-	expect.Expect(fixture.path.Status()).To(gomega.Equal(reach.Healthy), "the path was found healthy just before")
+	expect.Expect(fixture.path.Status()).To(gomega.Equal(pathhealth.Healthy), "the path was found healthy just before")
 }
--- a/internal/policy/patience/patience.go
+++ b/internal/policy/storetiming/storetiming.go
@@ -1,4 +1,4 @@
-// Package patience sets the timing of calls to the store: when an overdue call is hedged by another
+// Package storetiming sets the timing of calls to the store: when an overdue call is hedged by another
 // one, when a failed call is retried, and how long a call may take.
 //
 // A store that comes back from an outage may have lost the calls that were sent to it in the
@@ -10,9 +10,9 @@
 //
 // # Usage
 //
-//	delay := patience.HedgeDelay(wait, latencies.Max())
-//	pause := patience.TimingFor(patience.Representative).RetryDelay(failures, elapsed)
-package patience
+//	delay := storetiming.HedgeDelay(wait, latencies.Max())
+//	pause := storetiming.TimingFor(storetiming.Representative).RetryDelay(failures, elapsed)
+package storetiming
 
 import "time"
 
--- a/internal/policy/patience/patience_test.go
+++ b/internal/policy/storetiming/storetiming_test.go
@@ -1,4 +1,4 @@
-package patience
+package storetiming
 
 import (
 	"testing"
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -12,7 +12,7 @@
 	"hazelslip/internal/fleet/follower"
 	"hazelslip/internal/fleet/overlay"
 	"hazelslip/internal/fleet/roster"
-	"hazelslip/internal/fleet/tally"
+	"hazelslip/internal/fleet/serverload"
 	"hazelslip/internal/policy/dispatch"
 	"hazelslip/internal/state/storelog"
 	"hazelslip/internal/wire/frame"
@@ -52,18 +52,18 @@
 		return peers.totals
 	}
 	own := peers.node.board.OwnLoads()
-	subtree, others := tally.ServerLoads{}, tally.ServerLoads{}
+	subtree, others := serverload.ServerLoads{}, serverload.ServerLoads{}
 	subtreeNodes, otherNodes := 1, 0
 	for link, state := range peers.linkStates {
-		tally.Add(others, state.loads)
+		serverload.Add(others, state.loads)
 		if isDownstream(link) {
-			tally.Add(subtree, state.loads)
+			serverload.Add(subtree, state.loads)
 			subtreeNodes += state.nodes
 		} else {
 			otherNodes += state.nodes
 		}
 	}
-	tally.Add(subtree, own)
+	serverload.Add(subtree, own)
 	peers.totals = &fleetTotals{computedAt: now, own: own, subtree: subtree, others: others, subtreeNodes: subtreeNodes, fleetNodes: subtreeNodes + otherNodes, demands: peers.demandTotalsLocked()}
 	peers.observeNodeCount(peers.totals.fleetNodes, now)
 	return peers.totals
@@ -95,9 +95,9 @@
 		peers.addDemands(message, state, &totals.demands)
 		return message
 	}
-	fleet := tally.ServerLoads{}
-	tally.Add(fleet, totals.others)
-	tally.Add(fleet, totals.own)
+	fleet := serverload.ServerLoads{}
+	serverload.Add(fleet, totals.others)
+	serverload.Add(fleet, totals.own)
 	message.Included = state.sequence
 	message.Nodes = uint32(totals.fleetNodes)
 	peers.addLoads(message, state, fleet)
@@ -106,7 +106,7 @@
 }
 
 // addLoads adds the changes of a load sum since the last frame on the link.
-func (peers *peers) addLoads(message *frame.Frame, state *linkState, sum tally.ServerLoads) {
+func (peers *peers) addLoads(message *frame.Frame, state *linkState, sum serverload.ServerLoads) {
 	changes, whole := state.sentLoads.Next(sum)
 	message.Loads, message.LoadsWhole = loadsToWire(changes), whole
 }
@@ -270,7 +270,7 @@
 }
 
 // loadsToWire encodes the load per server.
-func loadsToWire(loads tally.ServerLoads) []*frame.Load {
+func loadsToWire(loads serverload.ServerLoads) []*frame.Load {
 	encoded := make([]*frame.Load, 0, len(loads))
 	for server, load := range loads {
 		encoded = append(encoded, &frame.Load{
@@ -281,8 +281,8 @@
 	return encoded
 }
 
-func loadsFromWire(encoded []*frame.Load) tally.ServerLoads {
-	loads := make(tally.ServerLoads, len(encoded))
+func loadsFromWire(encoded []*frame.Load) serverload.ServerLoads {
+	loads := make(serverload.ServerLoads, len(encoded))
 	for _, server := range encoded {
 		loads[server.Server] = dispatch.ServerLoad{Calls: int(server.Calls), PendingPromptTokens: int(server.Unread), Failed: int(server.Failed), Answered: int(server.Answered)}
 	}
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -10,7 +10,7 @@
 
 	"hazelslip/internal/fleet/detour"
 	"hazelslip/internal/peer/backendserver"
-	"hazelslip/internal/policy/reach"
+	"hazelslip/internal/policy/pathhealth"
 	"hazelslip/internal/wire/frame"
 )
 
@@ -42,7 +42,7 @@
 // requests for other nodes.
 type detours struct {
 	node  *Node
-	paths *reach.Paths
+	paths *pathhealth.Paths
 	table *detour.Table
 	pool  *backendserver.Pool
 	// server serves requests forwarded by other nodes. It is nil if no detour address is configured.
@@ -54,7 +54,7 @@
 	mu sync.Mutex
 	// uncertainFailures holds server failures on suspected paths, by path, which may be failures of the path.
 	// They are recorded once the path is found healthy, and discarded if it is lost.
-	uncertainFailures map[*reach.Path][]uncertainFailure
+	uncertainFailures map[*pathhealth.Path][]uncertainFailure
 	// suppressedReports counts the reports about servers that were not sent because the path to the server
 	// was suspected or lost.
 	suppressedReports int
@@ -62,7 +62,7 @@
 
 func newDetours(node *Node) *detours {
 	detours := &detours{
-		node: node, paths: reach.New(reach.Clock(node.now)), queryRequests: make(chan struct{}, 1), uncertainFailures: map[*reach.Path][]uncertainFailure{},
+		node: node, paths: pathhealth.New(pathhealth.Clock(node.now)), queryRequests: make(chan struct{}, 1), uncertainFailures: map[*pathhealth.Path][]uncertainFailure{},
 		table: detour.New(node.settings.DataCentre, detour.Clock(node.now)),
 	}
 	codec := backendserver.Codec{
@@ -220,7 +220,7 @@
 	probes := detours.node.board.DuePathProbes()
 	for number := range probes {
 		probe := &probes[number]
-		if probe.Path.Status() == reach.Suspected {
+		if probe.Path.Status() == pathhealth.Suspected {
 			detours.requestQuery()
 		}
 		detours.node.GoNamed("probe", func() { detours.probe(probe) })
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -45,8 +45,8 @@
 	"hazelslip/internal/fleet/drain"
 	"hazelslip/internal/fleet/follower"
 	"hazelslip/internal/fleet/formation"
+	"hazelslip/internal/fleet/leadership"
 	"hazelslip/internal/fleet/roster"
-	"hazelslip/internal/fleet/tenure"
 	"hazelslip/internal/fleet/tree"
 	"hazelslip/internal/peer/backendserver"
 	"hazelslip/internal/peer/store"
@@ -98,7 +98,7 @@
 	warmups          *warmup.ColdTable
 	groupView        *formation.View
 	groupController  *formation.Controller
-	termKeeper       *tenure.Elector
+	termKeeper       *leadership.Elector
 	board            *dispatch.Board
 	demand           *demand.Demand
 	pool             *backendserver.Pool
@@ -206,7 +206,7 @@
 		dispatch.Drains(node.drains.Status), dispatch.ColdShare(node.Incarnation, func() int { return node.peers.budgetNodes() }),
 		dispatch.CountedNodes(func() int { return int(node.peers.reportingNodes.Load()) }))
 	node.pool = backendserver.New(platform.Codec, node.poolOptions()...)
-	node.termKeeper = tenure.New(node.Incarnation, node.claimTerm, node.now)
+	node.termKeeper = leadership.New(node.Incarnation, node.claimTerm, node.now)
 	node.groupController = formation.New(node.formationDependencies())
 	node.follower = follower.New(node.followerDependencies())
 	node.forwarder = forward.New(node.forwarderDependencies())
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -15,9 +15,9 @@
 	"hazelslip/internal/policy/dispatch"
 	"hazelslip/internal/policy/memory"
 	"hazelslip/internal/policy/notice"
+	"hazelslip/internal/policy/pathhealth"
 	"hazelslip/internal/policy/quarantine"
 	"hazelslip/internal/policy/ratelimit"
-	"hazelslip/internal/policy/reach"
 	"hazelslip/internal/policy/retry"
 	"hazelslip/internal/serve/forward"
 	"hazelslip/internal/state/storelog"
@@ -64,7 +64,7 @@
 	Demands []demand.State
 	// Ways are the paths to servers that are not healthy. Detours are the nodes that accept forwarded
 	// requests.
-	Ways    []reach.State
+	Ways    []pathhealth.State
 	Detours []detour.State
 }
 
--- a/internal/run/gateway/paths.go
+++ b/internal/run/gateway/paths.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
+	"hazelslip/internal/fleet/leadership"
 	"hazelslip/internal/fleet/overlay"
-	"hazelslip/internal/fleet/tenure"
 	"hazelslip/internal/policy/dispatch"
+	"hazelslip/internal/policy/pathhealth"
 	"hazelslip/internal/policy/quarantine"
-	"hazelslip/internal/policy/reach"
 	"hazelslip/internal/wire/frame"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // pathChanged handles a path that became lost or healthy.
-func (detours *detours) pathChanged(path *reach.Path, result *reach.Result) {
+func (detours *detours) pathChanged(path *pathhealth.Path, result *pathhealth.Result) {
 	node, destination := detours.node, path.Destination
 	detours.mu.Lock()
 	failures, suppressed := detours.uncertainFailures[path], detours.suppressedReports
@@ -39,18 +39,18 @@
 	detours.suppressedReports = 0
 	detours.mu.Unlock()
 	switch result.After {
-	case reach.Lost:
+	case pathhealth.Lost:
 		node.pathsLost.Add(1)
 		node.logger.Warn("gateway: the path to the servers of a service is lost.", "Service", destination.Service, "DataCentre", destination.DataCentre,
 			"Tried", result.Tried, "Reached", result.Reached, "DoubtedMilliseconds", result.UnhealthyFor.Milliseconds(),
 			"CallsMoved", node.board.MoveCallsOff(path), "EndsNotBelieved", len(failures), "ReportsWithheld", suppressed)
-	case reach.Healthy:
+	case pathhealth.Healthy:
 		for _, failure := range failures {
 			if _, isNew := node.quarantine.RecordFailure(failure.fingerprint, failure.run); isNew {
 				node.suspectChanged(failure.fingerprint)
 			}
 		}
-		if result.Before == reach.Lost {
+		if result.Before == pathhealth.Lost {
 			node.logger.Info("gateway: the path to the servers of a service is restored.", "Service", destination.Service, "DataCentre", destination.DataCentre,
 				"LostMilliseconds", result.UnhealthyFor.Milliseconds(), "ReportsWithheld", suppressed)
 		}
@@ -63,7 +63,7 @@
 	path := target.Path()
 	detours.mu.Lock()
 	defer detours.mu.Unlock()
-	if path.Status() == reach.Suspected && len(detours.uncertainFailures[path]) < maxUncertainFailures {
+	if path.Status() == pathhealth.Suspected && len(detours.uncertainFailures[path]) < maxUncertainFailures {
 		detours.uncertainFailures[path] = append(detours.uncertainFailures[path], uncertainFailure{fingerprint: fingerprint, run: target.Key()})
 	}
 }
@@ -87,7 +87,7 @@
 
 // lacksEngineServers reports whether a node with the given lost paths reaches no server of any service with
 // engine groups.
-func (detours *detours) lacksEngineServers(lost []reach.Destination) bool {
+func (detours *detours) lacksEngineServers(lost []pathhealth.Destination) bool {
 	if len(lost) == 0 {
 		return false
 	}
@@ -111,9 +111,9 @@
 // yieldLeadership gives up this node's term if this node reaches no engine server and another node could
 // become leader. If no other node could, the term stays here, as it would only pass from one unsuitable node
 // to the next.
-func (node *Node) yieldLeadership(candidates []tenure.Peer) {
+func (node *Node) yieldLeadership(candidates []leadership.Peer) {
 	term := node.termKeeper.Term()
-	if term == 0 || !node.cannotReachEngines() || !slices.ContainsFunc(candidates, func(peer tenure.Peer) bool { return peer.Eligible }) {
+	if term == 0 || !node.cannotReachEngines() || !slices.ContainsFunc(candidates, func(peer leadership.Peer) bool { return peer.Eligible }) {
 		return
 	}
 	node.logger.Warn("gateway: this node reaches no engine server and gives up leadership.", "Term", term)
@@ -122,14 +122,14 @@
 
 // lostPathsFor returns the lost paths of this node to report over a link. Nothing is reported to downstream
 // nodes.
-func (peers *peers) lostPathsFor(link *overlay.Link) []reach.Destination {
+func (peers *peers) lostPathsFor(link *overlay.Link) []pathhealth.Destination {
 	if isDownstream(link) {
 		return nil
 	}
 	return peers.node.detours.paths.LostDestinations(false)
 }
 
-func pathsToWire(destinations []reach.Destination) []*frame.Way {
+func pathsToWire(destinations []pathhealth.Destination) []*frame.Way {
 	encoded := make([]*frame.Way, 0, len(destinations))
 	for _, destination := range destinations {
 		encoded = append(encoded, &frame.Way{Service: destination.Service, DataCentre: destination.DataCentre})
@@ -137,10 +137,10 @@
 	return encoded
 }
 
-func pathsFromWire(encoded []*frame.Way) []reach.Destination {
-	destinations := make([]reach.Destination, 0, len(encoded))
+func pathsFromWire(encoded []*frame.Way) []pathhealth.Destination {
+	destinations := make([]pathhealth.Destination, 0, len(encoded))
 	for _, path := range encoded {
-		destinations = append(destinations, reach.Destination{Service: path.Service, DataCentre: path.DataCentre})
+		destinations = append(destinations, pathhealth.Destination{Service: path.Service, DataCentre: path.DataCentre})
 	}
 	return destinations
 }
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -10,15 +10,15 @@
 	"hazelslip/internal/common/rendezvous"
 	"hazelslip/internal/fleet/catalogue"
 	"hazelslip/internal/fleet/follower"
+	"hazelslip/internal/fleet/leadership"
 	"hazelslip/internal/fleet/overlay"
-	"hazelslip/internal/fleet/tally"
-	"hazelslip/internal/fleet/tenure"
+	"hazelslip/internal/fleet/serverload"
 	"hazelslip/internal/fleet/tree"
 	"hazelslip/internal/peer/store"
 	"hazelslip/internal/policy/demand"
+	"hazelslip/internal/policy/pathhealth"
 	"hazelslip/internal/policy/quarantine"
 	"hazelslip/internal/policy/ratelimit"
-	"hazelslip/internal/policy/reach"
 	"hazelslip/internal/state/storelog"
 	"hazelslip/internal/wire/frame"
 )
@@ -39,11 +39,11 @@
 type linkState struct {
 	link *overlay.Link
 	// reports are the loads that this node reported over the link.
-	reports tally.Reports
+	reports serverload.Reports
 	// loads and nodes are the load and the node count that the other side sent last, and sequence is the
 	// number of that frame. From the upstream node, loads and nodes cover the whole fleet except for what
 	// this node reported.
-	loads tally.ServerLoads
+	loads serverload.ServerLoads
 	nodes int
 	// otherCalls is the number of calls of all other nodes, as sent to a leaf. synced and storeUnavailable
 	// are what the other side reports about itself: whether it has the state that leaves need, and whether
@@ -54,11 +54,11 @@
 	storeUnavailable bool
 	// lostPaths are the paths to servers that the other side has lost. detourAddress is where it accepts
 	// forwarded requests.
-	lostPaths     []reach.Destination
+	lostPaths     []pathhealth.Destination
 	detourAddress string
 	// sentLoads and receivedLoads track a load sum of which only changes are sent.
-	sentLoads     tally.DeltaSender
-	receivedLoads tally.DeltaReceiver
+	sentLoads     serverload.DeltaSender
+	receivedLoads serverload.DeltaReceiver
 	// listReceived is set once the other side has sent the position of its server list, which was listStart
 	// at first. listSentVersion is the version of this node's list up to which missing records were sent, 0
 	// for none. listAge is the age of the other side's list at the time listAgeAt.
@@ -73,9 +73,9 @@
 	catalogueCopy        *catalogue.Replica
 	// sentLostPaths, detourAddressSent, reportedLoads and sentConfigurationVersion are what this node last
 	// reported as a leaf. sentLeafHash is the content hash of the last frame sent to a leaf.
-	sentLostPaths            []reach.Destination
+	sentLostPaths            []pathhealth.Destination
 	detourAddressSent        bool
-	reportedLoads            tally.ServerLoads
+	reportedLoads            serverload.ServerLoads
 	sentConfigurationVersion int64
 	sentLeafHash             uint64
 	// pendingAnnouncements, pendingStalls and pendingSuspects are to be sent with the next frame.
@@ -106,7 +106,7 @@
 	computedAt time.Duration
 	// own is the load of this node, subtree that of this node and all nodes attached below it, and others
 	// that of all other nodes of the fleet.
-	own, subtree, others tally.ServerLoads
+	own, subtree, others serverload.ServerLoads
 	subtreeNodes         int
 	demands              demandTotals
 	// fleetNodes is the number of nodes in the whole fleet.
@@ -270,7 +270,7 @@
 	}
 	peers.lastNeighbour++
 	state = &linkState{
-		link: link, loads: tally.ServerLoads{}, catalogueCopy: catalogue.NewReplica(), pendingSuspects: map[quarantine.Fingerprint]struct{}{},
+		link: link, loads: serverload.ServerLoads{}, catalogueCopy: catalogue.NewReplica(), pendingSuspects: map[quarantine.Fingerprint]struct{}{},
 		permits: newPermitState(peers.lastNeighbour, peers.node.limits.All()), pendingNotices: map[ratelimit.Run]struct{}{},
 		pendingPaces: peers.node.board.SlowTargets(),
 	}
@@ -352,16 +352,16 @@
 }
 
 // leaderCandidates returns the current leader and the nodes that could become leader.
-func (peers *peers) leaderCandidates() []tenure.Peer {
+func (peers *peers) leaderCandidates() []leadership.Peer {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
-	candidates := []tenure.Peer{}
+	candidates := []leadership.Peer{}
 	if leader := peers.leader; leader.term != 0 && !leader.released && peers.node.now()-leader.seenAt < leaderTimeout {
-		candidates = append(candidates, tenure.Peer{Term: leader.term})
+		candidates = append(candidates, leadership.Peer{Term: leader.term})
 	}
 	for link, state := range peers.linkStates {
 		if link.Purpose == frame.Purpose_Root {
-			candidates = append(candidates, tenure.Peer{Incarnation: link.Incarnation, Eligible: state.synced && !peers.node.detours.lacksEngineServers(state.lostPaths)})
+			candidates = append(candidates, leadership.Peer{Incarnation: link.Incarnation, Eligible: state.synced && !peers.node.detours.lacksEngineServers(state.lostPaths)})
 		}
 	}
 	return candidates
--- a/internal/run/gateway/receive.go
+++ b/internal/run/gateway/receive.go
@@ -7,7 +7,7 @@
 	"hazelslip/internal/fleet/formation"
 	"hazelslip/internal/fleet/overlay"
 	"hazelslip/internal/fleet/roster"
-	"hazelslip/internal/fleet/tally"
+	"hazelslip/internal/fleet/serverload"
 	"hazelslip/internal/peer/store"
 	"hazelslip/internal/policy/dispatch"
 	"hazelslip/internal/state/storelog"
@@ -72,7 +72,7 @@
 	state.receivedLoads.Apply(received.LoadsWhole, loadsFromWire(received.Loads))
 	loads, nodes := state.receivedLoads.Loads(), int(received.Nodes)
 	if link.Upstream() {
-		loads = tally.Subtract(loads, state.reports.Find(received.Included))
+		loads = serverload.Subtract(loads, state.reports.Find(received.Included))
 		nodes = max(0, nodes-peers.totalsLocked().subtreeNodes)
 	}
 	state.loads, state.nodes = loads, nodes
@@ -153,7 +153,7 @@
 	calls, unread []uint32
 	failures      map[int]*frame.Failure
 	// own is the part of the load that this node reported.
-	own tally.ServerLoads
+	own serverload.ServerLoads
 }
 
 func newRowLoads(state *linkState, received *frame.Frame) *rowLoads {
--- a/internal/serve/forward/detour_test.go
+++ b/internal/serve/forward/detour_test.go
@@ -19,9 +19,9 @@
 	"hazelslip/internal/fleet/detour"
 	"hazelslip/internal/peer/backendserver"
 	"hazelslip/internal/policy/dispatch"
+	"hazelslip/internal/policy/pathhealth"
 	"hazelslip/internal/policy/quarantine"
 	"hazelslip/internal/policy/ratelimit"
-	"hazelslip/internal/policy/reach"
 	"hazelslip/internal/policy/retry"
 	"hazelslip/internal/serve/forward"
 	"hazelslip/internal/state/configuration"
@@ -30,7 +30,7 @@
 // nodePair is two nodes: callers connect to the first, which reaches no server. The second may reach one.
 type nodePair struct {
 	*rig
-	paths *reach.Paths
+	paths *pathhealth.Paths
 	// firstBoard is the first node's board, firstOutcomes are the outcomes of its requests.
 	firstBoard    *dispatch.Board
 	firstOutcomes []forward.Outcome
@@ -52,7 +52,7 @@
 func newNodePair(t *testing.T, handler http.HandlerFunc) *nodePair {
 	t.Helper()
 	now := clock.Virtual()
-	pair := &nodePair{rig: newRig(t, 0, handler), paths: reach.New(reach.Clock(now)), firstTable: configuration.NewTable()}
+	pair := &nodePair{rig: newRig(t, 0, handler), paths: pathhealth.New(pathhealth.Clock(now)), firstTable: configuration.NewTable()}
 	pair.firstTable.StoreIfNewer(rigConfiguration())
 	second := pair.handler.(*forward.Forwarder)
 	pair.serve(t, detourAddress, second.DetourHandler())
@@ -91,7 +91,7 @@
 
 // losePath makes the first node's path to a service count as lost.
 func (nodePair *nodePair) losePath(service string) {
-	nodePair.paths.Get(reach.Destination{Service: service}).RecordConnectFailure("s", time.Hour)
+	nodePair.paths.Get(pathhealth.Destination{Service: service}).RecordConnectFailure("s", time.Hour)
 	for _, probe := range nodePair.paths.DueProbes() {
 		probe.Complete(nil)
 	}
@@ -233,7 +233,7 @@
 			{ID: "s", Service: "ledger", Address: "nowhere:1", Slots: 9}, {ID: "near", Service: "ledger", DataCentre: "near", Address: serverAddress},
 		}})
 		pair.firstBoard.SetPeerLoads(map[string]dispatch.ServerLoad{"near": {Calls: 100}})
-		pair.peers.RecordReport(detour.Node{Address: detourAddress, Lost: []reach.Destination{{Service: "ledger"}}})
+		pair.peers.RecordReport(detour.Node{Address: detourAddress, Lost: []pathhealth.Destination{{Service: "ledger"}}})
 		pair.peers.RecordQuery()
 		request := pair.request(0, "/book/1", strings.NewReader("body"))
 		request.URL.Host = firstAddress
@@ -251,7 +251,7 @@
 // losePathOfSecond makes the second node's path to a service count as lost.
 func (nodePair *nodePair) losePathOfSecond(service string) {
 	paths := nodePair.board.Paths()
-	paths.Get(reach.Destination{Service: service}).RecordConnectFailure("s", time.Hour)
+	paths.Get(pathhealth.Destination{Service: service}).RecordConnectFailure("s", time.Hour)
 	for _, probe := range paths.DueProbes() {
 		probe.Complete(nil)
 	}
