--- a/internal/fleet/catalogue/catalogue.go
+++ b/internal/fleet/catalogue/catalogue.go
@@ -10,9 +10,10 @@
 //
 // # Usage
 //
-//	catalogue := catalogue.New()
-//	catalogue.Publish(rows)
-//	delta := catalogue.Since(version)
+//	rowCatalogue := catalogue.New()
+//	rowCatalogue.Publish(rows)
+//	delta := rowCatalogue.Since(version)
+//	replica := catalogue.NewReplica()
 //	replica.Apply(delta)
 package catalogue
 
--- a/internal/fleet/follower/follower.go
+++ b/internal/fleet/follower/follower.go
@@ -142,8 +142,8 @@
 	return attached && follower.Now()-time.Duration(max(follower.roleChangedAt.Load(), follower.lastFedAt.Load())) < firstListDelay
 }
 
-// HintStoreAvailable is called when another node reports that the store answers it. A node that still takes the store
-// for unavailable cannot claim a leadership term.
+// HintStoreAvailable is called when another node reports that the store answers it. A node that still considers
+// the store unavailable cannot claim a leadership term.
 func (follower *Follower) HintStoreAvailable() {
 	if !follower.Calls.Unavailable() {
 		return
@@ -165,9 +165,9 @@
 	// readerLongPoll is how long the reader waits for a change in one call. The end of the call tells the other nodes
 	// that there is none.
 	readerLongPoll = 500 * time.Millisecond
-	// informedRecheckInterval is how often a node that receives its data from other nodes checks whether that is
+	// suppliedRecheckInterval is how often a node that receives its data from other nodes checks whether that is
 	// still so. startupRecheckInterval is how often a node without a configuration checks.
-	informedRecheckInterval = 100 * time.Millisecond
+	suppliedRecheckInterval = 100 * time.Millisecond
 	startupRecheckInterval  = 20 * time.Millisecond
 	// emptyStoreDelay is the pause between reads while the store holds no configuration.
 	emptyStoreDelay = 150 * time.Millisecond
@@ -186,13 +186,13 @@
 		}
 		askedAt = follower.Now()
 		follower.logNonReaderAsk("configuration", follower.ConfigurationAge())
-		rest := follower.Calls.NewRetryPause(follower.storeLimits())
+		pause := follower.Calls.NewRetryPause(follower.storeLimits())
 		next, err := follower.readConfiguration(position)
 		switch {
 		case errors.Is(err, store.ErrExpired) && position.Known():
 			next = storelog.Unknown
 		case err != nil:
-			if !rest.Wait(follower.Component) {
+			if !pause.Wait(follower.Component) {
 				return
 			}
 			continue
@@ -248,7 +248,7 @@
 // refuses its callers.
 func (follower *Follower) recheckInterval() time.Duration {
 	if follower.Configuration.Load().HasVersion() {
-		return informedRecheckInterval
+		return suppliedRecheckInterval
 	}
 	return startupRecheckInterval
 }
@@ -289,8 +289,8 @@
 	if err != nil {
 		return position, err
 	}
-	reading := drain.Update{Records: version.Drains, End: version.Next, Complete: version.Complete, ReadAt: version.CurrentAt}
-	if changes := follower.Drains.ApplyLog(reading); len(changes) > 0 {
+	update := drain.Update{Records: version.Drains, End: version.Next, Complete: version.Complete, ReadAt: version.CurrentAt}
+	if changes := follower.Drains.ApplyLog(update); len(changes) > 0 {
 		follower.DrainsChanged(changes)
 	}
 	if len(version.Body) > 0 {
--- a/internal/fleet/follower/readpolicy.go
+++ b/internal/fleet/follower/readpolicy.go
@@ -23,9 +23,9 @@
 	// configurationMaxAge is how long ago the configuration may have been confirmed as the newest before the node
 	// asks the store itself.
 	configurationMaxAge = 800 * time.Millisecond
-	// informedReadInterval is how often a node that receives its data from other nodes still asks the store for the
+	// suppliedReadInterval is how often a node that receives its data from other nodes still asks the store for the
 	// configuration.
-	informedReadInterval = 30 * time.Second
+	suppliedReadInterval = 30 * time.Second
 	// startupReadDelay is how long a restarting node looks for other nodes that have the configuration before it asks
 	// the store.
 	startupReadDelay = 250 * time.Millisecond
@@ -48,22 +48,22 @@
 	return readPolicy.Role == overlay.Root && readPolicy.Rank() == 0
 }
 
-// informed reports whether other nodes supply this one with the store's data.
-func (readPolicy ReadPolicy) informed(configurationAge time.Duration) bool {
+// supplied reports whether other nodes supply this one with the store's data.
+func (readPolicy ReadPolicy) supplied(configurationAge time.Duration) bool {
 	return !readPolicy.MissesVersion && (readPolicy.FedByUpstream || configurationAge < configurationMaxAge)
 }
 
 // shouldAsk reports whether the node asks the store for the configuration. The reader asks all the time. Other nodes
-// except leaves ask every informedReadInterval, and any node asks if no other node supplies it with updates. While
+// except leaves ask every suppliedReadInterval, and any node asks if no other node supplies it with updates. While
 // the store answers no root, every root asks, because the reader may be the last that the store answers again.
 func (readPolicy ReadPolicy) shouldAsk(configurationAge, sinceAsked time.Duration) bool {
 	switch {
 	case readPolicy.IsReader(), readPolicy.RootsUnavailable:
 		return true
 	case readPolicy.Role == overlay.Leaf:
-		return !readPolicy.informed(configurationAge)
+		return !readPolicy.supplied(configurationAge)
 	}
-	return !readPolicy.informed(configurationAge) || sinceAsked >= informedReadInterval
+	return !readPolicy.supplied(configurationAge) || sinceAsked >= suppliedReadInterval
 }
 
 // listMaxAge returns the maximum age of the node's server list before it reads the registry itself. It is infinite
--- a/internal/fleet/follower/registry.go
+++ b/internal/fleet/follower/registry.go
@@ -31,9 +31,9 @@
 		defer follower.readingList.Store(false)
 		limits := follower.storeLimits()
 		limits.OutageInterval = unavailableListInterval
-		rest := follower.Calls.NewRetryPause(limits)
+		pause := follower.Calls.NewRetryPause(limits)
 		if err := follower.readList(limits); err != nil && !errors.Is(err, store.ErrExpired) {
-			rest.Wait(follower.Component)
+			pause.Wait(follower.Component)
 		}
 	})
 }
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// listPosition returns the position from which the registry is read next, storelog.Nowhere to read all entries.
+// listPosition returns the position from which the registry is read next, storelog.Unknown to read all entries.
 func (follower *Follower) listPosition(readAll bool) storelog.Position {
 	snapshot := follower.Servers.Load()
 	if !snapshot.Known() || follower.listExpired.Load() || readAll {
@@ -114,8 +114,8 @@
 			follower.ServerSeen(record.Server)
 		}
 	}
-	reading := roster.Update{Records: listing.Records, End: listing.Next, ReadAt: listing.RequestedAt, Complete: listing.Complete, FromPeer: listing.FromPeer}
-	if follower.Servers.Merge(reading) || listing.Complete {
+	update := roster.Update{Records: listing.Records, End: listing.Next, ReadAt: listing.RequestedAt, Complete: listing.Complete, FromPeer: listing.FromPeer}
+	if follower.Servers.Merge(update) || listing.Complete {
 		follower.ServersChanged()
 	}
 }
--- a/internal/fleet/formation/backoff_test.go
+++ b/internal/fleet/formation/backoff_test.go
@@ -40,10 +40,10 @@
 		node.setTerm(4096)
 		time.Sleep(8 * time.Second)
 		expect.Expect(node.requestsRefused.Load()).To(gomega.BeZero())
-		expect.Expect(fleet.world.CompleteGroups()["small"] + fleet.world.CompleteGroups()["large"]).To(gomega.BeNumerically(">=", 2))
+		expect.Expect(fleet.cluster.CompleteGroups()["small"] + fleet.cluster.CompleteGroups()["large"]).To(gomega.BeNumerically(">=", 2))
 		node.refusingServer.Store(nil)
 		time.Sleep(8 * time.Second)
-		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
+		expect.Expect(fleet.cluster.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
--- a/internal/fleet/formation/fault_schedules_test.go
+++ b/internal/fleet/formation/fault_schedules_test.go
@@ -45,7 +45,7 @@
 type termLog struct {
 	mu          sync.Mutex
 	era         int64
-	holders     []string
+	claimants   []string
 	unavailable bool
 }
 
@@ -54,15 +54,15 @@
 // claimLatency is how long the store takes for a claim. Another node may take a term meanwhile.
 const claimLatency = 300 * time.Millisecond
 
-func (termLog *termLog) claim(holder string) (storelog.Position, error) {
+func (termLog *termLog) claim(claimant string) (storelog.Position, error) {
 	time.Sleep(claimLatency)
 	termLog.mu.Lock()
 	defer termLog.mu.Unlock()
 	if termLog.unavailable {
 		return storelog.Unknown, errStoreUnavailable
 	}
-	termLog.holders = append(termLog.holders, holder)
-	return storelog.Position{Era: termLog.era, Offset: int64(len(termLog.holders)) - 1}, nil
+	termLog.claimants = append(termLog.claimants, claimant)
+	return storelog.Position{Era: termLog.era, Offset: int64(len(termLog.claimants)) - 1}, nil
 }
 
 func (termLog *termLog) update(change func()) {
@@ -71,14 +71,14 @@
 	change()
 }
 
-// simulation runs one schedule of events: two nodes with real term keepers and controllers, and
+// simulation runs one schedule of events: two nodes with real electors and controllers, and
 // three servers of one domain. It collects violated invariants.
 type simulation struct {
-	fleet   *fleet
-	termLog *termLog
-	keepers []*leadership.Elector
-	stop    chan struct{}
-	done    sync.WaitGroup
+	fleet    *fleet
+	termLog  *termLog
+	electors []*leadership.Elector
+	stop     chan struct{}
+	done     sync.WaitGroup
 
 	mu sync.Mutex
 	// leaders maps each term to the node that led under it.
@@ -91,19 +91,19 @@
 func newSimulation() *simulation {
 	simulation := &simulation{fleet: newFleet(1, 1, 3, 2), termLog: &termLog{}, stop: make(chan struct{}), leaders: map[int64]int{}, startedAt: time.Now()}
 	for server := range 3 {
-		simulation.fleet.world.SetStaged(serverID(server), "small")
+		simulation.fleet.cluster.SetStaged(serverID(server), "small")
 	}
 	for index, node := range simulation.fleet.nodes {
-		var keeper *leadership.Elector
-		keeper = leadership.New(uint64(index)+1, func() (storelog.Position, error) { return simulation.termLog.claim(node.name) }, clock.Virtual(),
+		var elector *leadership.Elector
+		elector = leadership.New(uint64(index)+1, func() (storelog.Position, error) { return simulation.termLog.claim(node.name) }, clock.Virtual(),
 			// One node's own terms are even and the other's odd. Two nodes that reach neither
 			// each other nor the store thus never choose the same term.
-			leadership.Random(func(int64) int64 { return (keeper.Highest() + 1 + int64(index)) % 2 }))
-		node.onOutdated = keeper.HandleRefusal
-		simulation.keepers = append(simulation.keepers, keeper)
+			leadership.Random(func(int64) int64 { return (elector.Highest() + 1 + int64(index)) % 2 }))
+		node.onOutdated = elector.HandleRefusal
+		simulation.electors = append(simulation.electors, elector)
 	}
-	for index := range simulation.keepers {
-		simulation.done.Go(func() { simulation.runKeeper(index) })
+	for index := range simulation.electors {
+		simulation.done.Go(func() { simulation.runElector(index) })
 		simulation.done.Go(func() { simulation.exchangeTerms(index) })
 	}
 	return simulation
@@ -114,7 +114,7 @@
 // exchangeTerms passes a node the terms that the other node and the server list know. It runs
 // independently of the node's other work.
 func (simulation *simulation) exchangeTerms(index int) {
-	own, other := simulation.keepers[index], simulation.keepers[1-index]
+	own, other := simulation.electors[index], simulation.electors[1-index]
 	for simulation.wait(20 * time.Millisecond) {
 		if !simulation.fleet.nodes[0].isolated.Load() {
 			own.Observe(other.Highest())
@@ -135,9 +135,9 @@
 	}
 }
 
-// runKeeper runs a node's term keeper ten times a second.
-func (simulation *simulation) runKeeper(index int) {
-	own, other := simulation.keepers[index], simulation.keepers[1-index]
+// runElector runs a node's elector ten times a second.
+func (simulation *simulation) runElector(index int) {
+	own, other := simulation.electors[index], simulation.electors[1-index]
 	for simulation.wait(100 * time.Millisecond) {
 		peers := []leadership.Peer{}
 		if !simulation.fleet.nodes[0].isolated.Load() {
@@ -168,7 +168,7 @@
 
 func (simulation *simulation) apply(event event) {
 	simulation.record(string(event))
-	world := simulation.fleet.world
+	cluster := simulation.fleet.cluster
 	switch event {
 	case partitionNodes, healPartition:
 		simulation.fleet.nodes[0].isolated.Store(event == partitionNodes)
@@ -178,17 +178,17 @@
 		simulation.termLog.update(func() {
 			simulation.termLog.unavailable = false
 			simulation.termLog.era++
-			simulation.termLog.holders = simulation.termLog.holders[:max(0, len(simulation.termLog.holders)-1)]
+			simulation.termLog.claimants = simulation.termLog.claimants[:max(0, len(simulation.termLog.claimants)-1)]
 		})
 	case loseReplies:
-		world.SetFaults(serverID(0), backends.Faults{LostReplies: 1})
+		cluster.SetFaults(serverID(0), backends.Faults{LostReplies: 1})
 	case delayOrders:
-		world.SetFaults(serverID(1), backends.Faults{Delayed: 1, Delay: 1500 * time.Millisecond})
+		cluster.SetFaults(serverID(1), backends.Faults{Delayed: 1, Delay: 1500 * time.Millisecond})
 	case clearServerFaults:
-		world.SetFaults(serverID(0), backends.Faults{})
-		world.SetFaults(serverID(1), backends.Faults{})
+		cluster.SetFaults(serverID(0), backends.Faults{})
+		cluster.SetFaults(serverID(1), backends.Faults{})
 	case restartServer:
-		world.Restart(serverID(1))
+		cluster.Restart(serverID(1))
 	case suspectGroup:
 		for _, node := range simulation.fleet.nodes {
 			if group := servingGroupOf(node, "small"); group.Name != "" {
@@ -223,18 +223,18 @@
 	close(simulation.stop)
 	simulation.done.Wait()
 	simulation.fleet.end()
-	return append(simulation.violations, simulation.fleet.world.Violations()...), simulation.trace
+	return append(simulation.violations, simulation.fleet.cluster.Violations()...), simulation.trace
 }
 
 // checkServing records a violation for a node that sends calls to a group that doesn't serve, and
 // one if no group serves after all faults have ended.
 func (simulation *simulation) checkServing() {
 	for index, node := range simulation.fleet.nodes {
-		if group := servingGroupOf(node, "small"); group.Name != "" && simulation.fleet.world.HeadState(group.Head()) != backends.Serving {
+		if group := servingGroupOf(node, "small"); group.Name != "" && simulation.fleet.cluster.HeadState(group.Head()) != backends.Serving {
 			simulation.violations = append(simulation.violations, fmt.Sprintf("node %d sends calls to a group that doesn't serve", index))
 		}
 	}
-	if simulation.fleet.world.CompleteGroups()["small"] == 0 {
+	if simulation.fleet.cluster.CompleteGroups()["small"] == 0 {
 		simulation.violations = append(simulation.violations, "no group serves after all faults have ended")
 	}
 }
@@ -267,7 +267,7 @@
 // Runs every short schedule of the faults that could make two nodes send orders under one term or
 // take a server out of a serving group: partitions, a store that is unavailable or restored from a
 // backup without the last claim, lost replies, delayed orders and restarts under the same ID. The
-// term keepers and controllers are the real ones.
+// electors and controllers are the real ones.
 func TestNoScheduleBreaksWhatMustHold(t *testing.T) {
 	simulations := pool.New().WithMaxGoroutines(6)
 	startedAt := time.Now()
--- a/internal/fleet/formation/formation_test.go
+++ b/internal/fleet/formation/formation_test.go
@@ -39,7 +39,7 @@
 // node is one gateway node that may be the leader, with its own copy of the server list.
 type node struct {
 	name       string
-	world      *backends.Cluster
+	cluster    *backends.Cluster
 	controller *formation.Controller
 	view       *formation.View
 	list       *roster.List
@@ -65,8 +65,8 @@
 	return refusing != nil && *refusing == id
 }
 
-func newNode(name string, world *backends.Cluster, now clock.Now) *node {
-	created := &node{name: name, world: world, list: roster.New()}
+func newNode(name string, cluster *backends.Cluster, now clock.Now) *node {
+	created := &node{name: name, cluster: cluster, list: roster.New()}
 	created.view = formation.NewView(now, formation.WithServerList(created.list.Load))
 	logger := slog.New(slog.DiscardHandler)
 	if os.Getenv("HAZELSLIP_LOG") != "" {
@@ -81,7 +81,7 @@
 					created.requestsRefused.Add(1)
 					return formation.Report{}, formation.ErrRefused
 				}
-				return world.Report(name, server.ID)
+				return cluster.Report(name, server.ID)
 			},
 			Order: func(_ context.Context, server *roster.Server, order formation.Order) (formation.Result, error) {
 				time.Sleep(time.Millisecond)
@@ -92,7 +92,7 @@
 				if order.Kind == formation.Join {
 					time.Sleep(time.Duration(created.joinDelay.Load()))
 				}
-				return world.Order(name, server.ID, order)
+				return cluster.Order(name, server.ID, order)
 			},
 		},
 		View: created.view, Servers: created.list.Load,
@@ -153,33 +153,33 @@
 			records = append(records, roster.Record{ID: server.ID, Position: storelog.Position{Offset: position}, Server: server})
 		}
 		node.list.Merge(roster.Update{Records: records, End: storelog.Position{Offset: position}, ReadAt: now(), Complete: true})
-		previous = node.world.Servers(service)
+		previous = node.cluster.Servers(service)
 	}
 }
 
-// fleet is a simulated world with nodes that read the server list every 0.8 s.
+// fleet is a simulated cluster with nodes that read the server list every 0.8 s.
 type fleet struct {
-	world *backends.Cluster
-	nodes []*node
-	stop  []func()
+	cluster *backends.Cluster
+	nodes   []*node
+	stop    []func()
 }
 
 func newFleet(seed uint64, domains, size, count int) *fleet {
 	now := clock.Virtual()
-	world := backends.New(now, engine(), seed)
-	world.ReportLag = 200 * time.Millisecond
+	cluster := backends.New(now, engine(), seed)
+	cluster.ReportLag = 200 * time.Millisecond
 	for domain := range domains {
 		for index := range size {
 			staged := "large"
 			if index >= 5 {
 				staged = "small"
 			}
-			world.Add(fmt.Sprintf("i-%d-%02d", domain, index), "domain-"+strconv.Itoa(domain), "east", staged)
+			cluster.Add(fmt.Sprintf("i-%d-%02d", domain, index), "domain-"+strconv.Itoa(domain), "east", staged)
 		}
 	}
-	created := &fleet{world: world}
+	created := &fleet{cluster: cluster}
 	for index := range count {
-		created.nodes = append(created.nodes, newNode("node-"+strconv.Itoa(index), world, now))
+		created.nodes = append(created.nodes, newNode("node-"+strconv.Itoa(index), cluster, now))
 	}
 	for _, node := range created.nodes {
 		for _, other := range created.nodes {
@@ -233,9 +233,9 @@
 		fleet := newFleet(1, 3, 10, 1)
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
-		expect.Expect(fleet.world.CompleteGroups()["large"]).To(gomega.BeNumerically(">=", 2))
-		expect.Expect(fleet.world.CompleteGroups()["small"]).To(gomega.BeNumerically(">=", 5))
-		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
+		expect.Expect(fleet.cluster.CompleteGroups()["large"]).To(gomega.BeNumerically(">=", 2))
+		expect.Expect(fleet.cluster.CompleteGroups()["small"]).To(gomega.BeNumerically(">=", 5))
+		expect.Expect(fleet.cluster.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
@@ -251,12 +251,12 @@
 		time.Sleep(8 * time.Second)
 		group := servingGroupOf(fleet.nodes[0], "large")
 		expect.Expect(group.Members).To(gomega.HaveLen(4))
-		fleet.world.Kill(group.Members[2])
+		fleet.cluster.Kill(group.Members[2])
 		fleet.nodes[0].controller.Suspect(group.Head(), group.Name)
 		time.Sleep(3500 * time.Millisecond)
-		expect.Expect(fleet.world.CompleteGroups()["large"]).To(gomega.Equal(1))
-		expect.Expect(fleet.world.JoinLoads()).To(gomega.BeZero())
-		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
+		expect.Expect(fleet.cluster.CompleteGroups()["large"]).To(gomega.Equal(1))
+		expect.Expect(fleet.cluster.JoinLoads()).To(gomega.BeZero())
+		expect.Expect(fleet.cluster.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
@@ -274,7 +274,7 @@
 		time.Sleep(8 * time.Second)
 		group := servingGroupOf(first, "small")
 		for _, id := range group.Members {
-			fleet.world.SetPartitioned(id, first.name, true)
+			fleet.cluster.SetPartitioned(id, first.name, true)
 		}
 		first.controller.Suspect(group.Head(), group.Name)
 		time.Sleep(9 * time.Second)
@@ -282,7 +282,7 @@
 		first.setTerm(0)
 		second.setTerm(8192)
 		time.Sleep(8 * time.Second)
-		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
+		expect.Expect(fleet.cluster.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
@@ -297,13 +297,13 @@
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
 		group := servingGroupOf(fleet.nodes[0], "large")
-		fleet.world.SetPartitioned(group.Head(), fleet.nodes[0].name, true)
+		fleet.cluster.SetPartitioned(group.Head(), fleet.nodes[0].name, true)
 		fleet.nodes[0].controller.Suspect(group.Head(), group.Name)
 		time.Sleep(5 * time.Second)
 		expect.Expect(fleet.nodes[0].view.MembersFree(group.Name)).To(gomega.BeFalse())
 		time.Sleep(8 * time.Second)
 		expect.Expect(fleet.nodes[0].view.MembersFree(group.Name)).To(gomega.BeTrue())
-		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
+		expect.Expect(fleet.cluster.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
@@ -315,18 +315,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		fleet := newFleet(5, 1, 10, 1)
-		fleet.world.HeadsIdle = true
+		fleet.cluster.HeadsIdle = true
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(8 * time.Second)
 		group := servingGroupOf(fleet.nodes[0], "large")
-		fleet.world.SetPartitioned(group.Head(), fleet.nodes[0].name, true)
+		fleet.cluster.SetPartitioned(group.Head(), fleet.nodes[0].name, true)
 		fleet.nodes[0].controller.Suspect(group.Head(), group.Name)
 		time.Sleep(20 * time.Second)
 		expect.Expect(fleet.nodes[0].view.MembersFree(group.Name)).To(gomega.BeFalse())
-		fleet.world.SetPartitioned(group.Head(), fleet.nodes[0].name, false)
+		fleet.cluster.SetPartitioned(group.Head(), fleet.nodes[0].name, false)
 		time.Sleep(3 * time.Second)
 		expect.Expect(fleet.nodes[0].view.MembersFree(group.Name)).To(gomega.BeTrue())
-		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
+		expect.Expect(fleet.cluster.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
@@ -362,8 +362,8 @@
 		time.Sleep(200 * time.Millisecond)
 		first.setTerm(4096)
 		time.Sleep(12 * time.Second)
-		expect.Expect(fleet.world.CompleteGroups()["large"]).To(gomega.BeNumerically(">=", 1))
-		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
+		expect.Expect(fleet.cluster.CompleteGroups()["large"]).To(gomega.BeNumerically(">=", 1))
+		expect.Expect(fleet.cluster.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
@@ -378,15 +378,15 @@
 		fleet.nodes[0].setTerm(4096)
 		time.Sleep(5 * time.Second)
 		for index := range 60 {
-			fleet.world.Add(fmt.Sprintf("new-%02d", index), "domain-"+strconv.Itoa(index%6), "east")
+			fleet.cluster.Add(fmt.Sprintf("new-%02d", index), "domain-"+strconv.Itoa(index%6), "east")
 		}
 		for term := int64(2); term < 20; term++ {
 			time.Sleep(3 * time.Second)
 			fleet.nodes[(term+1)%2].setTerm(0)
 			fleet.nodes[term%2].setTerm(term * 4096)
 		}
-		expect.Expect(fleet.world.Loads()).To(gomega.BeNumerically(">", 20))
-		expect.Expect(fleet.world.MaxLoadsWithin(5 * time.Second)).To(gomega.BeNumerically("<=", 30))
+		expect.Expect(fleet.cluster.Loads()).To(gomega.BeNumerically(">", 20))
+		expect.Expect(fleet.cluster.MaxLoadsWithin(5 * time.Second)).To(gomega.BeNumerically("<=", 30))
 		fleet.end()
 	})
 }
@@ -414,7 +414,7 @@
 				node.setTerm(0)
 			}
 			fleet.end()
-			if violations := fleet.world.Violations(); len(violations) > 0 {
+			if violations := fleet.cluster.Violations(); len(violations) > 0 {
 				property.Fatalf("seed %d, steps %v: %v", seed, steps, violations)
 			}
 		})
@@ -423,7 +423,7 @@
 
 // injectFault causes one fault or clears one.
 func (fleet *fleet) injectFault(step int, term int64) {
-	servers := fleet.world.Servers(service)
+	servers := fleet.cluster.Servers(service)
 	if len(servers) == 0 {
 		return
 	}
@@ -431,23 +431,23 @@
 	node := fleet.nodes[step/7%2]
 	switch step % 11 {
 	case 0, 1:
-		fleet.world.Kill(server.ID)
+		fleet.cluster.Kill(server.ID)
 	case 2, 3:
-		fleet.world.SetPartitioned(server.ID, node.name, step%2 == 0)
+		fleet.cluster.SetPartitioned(server.ID, node.name, step%2 == 0)
 	case 4:
 		for _, other := range servers {
 			if other.FabricDomain == server.FabricDomain {
-				fleet.world.SetPartitioned(other.ID, node.name, step/13%2 == 0)
+				fleet.cluster.SetPartitioned(other.ID, node.name, step/13%2 == 0)
 			}
 		}
 	case 5, 6:
-		fleet.world.SetFaults(server.ID, backends.Faults{LostReplies: 0.4, Delayed: 0.4, Delay: time.Duration(2+step%11) * time.Second})
+		fleet.cluster.SetFaults(server.ID, backends.Faults{LostReplies: 0.4, Delayed: 0.4, Delay: time.Duration(2+step%11) * time.Second})
 	case 7:
 		node.setTerm(term)
 	case 8:
 		node.isolated.Store(!node.isolated.Load())
 	case 9:
-		fleet.world.Drain(server.ID)
+		fleet.cluster.Drain(server.ID)
 	case 10:
 		for _, other := range fleet.nodes {
 			if group := servingGroupOf(other, "large"); group.Name != "" {
--- a/internal/fleet/formation/stalled_test.go
+++ b/internal/fleet/formation/stalled_test.go
@@ -23,7 +23,7 @@
 		node.setTerm(4096)
 		time.Sleep(8 * time.Second)
 		group := servingGroupOf(node, "large")
-		fleet.world.Kill(group.Members[1])
+		fleet.cluster.Kill(group.Members[1])
 		// The server list is read every 0.8 s and shows the state of the previous read.
 		for node.list.Load().Servers[group.Members[1]] != nil {
 			time.Sleep(10 * time.Millisecond)
@@ -34,7 +34,7 @@
 		for _, serving := range node.view.Serving(node.list.Load(), []formation.Service{{Name: service, Engine: engine()}}) {
 			expect.Expect(serving.Name).NotTo(gomega.Equal(group.Name))
 		}
-		expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
+		expect.Expect(fleet.cluster.Violations()).To(gomega.BeEmpty())
 		fleet.end()
 	})
 }
@@ -52,7 +52,7 @@
 			node.setTerm(4096)
 			time.Sleep(8 * time.Second)
 			group := servingGroupOf(node, "large")
-			fleet.world.Deregister(group.Members[rank])
+			fleet.cluster.Deregister(group.Members[rank])
 			changes := []formation.Change{}
 			for began := time.Now(); time.Since(began) < 20*time.Second && !node.view.MembersFree(group.Name); time.Sleep(50 * time.Millisecond) {
 				for _, announcement := range node.view.RecentAnnouncements() {
@@ -65,7 +65,7 @@
 			expect.Expect(changes).NotTo(gomega.BeEmpty())
 			expect.Expect(changes[0]).To(gomega.Equal(formation.Retired))
 			expect.Expect(node.controller.Counts.Lost.Load()).To(gomega.BeZero())
-			expect.Expect(fleet.world.Violations()).To(gomega.BeEmpty())
+			expect.Expect(fleet.cluster.Violations()).To(gomega.BeEmpty())
 			fleet.end()
 		})
 	}
