--- a/internal/fleet/catalogue/catalogue_test.go
+++ b/internal/fleet/catalogue/catalogue_test.go
@@ -41,15 +41,15 @@
 		}
 		replica.Apply(published.Since(version))
 		servers := published.Servers()
-		copied := []catalogue.Row{}
+		replicated := []catalogue.Row{}
 		for _, indexed := range replica.Rows() {
-			copied = append(copied, indexed.Row)
+			replicated = append(replicated, indexed.Row)
 		}
-		if len(copied) != len(rows) {
-			t.Fatalf("replica has %d rows, want %d", len(copied), len(rows))
+		if len(replicated) != len(rows) {
+			t.Fatalf("replica has %d rows, want %d", len(replicated), len(rows))
 		}
 		for _, want := range rows {
-			if !slices.Contains(copied, want) {
+			if !slices.Contains(replicated, want) {
 				t.Fatalf("replica lacks row %v", want)
 			}
 		}
--- a/internal/fleet/formation/form.go
+++ b/internal/fleet/formation/form.go
@@ -35,14 +35,14 @@
 func (controller *Controller) requestMemberReports(members []string) ([]reportResult, bool) {
 	reports := controller.requestReports(members)
 	allUsable := true
-	for index, answer := range reports {
-		refused := errors.Is(answer.err, ErrRefused)
-		if answer.err != nil && !refused {
+	for index, result := range reports {
+		refused := errors.Is(result.err, ErrRefused)
+		if result.err != nil && !refused {
 			controller.excludeLost(members[index])
 			allUsable = false
 			continue
 		}
-		if refused || !controller.mayJoin(&answer.report) {
+		if refused || !controller.mayJoin(&result.report) {
 			// The server's report or the server list is out of date. Both catch up within the
 			// short exclusion.
 			controller.excludeSettling(members[index])
@@ -82,8 +82,8 @@
 func (controller *Controller) joinAll(term int64, group Group, reports []reportResult) bool {
 	joined := make([]bool, len(reports))
 	waiters := conc.WaitGroup{}
-	for index, answer := range reports {
-		waiters.Go(func() { joined[index] = controller.joinMember(term, group, answer) })
+	for index, result := range reports {
+		waiters.Go(func() { joined[index] = controller.joinMember(term, group, result) })
 	}
 	waiters.Wait()
 	for _, ok := range joined {
@@ -132,8 +132,8 @@
 	model, _ := service.Engine.Model(group.Model)
 	pause := firstReadyPoll
 	expected := model.WarmupTime
-	for _, answer := range reports {
-		if !slices.Contains(answer.report.Staged, group.Model) {
+	for _, result := range reports {
+		if !slices.Contains(result.report.Staged, group.Model) {
 			expected = model.LoadTime
 		}
 	}
@@ -163,11 +163,11 @@
 // notReady returns the members that are still joining, or nil if the group can't become ready.
 func (controller *Controller) notReady(group Group, ids []string, failures map[string]int) []string {
 	waiting := []string{}
-	for index, answer := range controller.requestReports(ids) {
+	for index, result := range controller.requestReports(ids) {
 		id := ids[index]
-		membership := answer.report.Group
+		membership := result.report.Group
 		switch {
-		case answer.err != nil:
+		case result.err != nil:
 			failures[id]++
 			if failures[id] >= maxJoinFailures {
 				controller.excludeLost(id)
--- a/internal/fleet/formation/repair.go
+++ b/internal/fleet/formation/repair.go
@@ -38,12 +38,12 @@
 
 // requestReports requests reports from servers concurrently.
 func (controller *Controller) requestReports(ids []string) []reportResult {
-	answers := make([]reportResult, len(ids))
+	results := make([]reportResult, len(ids))
 	waiters := conc.WaitGroup{}
 	for index, id := range ids {
 		server, ok := controller.Servers().Servers[id]
 		if !ok {
-			answers[index].err = errNotListed
+			results[index].err = errNotListed
 			continue
 		}
 		waiters.Go(func() {
@@ -51,11 +51,11 @@
 			defer cancel()
 			controller.Counts.Reports.Add(1)
 			report, err := controller.Report(ctx, server)
-			answers[index] = reportResult{server: server, report: report, err: err}
+			results[index] = reportResult{server: server, report: report, err: err}
 		})
 	}
 	waiters.Wait()
-	return answers
+	return results
 }
 
 // sendOrder sends an order, and repeats it while there is no reply. An order without a reply may
@@ -117,12 +117,12 @@
 // refuses the request is alive and not missing.
 func (controller *Controller) missingMembers(group Group, ids []string) []string {
 	missing := []string{}
-	for index, answer := range controller.requestReports(ids) {
-		if errors.Is(answer.err, ErrRefused) {
+	for index, result := range controller.requestReports(ids) {
+		if errors.Is(result.err, ErrRefused) {
 			continue
 		}
-		inGroup := answer.report.Group.Name == group.Name && answer.report.Group.State != roster.Broken
-		if answer.err != nil || !inGroup {
+		inGroup := result.report.Group.Name == group.Name && result.report.Group.State != roster.Broken
+		if result.err != nil || !inGroup {
 			missing = append(missing, ids[index])
 		}
 	}
@@ -304,9 +304,9 @@
 func (controller *Controller) awaitClosed(group Group) {
 	deadline := controller.Now() + maxCloseTime
 	for controller.Now() < deadline && controller.Sleep(closePollInterval) {
-		answer := controller.requestReports([]string{group.Head()})[0]
-		state := answer.report.Group.State
-		if answer.err != nil || (state != roster.Closing && state != roster.Open) {
+		result := controller.requestReports([]string{group.Head()})[0]
+		state := result.report.Group.State
+		if result.err != nil || (state != roster.Closing && state != roster.Open) {
 			return
 		}
 	}
--- a/internal/state/stream/fuzz_test.go
+++ b/internal/state/stream/fuzz_test.go
@@ -24,11 +24,11 @@
 	f.Add([]byte{0, 9, 1, 2, 3, 4, 5, 6, 7, 8, 24, 1})
 	f.Add([]byte("\x0a\x02\x0a\x00"))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
+		discardLogger := slog.New(slog.NewTextHandler(io.Discard, nil))
 		now := func() time.Duration { return time.Hour }
 		classes := class.New()
 		for _, stateMachine := range []stream.StateMachine{classes.StateMachine(), booking.NewTable(time.Hour).StateMachine(), lease.New(now).StateMachine()} {
-			follower := stream.New("any", stateMachine, stream.Logger(quiet), stream.Clock(now))
+			follower := stream.New("any", stateMachine, stream.Logger(discardLogger), stream.Clock(now))
 			follower.ApplyFetched(stream.FetchReply{Records: []logservice.Record{{Offset: 0, Body: body}, {Offset: 1, Body: body}}})
 			if follower.Next() != 2 {
 				t.Fatalf("the follower stopped at offset %d", follower.Next())
