--- a/internal/state/booking/booking_test.go
+++ b/internal/state/booking/booking_test.go
@@ -38,9 +38,9 @@
 
 // cluster holds a log, a service and the nodes that call the service.
 type cluster struct {
-	log   *platform.Log
-	book  *standin.ExecutionCounter
-	nodes []*node
+	log     *platform.Log
+	counter *standin.ExecutionCounter
+	nodes   []*node
 
 	mu              sync.Mutex
 	byIncarnation   map[uint64]*node
@@ -48,7 +48,7 @@
 }
 
 func newCluster(nodes int) *cluster {
-	cluster := &cluster{log: platform.NewLog(), book: standin.NewExecutionCounter(), byIncarnation: map[uint64]*node{}}
+	cluster := &cluster{log: platform.NewLog(), counter: standin.NewExecutionCounter(), byIncarnation: map[uint64]*node{}}
 	for range nodes {
 		cluster.nodes = append(cluster.nodes, cluster.start())
 	}
@@ -132,7 +132,7 @@
 
 func (cluster *cluster) execute(key string) int {
 	time.Sleep(10 * time.Millisecond)
-	return cluster.book.Record(key)
+	return cluster.counter.Record(key)
 }
 
 // withCluster runs a test in virtual time, on nodes that have read the log.
@@ -163,7 +163,7 @@
 			g.Expect(result.Outcome).To(gomega.Equal(outcome.Run), result.Cause)
 			g.Expect(string(result.Body)).To(gomega.Equal("1"))
 		}
-		g.Expect(cluster.book.Executions("visit")).To(gomega.Equal(1))
+		g.Expect(cluster.counter.Executions("visit")).To(gomega.Equal(1))
 	})
 }
 
@@ -177,7 +177,7 @@
 		refused := cluster.nodes[0].Run(context.Background(), cluster.call("visit", &reached))
 		g.Expect(refused.Outcome).To(gomega.Equal(outcome.NotRun))
 		g.Expect(refused.RetryAfter).To(gomega.BeNumerically(">", 0))
-		g.Expect(cluster.book.Executions("visit")).To(gomega.BeZero())
+		g.Expect(cluster.counter.Executions("visit")).To(gomega.BeZero())
 
 		ticket, err := cluster.nodes[0].IssueTicket()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -185,7 +185,7 @@
 			result := cluster.nodes[0].RunTicket(context.Background(), cluster.call(ticket, &reached))
 			g.Expect(result.Outcome).To(gomega.Equal(outcome.Run))
 		}
-		g.Expect(cluster.book.Executions(ticket)).To(gomega.Equal(1))
+		g.Expect(cluster.counter.Executions(ticket)).To(gomega.Equal(1))
 	})
 }
 
@@ -207,7 +207,7 @@
 		again := cluster.nodes[1].Run(context.Background(), cluster.call("visit", &reached))
 		g.Expect(again.Outcome).To(gomega.Equal(outcome.Run), again.Cause)
 		g.Expect(again.Replayed).To(gomega.BeTrue())
-		g.Expect(cluster.book.Executions("visit")).To(gomega.Equal(1))
+		g.Expect(cluster.counter.Executions("visit")).To(gomega.Equal(1))
 	})
 }
 
@@ -228,8 +228,8 @@
 		g.Expect(replayed.Body).To(gomega.Equal(ran.Body))
 		g.Expect(cluster.nodes[1].RunTicket(context.Background(), cluster.call(unused, &reached)).Outcome).To(gomega.Equal(outcome.NotRun))
 		g.Expect(cluster.nodes[0].RunTicket(context.Background(), cluster.call(unused, &reached)).Outcome).To(gomega.Equal(outcome.Unknown))
-		g.Expect(cluster.book.Executions(used)).To(gomega.Equal(1))
-		g.Expect(cluster.book.Executions(unused)).To(gomega.BeZero())
+		g.Expect(cluster.counter.Executions(used)).To(gomega.Equal(1))
+		g.Expect(cluster.counter.Executions(unused)).To(gomega.BeZero())
 	})
 }
 
@@ -263,7 +263,7 @@
 			result := running.Run(context.Background(), cluster.call("visit", &reached))
 			g.Expect(result.Outcome).To(gomega.Equal(outcome.Unknown), result.Cause)
 		}
-		g.Expect(cluster.book.Executions("visit")).To(gomega.Equal(1))
+		g.Expect(cluster.counter.Executions("visit")).To(gomega.Equal(1))
 	})
 }
 
--- a/internal/state/booking/random_test.go
+++ b/internal/state/booking/random_test.go
@@ -122,7 +122,7 @@
 
 func (cluster *cluster) check(t *testing.T, requests []request) {
 	t.Helper()
-	if duplicates := cluster.book.Duplicates(); duplicates != 0 {
+	if duplicates := cluster.counter.Duplicates(); duplicates != 0 {
 		t.Errorf("%d calls ran twice", duplicates)
 	}
 	reported := map[string]bool{}
@@ -133,8 +133,8 @@
 				t.Errorf("%s: a request got NotRun although its call ran", request.key)
 			}
 		case outcome.Run:
-			if cluster.book.Executions(request.key) != 1 {
-				t.Errorf("%s: a request got Run although its call ran %d times", request.key, cluster.book.Executions(request.key))
+			if cluster.counter.Executions(request.key) != 1 {
+				t.Errorf("%s: a request got Run although its call ran %d times", request.key, cluster.counter.Executions(request.key))
 			}
 			reported[request.key] = true
 		case outcome.Unknown:
@@ -145,7 +145,7 @@
 	}
 	for index := range randomKeys {
 		key := fmt.Sprint("key-", index)
-		if cluster.book.Executions(key) > 0 && !reported[key] {
+		if cluster.counter.Executions(key) > 0 && !reported[key] {
 			t.Errorf("%s: the call ran although every request got NotRun", key)
 		}
 	}
