--- a/internal/peer/node/node.go
+++ b/internal/peer/node/node.go
@@ -7,7 +7,7 @@
 //
 // # Usage
 //
-//	server := node.NewServer(listener, meter.Wrap, func(ctx context.Context, request *exchange.Request) *exchange.Reply { ... })
+//	server := node.NewServer(listener, meter.WrapConn, func(ctx context.Context, request *exchange.Request) *exchange.Reply { ... })
 //	server.Start()
 //	client := node.NewClient()
 //	reply, err := client.Call(ctx, "127.0.0.1:7300", request)
--- a/internal/peer/operator/operator.go
+++ b/internal/peer/operator/operator.go
@@ -182,21 +182,21 @@
 }
 
 func (handler *Handler) serveBooking(writer http.ResponseWriter, _ *http.Request, params httprouter.Params) {
-	line, ok := handler.Booking(params.ByName("Service"), params.ByName("Key"))
+	info, ok := handler.Booking(params.ByName("Service"), params.ByName("Key"))
 	if !ok {
 		writeProblem(writer, http.StatusNotFound, "nothing is known about the key %q", params.ByName("Key"))
 		return
 	}
-	writeJSON(writer, http.StatusOK, line)
+	writeJSON(writer, http.StatusOK, info)
 }
 
 func (handler *Handler) serveClasses(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	snapshot := handler.Classes.Snapshot()
-	lines := []ClassInfo{}
+	infos := []ClassInfo{}
 	for _, name := range snapshot.Names() {
-		lines = append(lines, classInfo(snapshot.Entries[name]))
+		infos = append(infos, classInfo(snapshot.Entries[name]))
 	}
-	writeJSON(writer, http.StatusOK, lines)
+	writeJSON(writer, http.StatusOK, infos)
 }
 
 func classInfo(entry *record.ConfigEntry) ClassInfo {
@@ -220,15 +220,15 @@
 }
 
 func (handler *Handler) serveHistory(writer http.ResponseWriter, _ *http.Request, params httprouter.Params) {
-	lines := []HistoryEntry{}
+	entries := []HistoryEntry{}
 	for _, event := range handler.Classes.History(params.ByName("Name")) {
-		lines = append(lines, HistoryEntry{
+		entries = append(entries, HistoryEntry{
 			Offset: event.Offset, ChangeID: event.Change.ChangeID, Operator: event.Change.Operator,
 			SubmittedAt: time.UnixMilli(event.Change.SubmittedUnixMs).UTC(), Deleted: event.Change.Delete,
 			Accepted: event.Verdict.Accepted, Revision: event.Verdict.Revision, Reason: event.Verdict.Reason,
 		})
 	}
-	writeJSON(writer, http.StatusOK, lines)
+	writeJSON(writer, http.StatusOK, entries)
 }
 
 func (handler *Handler) serveSet(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
@@ -279,8 +279,8 @@
 	switch {
 	case verdict.Accepted:
 	case verdict.InForce != nil:
-		line := classInfo(verdict.InForce)
-		response.Beaten = &line
+		inForce := classInfo(verdict.InForce)
+		response.Beaten = &inForce
 		status = http.StatusConflict
 	case verdict.Reason == class.ReasonStale:
 		status = http.StatusConflict
--- a/internal/peer/store/hedge.go
+++ b/internal/peer/store/hedge.go
@@ -35,11 +35,11 @@
 // hedger is the state of a hedged request in progress.
 type hedger[T any] struct {
 	HedgedRequest[T]
-	tracker  *CallTracker
-	part     *lifecycle.Component
-	ctx      context.Context
-	results  chan result[T]
-	inFlight int
+	tracker   *CallTracker
+	component *lifecycle.Component
+	ctx       context.Context
+	results   chan result[T]
+	inFlight  int
 	// oldest is the first call; newestStartedAt is when the latest call started.
 	oldest          *Call
 	newestStartedAt time.Duration
@@ -48,10 +48,10 @@
 // CallHedged returns the first answer to a request. An overdue call is not cancelled before its timeout, since the store
 // may merely be slow. Another call is started in addition, both after a delay and when the store recovers, which is
 // when any other call of this node is answered. CallHedged fails when a call fails and no other call is in progress.
-func CallHedged[T any](tracker *CallTracker, part *lifecycle.Component, request HedgedRequest[T]) (T, error) {
-	ctx, cancel := part.ContextWithCancel()
+func CallHedged[T any](tracker *CallTracker, component *lifecycle.Component, request HedgedRequest[T]) (T, error) {
+	ctx, cancel := component.ContextWithCancel()
 	defer cancel()
-	hedger := &hedger[T]{HedgedRequest: request, tracker: tracker, part: part, ctx: ctx, results: make(chan result[T], maxConcurrentCalls)}
+	hedger := &hedger[T]{HedgedRequest: request, tracker: tracker, component: component, ctx: ctx, results: make(chan result[T], maxConcurrentCalls)}
 	return hedger.run()
 }
 
@@ -106,7 +106,7 @@
 	}
 	hedger.newestStartedAt = call.startedAt
 	hedger.inFlight++
-	hedger.part.Go(func() {
+	hedger.component.Go(func() {
 		ctx, cancel := context.WithTimeout(hedger.ctx, wait+hedger.Timing.CallTimeout)
 		defer cancel()
 		value, err := hedger.Call(ctx, wait)
@@ -143,12 +143,12 @@
 }
 
 // Wait waits until the next call may be made: until the pause is over or the store has recovered. It returns false if
-// the part was asked to stop.
-func (pause RetryPause) Wait(part *lifecycle.Component) bool {
+// the component was asked to stop.
+func (pause RetryPause) Wait(component *lifecycle.Component) bool {
 	timer := time.NewTimer(pause.timing.RetryDelay(pause.tracker.FailuresInRow(), pause.tracker.now()-pause.startedAt))
 	defer timer.Stop()
 	select {
-	case <-part.Stopping:
+	case <-component.Stopping:
 		return false
 	case <-pause.recovery:
 	case <-timer.C:
--- a/internal/peer/store/hedge_test.go
+++ b/internal/peer/store/hedge_test.go
@@ -17,22 +17,22 @@
 
 // script makes hedged requests whose calls behave according to their number, counted from 1.
 type script struct {
-	tracker  *CallTracker
-	part     *lifecycle.Component
-	started  atomic.Int32
-	mayHedge bool
-	timing   storetiming.Timing
+	tracker   *CallTracker
+	component *lifecycle.Component
+	started   atomic.Int32
+	mayHedge  bool
+	timing    storetiming.Timing
 }
 
 func newScript() *script {
-	return &script{tracker: NewCallTracker(Clock(clock.Virtual())), part: lifecycle.New("test"), mayHedge: true, timing: storetiming.TimingFor(storetiming.Representative)}
+	return &script{tracker: NewCallTracker(Clock(clock.Virtual())), component: lifecycle.New("test"), mayHedge: true, timing: storetiming.TimingFor(storetiming.Representative)}
 }
 
 // request makes a hedged request whose calls behave as given. It returns the number of the answered call and how long the
 // request took.
 func (script *script) request(behave func(ctx context.Context, number int) error) (number int, took time.Duration, err error) {
 	startedAt := time.Now()
-	number, err = CallHedged(script.tracker, script.part, HedgedRequest[int]{
+	number, err = CallHedged(script.tracker, script.component, HedgedRequest[int]{
 		Name: "test", Timing: script.timing, MayHedge: func() bool { return script.mayHedge },
 		Call: func(ctx context.Context, _ time.Duration) (int, error) {
 			number := int(script.started.Add(1))
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		script := newScript()
-		defer script.part.Stop()
+		defer script.component.Stop()
 		number, took, err := script.request(thirdAnswers)
 		expect.Expect(err).NotTo(gomega.HaveOccurred())
 		expect.Expect(number).To(gomega.Equal(3))
@@ -76,7 +76,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		script := newScript()
-		defer script.part.Stop()
+		defer script.component.Stop()
 		_, took, err := script.request(func(ctx context.Context, _ int) error {
 			select {
 			case <-time.After(2500 * time.Millisecond):
@@ -97,10 +97,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		script := newScript()
-		defer script.part.Stop()
+		defer script.component.Stop()
 		script.tracker.Start("other", 0).Finish(errNoAnswer)
 		script.mayHedge = false
-		script.part.Go(func() {
+		script.component.Go(func() {
 			time.Sleep(100 * time.Millisecond)
 			script.tracker.HintRecovery()
 			time.Sleep(30 * time.Millisecond)
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		script := newScript()
-		defer script.part.Stop()
+		defer script.component.Stop()
 		script.mayHedge = false
 		_, took, err := script.request(func(ctx context.Context, _ int) error { return hang(ctx) })
 		expect.Expect(err).To(gomega.MatchError(context.DeadlineExceeded))
@@ -132,16 +132,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		script := newScript()
-		script.part.Go(func() {
+		script.component.Go(func() {
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
 				expect.Expect(len(script.tracker.State().Hanging)).To(gomega.BeNumerically("<=", maxConcurrentCalls))
 			}
-			script.part.RequestStop()
+			script.component.RequestStop()
 		})
 		_, _, err := script.request(func(ctx context.Context, _ int) error { return hang(ctx) })
 		expect.Expect(err).To(gomega.HaveOccurred())
-		script.part.Stop()
+		script.component.Stop()
 		expect.Expect(script.started.Load()).To(gomega.BeNumerically("<=", 27))
 	})
 }
@@ -151,7 +151,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		script := newScript()
-		defer script.part.Stop()
+		defer script.component.Stop()
 		script.timing = storetiming.Timing{HedgeInterval: 400 * time.Millisecond, OutageInterval: 2 * time.Second, CallTimeout: 3 * time.Second}
 		others := conc.WaitGroup{}
 		others.Go(func() {
@@ -172,7 +172,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		expect := gomega.NewWithT(t)
 		script := newScript()
-		defer script.part.Stop()
+		defer script.component.Stop()
 		script.tracker.Start("other", 0).Finish(errNoAnswer)
 		script.tracker.Start("other", 0).Finish(errNoAnswer)
 		pause := script.tracker.NewRetryPause(storetiming.TimingFor(storetiming.Listener))
@@ -180,7 +180,7 @@
 		script.tracker.Start("other", 0).Finish(errNoAnswer)
 		script.tracker.Start("other", 0).Finish(errNoAnswer)
 		startedAt := time.Now()
-		expect.Expect(pause.Wait(script.part)).To(gomega.BeTrue())
+		expect.Expect(pause.Wait(script.component)).To(gomega.BeTrue())
 		expect.Expect(time.Since(startedAt)).To(gomega.BeZero())
 	})
 }
--- a/internal/run/demo/demo.go
+++ b/internal/run/demo/demo.go
@@ -89,12 +89,12 @@
 
 // Environment is a running set of stand-ins.
 type Environment struct {
-	Log     *platform.Log
-	List    *platform.List
-	Weights *platform.Weights
-	Book    *service.ExecutionCounter
-	Domains map[string]*engine.Domain
-	Engines []*engine.Engine
+	Log              *platform.Log
+	List             *platform.List
+	Weights          *platform.Weights
+	ExecutionCounter *service.ExecutionCounter
+	Domains          map[string]*engine.Domain
+	Engines          []*engine.Engine
 
 	Services []*service.Service
 
@@ -134,7 +134,7 @@
 func NewEnvironment(options ...Option) (*Environment, error) {
 	environment := &Environment{
 		Log: platform.NewLog(), List: platform.NewList(listLag), Weights: platform.NewWeights(weightSlots, weightLoadTime),
-		Book: service.NewExecutionCounter(), Domains: map[string]*engine.Domain{}, basePort: 7000, shape: DefaultShape(), rates: engine.DefaultRates,
+		ExecutionCounter: service.NewExecutionCounter(), Domains: map[string]*engine.Domain{}, basePort: 7000, shape: DefaultShape(), rates: engine.DefaultRates,
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 	}
 	for _, option := range options {
@@ -234,7 +234,7 @@
 
 func (environment *Environment) startService(index int, dataCentre string) {
 	id := fmt.Sprintf("%s-%s", dataCentre, ServiceName)
-	plainService := service.New(id, environment.Book)
+	plainService := service.New(id, environment.ExecutionCounter)
 	environment.Services = append(environment.Services, plainService)
 	environment.addServer(environment.offsetAfterNodes(firstService)+index, plainService.Handler())
 	environment.List.Put(instancelist.Instance{
--- a/internal/run/node/input_test.go
+++ b/internal/run/node/input_test.go
@@ -47,11 +47,11 @@
 	}
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		for _, testCase := range cases {
-			answer := running.Call(0, http.MethodPost, testCase.path, testCase.header, testCase.body)
-			g.Expect(answer.Status).To(gomega.Equal(testCase.status), "%s: %s", testCase.name, answer.Text)
-			g.Expect(answer.Outcome).To(gomega.Equal(outcome.NotRun), testCase.name)
-			g.Expect(answer.Text).To(gomega.ContainSubstring(testCase.says), testCase.name)
-			g.Expect(answer.Text).To(gomega.ContainSubstring(`"error"`), testCase.name)
+			result := running.Call(0, http.MethodPost, testCase.path, testCase.header, testCase.body)
+			g.Expect(result.Status).To(gomega.Equal(testCase.status), "%s: %s", testCase.name, result.Text)
+			g.Expect(result.Outcome).To(gomega.Equal(outcome.NotRun), testCase.name)
+			g.Expect(result.Text).To(gomega.ContainSubstring(testCase.says), testCase.name)
+			g.Expect(result.Text).To(gomega.ContainSubstring(`"error"`), testCase.name)
 		}
 		g.Expect(running.Generate(0, "report", "still here", 3).Complete).To(gomega.BeTrue())
 	})
@@ -97,7 +97,7 @@
 			connection.Close()
 		}
 		g.Expect(running.Nodes[0].State().Traffic.PeerBadFrames).To(gomega.BeNumerically(">=", 2))
-		g.Expect(running.Environment.Book.Executions("stuck") + running.Environment.Book.Executions("half")).To(gomega.BeZero())
+		g.Expect(running.Environment.ExecutionCounter.Executions("stuck") + running.Environment.ExecutionCounter.Executions("half")).To(gomega.BeZero())
 		g.Expect(running.Generate(0, "report", "still here", 3).Complete).To(gomega.BeTrue())
 	})
 }
@@ -142,12 +142,12 @@
 				}
 				g.Expect(running.BookSlot(0, "visit", "x").Outcome).To(gomega.Equal(testCase.outcome))
 				g.Expect(running.BookSlot(1, "visit", "x").Outcome).To(gomega.Equal(testCase.outcome))
-				g.Expect(running.Environment.Book.Executions("visit")).To(gomega.Equal(testCase.executed))
+				g.Expect(running.Environment.ExecutionCounter.Executions("visit")).To(gomega.Equal(testCase.executed))
 
-				before := running.Environment.Book.Total()
+				before := running.Environment.ExecutionCounter.Total()
 				withoutKey := running.Call(0, http.MethodPost, "/services/scheduling/slots", nil, "x")
 				g.Expect(withoutKey.Outcome).To(gomega.Equal(testCase.outcome), withoutKey.Text)
-				g.Expect(running.Environment.Book.Total() - before).To(gomega.Equal(testCase.executed))
+				g.Expect(running.Environment.ExecutionCounter.Total() - before).To(gomega.Equal(testCase.executed))
 			})
 		})
 	}
@@ -160,10 +160,10 @@
 		for _, server := range running.Environment.Engines {
 			server.SetFaults(engine.Faults{RefuseDrafts: 1000})
 		}
-		answer := running.Generate(0, "report", "nobody", 5)
-		g.Expect(answer.Outcome).To(gomega.Equal(outcome.NotRun), fmt.Sprint(answer))
-		g.Expect(answer.Header.Get("Retry-After")).NotTo(gomega.BeEmpty())
-		g.Expect(answer.Duration).To(gomega.BeNumerically("<", 6*time.Second))
+		result := running.Generate(0, "report", "nobody", 5)
+		g.Expect(result.Outcome).To(gomega.Equal(outcome.NotRun), fmt.Sprint(result))
+		g.Expect(result.Header.Get("Retry-After")).NotTo(gomega.BeEmpty())
+		g.Expect(result.Duration).To(gomega.BeNumerically("<", 6*time.Second))
 		running.Environment.Engines[0].SetFaults(engine.Faults{})
 	})
 }
@@ -180,10 +180,10 @@
 		g.Expect(json.Unmarshal([]byte(ticketResponse.Text), &decodedTicket)).To(gomega.Succeed())
 		ticket := decodedTicket.Key
 		for _, index := range []int{1, 0, 1} {
-			answer := running.BookSlot(index, ticket, "x")
-			g.Expect(answer.Outcome).To(gomega.Equal(outcome.Run), answer.Text)
+			result := running.BookSlot(index, ticket, "x")
+			g.Expect(result.Outcome).To(gomega.Equal(outcome.Run), result.Text)
 		}
-		g.Expect(running.Environment.Book.Executions(ticket)).To(gomega.Equal(1))
+		g.Expect(running.Environment.ExecutionCounter.Executions(ticket)).To(gomega.Equal(1))
 		// Regression: the forwarding node dropped the issuer's Replayed and Conflict flags. A replayed response looked
 		// like a new execution, and a different request under the same ticket returned 503 instead of 422.
 		g.Expect(running.BookSlot(1, ticket, "x").Header.Get(caller.HeaderReplayed)).To(gomega.Equal("true"))
@@ -193,6 +193,6 @@
 		running.Nodes[0].Stop()
 		running.Nodes[0] = nil
 		g.Expect(running.BookSlot(1, ticket, "x").Outcome).To(gomega.Equal(outcome.Run))
-		g.Expect(running.Environment.Book.Executions(ticket)).To(gomega.Equal(1))
+		g.Expect(running.Environment.ExecutionCounter.Executions(ticket)).To(gomega.Equal(1))
 	})
 }
--- a/internal/run/node/instance_lists.go
+++ b/internal/run/node/instance_lists.go
@@ -171,7 +171,7 @@
 
 // changedListings returns the listings that this node read itself. A listing includes the instances only if the
 // requesting peer holds another version.
-func (reader *listReader) changedListings(held []*exchange.ListingVersion) []*exchange.Listing {
+func (reader *listReader) changedListings(peerVersions []*exchange.ListingVersion) []*exchange.Listing {
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
 	changed := []*exchange.Listing{}
@@ -180,7 +180,7 @@
 			continue
 		}
 		wire := &exchange.Listing{Name: listing.name, Version: listing.version, AgeMs: milliseconds(reader.node.now() - listing.requestedAt)}
-		wire.Same = slices.ContainsFunc(held, func(version *exchange.ListingVersion) bool {
+		wire.Same = slices.ContainsFunc(peerVersions, func(version *exchange.ListingVersion) bool {
 			return version.Name == listing.name && version.Version == listing.version
 		})
 		if !wire.Same {
--- a/internal/run/node/node.go
+++ b/internal/run/node/node.go
@@ -88,7 +88,7 @@
 	serverStatuses  *fabric.StatusTable
 	watcher         *fabric.Watcher
 	groupController *replica.Controller
-	tally           *replica.AvailabilityMeter
+	availability    *replica.AvailabilityMeter
 	groups          atomic.Pointer[replica.Snapshot]
 	router          *route.Router
 	admissionGate   *admission.Gate
@@ -291,14 +291,14 @@
 		booking.Clock(node.now), booking.AskHolder(node.queryClaimHolder))
 }
 
-func (node *Node) newFollower(name string, fold stream.StateMachine) *stream.Follower {
-	return stream.New(name, fold, stream.Read(node.logClient.Read), stream.Append(node.logClient.Append),
+func (node *Node) newFollower(name string, stateMachine stream.StateMachine) *stream.Follower {
+	return stream.New(name, stateMachine, stream.Read(node.logClient.Read), stream.Append(node.logClient.Append),
 		stream.Clock(node.now), stream.Logger(node.logger))
 }
 
 func (node *Node) buildFleet() {
 	node.serverStatuses = fabric.New(node.now)
-	node.tally = replica.NewAvailabilityMeter(node.now())
+	node.availability = replica.NewAvailabilityMeter(node.now())
 	node.groups.Store(replica.Assemble(node.serverStatuses.Snapshot(), node.now()))
 	node.watcher = fabric.NewWatcher(node.serverStatuses, node.members.OwnsDuty, node.engines.Report, node.probeViaPeer)
 	node.groupController = &replica.Controller{
@@ -328,9 +328,9 @@
 	}
 	node.operatorServer = &http.Server{
 		Handler: (&operator.Handler{
-			Ready: node.Ready, State: func() any { return node.State() }, Groups: node.groupLines,
+			Ready: node.Ready, State: func() any { return node.State() }, Groups: node.groupInfos,
 			Classes: node.classes, Submit: node.newSubmitter().Submit, Explain: node.explain,
-			Booking: node.bookingLine, Metrics: node.metrics,
+			Booking: node.bookingInfo, Metrics: node.metrics,
 		}).Handler(),
 		ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute,
 	}
--- a/internal/run/node/node_test.go
+++ b/internal/run/node/node_test.go
@@ -65,22 +65,22 @@
 	for _, server := range running.Environment.Engines {
 		g.Expect(server.Violations()).To(gomega.BeEmpty())
 	}
-	g.Expect(running.Environment.Book.Duplicates()).To(gomega.BeZero())
+	g.Expect(running.Environment.ExecutionCounter.Duplicates()).To(gomega.BeZero())
 }
 
 // A draft must be returned in full, and a booking repeated at another node must be replayed without a second execution.
 func TestDraftAndBookingEndToEnd(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
-		answer := running.Generate(0, "report", "the cellar is dry", 12)
-		g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
-		g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("the cellar is dry"), 12)))
+		result := running.Generate(0, "report", "the cellar is dry", 12)
+		g.Expect(result.Complete).To(gomega.BeTrue(), result.Error)
+		g.Expect(result.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("the cellar is dry"), 12)))
 
 		booked := running.BookSlot(0, "visit-1", "Tuesday")
 		g.Expect(booked.Outcome).To(gomega.Equal(outcome.Run), booked.Text)
 		replayed := running.BookSlot(1, "visit-1", "Tuesday")
 		g.Expect(replayed.Header.Get(caller.HeaderReplayed)).To(gomega.Equal("true"))
 		g.Expect(replayed.Text).To(gomega.Equal(booked.Text))
-		g.Expect(running.Environment.Book.Executions("visit-1")).To(gomega.Equal(1))
+		g.Expect(running.Environment.ExecutionCounter.Executions("visit-1")).To(gomega.Equal(1))
 	})
 }
 
@@ -108,9 +108,9 @@
 						server.SetFaults(engine.Faults{})
 					}
 				})
-				answer := running.Generate(0, "report", name, 20)
-				g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
-				g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt(name), 20)))
+				result := running.Generate(0, "report", name, 20)
+				g.Expect(result.Complete).To(gomega.BeTrue(), result.Error)
+				g.Expect(result.Text).To(gomega.Equal(engine.Completion(fleet.Prompt(name), 20)))
 				time.Sleep(6 * time.Second)
 			})
 		})
@@ -123,10 +123,10 @@
 func TestGracefulShutdownFinishesDrafts(t *testing.T) {
 	withFleet(t, smallShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		for index := range running.Nodes {
-			answers := make([]fleet.Result, 8)
+			results := make([]fleet.Result, 8)
 			callers := conc.NewWaitGroup()
-			for caller := range answers {
-				callers.Go(func() { answers[caller] = running.Generate(index, "report", "long visit", 400) })
+			for caller := range results {
+				callers.Go(func() { results[caller] = running.Generate(index, "report", "long visit", 400) })
 			}
 			time.Sleep(100 * time.Millisecond)
 			stopping := running.Nodes[index]
@@ -134,9 +134,9 @@
 			time.Sleep(time.Millisecond)
 			g.Expect(running.Call(index, http.MethodGet, "/readyz", nil, "").Status).To(gomega.Equal(http.StatusServiceUnavailable))
 			callers.Wait()
-			for _, answer := range answers {
-				g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
-				g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("long visit"), 400)))
+			for _, result := range results {
+				g.Expect(result.Complete).To(gomega.BeTrue(), result.Error)
+				g.Expect(result.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("long visit"), 400)))
 			}
 			running.StartNode(index)
 			running.Eventually(20*time.Second, "the new incarnation is ready", func() bool {
--- a/internal/run/node/overhead_test.go
+++ b/internal/run/node/overhead_test.go
@@ -32,21 +32,21 @@
 	b.Helper()
 	// The engines have capacity for a thousand concurrent drafts, so that the benchmark measures the node.
 	rates := standin.Rates{Step: 10 * time.Millisecond, StepPerRequest: 20 * time.Microsecond, PrefillPerSecond: 1_000_000, Concurrency: 600}
-	world, err := demo.NewEnvironment(demo.BasePort(benchPort), demo.Speed(rates), demo.Size(demo.Shape{
+	environment, err := demo.NewEnvironment(demo.BasePort(benchPort), demo.Speed(rates), demo.Size(demo.Shape{
 		DataCentres: []string{"bench"}, Nodes: 1, Domains: 1, Engines: 8,
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
 	}))
 	if err != nil {
 		b.Fatal(err)
 	}
-	nodeSettings := world.Settings()[0]
+	nodeSettings := environment.Settings()[0]
 	nodeSettings.Stopping = settings.Stopping{DrainSeconds: 1}
 	running, err := node.New(nodeSettings, node.Logger(slog.New(slog.NewTextHandler(io.Discard, nil))))
 	if err != nil {
 		b.Fatal(err)
 	}
 	running.Start()
-	world.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget("report", "drafting", 1), 0, "bench"))
+	environment.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget("report", "drafting", 1), 0, "bench"))
 	for range 200 {
 		if groups := running.State().Groups; len(groups) == 2 && groups[0].Serving && groups[1].Serving {
 			break
@@ -56,9 +56,9 @@
 	time.Sleep(time.Second)
 	b.Cleanup(func() {
 		running.Stop()
-		world.Stop()
+		environment.Stop()
 	})
-	return running, world
+	return running, environment
 }
 
 // draftFromEngine requests a draft from an engine directly and returns the time to its first token.
--- a/internal/run/node/peer_requests.go
+++ b/internal/run/node/peer_requests.go
@@ -304,10 +304,10 @@
 	for _, header := range request.Headers {
 		call.Header.Add(header.Name, header.Value)
 	}
-	answer := node.callerServices.RunTicket(ctx, request.Service, call, request.Body, request.Key, request.Digest)
+	result := node.callerServices.RunTicket(ctx, request.Service, call, request.Body, request.Key, request.Digest)
 	return &exchange.CallReply{
-		Outcome: string(answer.Outcome), Status: uint32(answer.Status), ContentType: answer.ContentType,
-		Body: answer.Body, Cause: answer.Cause, Replayed: answer.Replayed, Conflict: answer.Conflict,
+		Outcome: string(result.Outcome), Status: uint32(result.Status), ContentType: result.ContentType,
+		Body: result.Body, Cause: result.Cause, Replayed: result.Replayed, Conflict: result.Conflict,
 	}
 }
 
--- a/internal/run/node/random_test.go
+++ b/internal/run/node/random_test.go
@@ -121,12 +121,12 @@
 	for _, server := range faultInjector.running.Environment.Engines {
 		server.SetFaults(engine.Faults{})
 	}
-	for _, tree := range faultInjector.running.Settings {
+	for _, nodeSettings := range faultInjector.running.Settings {
 		for _, other := range faultInjector.running.Settings {
-			faultInjector.running.Network.Heal(tree.Name, other.Listen.Peer)
+			faultInjector.running.Network.Heal(nodeSettings.Name, other.Listen.Peer)
 		}
 		for _, server := range faultInjector.running.Environment.Engines {
-			faultInjector.running.Network.Heal(tree.Name, server.Report().Address)
+			faultInjector.running.Network.Heal(nodeSettings.Name, server.Report().Address)
 		}
 	}
 }
@@ -152,19 +152,19 @@
 
 func (faultInjector *faultInjector) draft(node int, content string) {
 	const tokens = 30
-	answer := faultInjector.running.Generate(node, "report", content, tokens)
+	result := faultInjector.running.Generate(node, "report", content, tokens)
 	want := engine.Completion(fleet.Prompt(content), tokens)
 	switch {
-	case answer.Complete && answer.Text != want:
-		faultInjector.t.Errorf("%s: complete draft has the wrong text: %q", content, answer.Text)
-	case !answer.Complete && answer.Text != "" && answer.Status == 200 && len(answer.Text) <= len(want) && answer.Text != want[:len(answer.Text)]:
-		faultInjector.t.Errorf("%s: partial draft has the wrong text: %q", content, answer.Text)
+	case result.Complete && result.Text != want:
+		faultInjector.t.Errorf("%s: complete draft has the wrong text: %q", content, result.Text)
+	case !result.Complete && result.Text != "" && result.Status == 200 && len(result.Text) <= len(want) && result.Text != want[:len(result.Text)]:
+		faultInjector.t.Errorf("%s: partial draft has the wrong text: %q", content, result.Text)
 	}
 }
 
 func (faultInjector *faultInjector) book(node int, key string) {
-	answer := faultInjector.running.BookSlot(node, key, key)
-	if answer.Outcome == outcome.Run && faultInjector.running.Environment.Book.Executions(key) != 1 {
-		faultInjector.t.Errorf("%s: outcome is Run, but the call was executed %d times", key, faultInjector.running.Environment.Book.Executions(key))
+	result := faultInjector.running.BookSlot(node, key, key)
+	if result.Outcome == outcome.Run && faultInjector.running.Environment.ExecutionCounter.Executions(key) != 1 {
+		faultInjector.t.Errorf("%s: outcome is Run, but the call was executed %d times", key, faultInjector.running.Environment.ExecutionCounter.Executions(key))
 	}
 }
--- a/internal/run/node/repair_test.go
+++ b/internal/run/node/repair_test.go
@@ -56,8 +56,8 @@
 	withFleet(t, spareShape(0), func(_ *testing.T, running *fleet.Fleet, g *gomega.WithT) {
 		member, number := lastMemberOfServingGroup(running, 0)
 		member.SetFaults(engine.Faults{Dead: true})
-		answer := running.Generate(0, "report", "through a loss", 300)
-		g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("through a loss"), 300)), answer.Error)
+		result := running.Generate(0, "report", "through a loss", 300)
+		g.Expect(result.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("through a loss"), 300)), result.Error)
 		running.Eventually(5*time.Second, "the group has stopped serving", func() bool {
 			for index := range running.Nodes {
 				for _, group := range running.Nodes[index].State().Groups {
@@ -95,8 +95,8 @@
 		member.SetFaults(engine.Faults{Dead: true})
 		time.Sleep(40 * time.Second)
 		g.Expect(running.ServingGroups(0, "drafting")).To(gomega.Equal(1))
-		answer := running.Generate(0, "report", "still serving", 10)
-		g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
+		result := running.Generate(0, "report", "still serving", 10)
+		g.Expect(result.Complete).To(gomega.BeTrue(), result.Error)
 		running.Environment.Log.SetFaults(platform.LogFaults{})
 		running.Eventually(40*time.Second, "two groups serve again", allNodesSeeServing(running, 2))
 	})
@@ -295,8 +295,8 @@
 		running.Eventually(10*time.Second, "the group has stopped", func() bool { return running.ServingGroups(0, "drafting") == 0 })
 		time.Sleep(5 * time.Second)
 		for index := range running.Nodes {
-			answer := running.Generate(index, "report", "from next door", 10)
-			g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("from next door"), 10)), answer.Error)
+			result := running.Generate(index, "report", "from next door", 10)
+			g.Expect(result.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("from next door"), 10)), result.Error)
 		}
 		for _, server := range running.Environment.Engines[:4] {
 			server.Restart()
@@ -314,8 +314,8 @@
 		time.Sleep(9 * time.Second)
 		running.StartNode(0)
 		time.Sleep(2900 * time.Millisecond)
-		former := running.Nodes[0].State().Former
-		g.Expect(former.Formed + former.Retired + former.Refused + former.Failed).To(gomega.BeZero())
+		controller := running.Nodes[0].State().Former
+		g.Expect(controller.Formed + controller.Retired + controller.Refused + controller.Failed).To(gomega.BeZero())
 		running.Eventually(30*time.Second, "two groups serve again", allNodesSeeServing(running, 2))
 	})
 }
@@ -338,10 +338,10 @@
 			return running.ServingGroups(0, "drafting") == 1 && running.ServingGroups(0, "summary") == 1
 		})
 		time.Sleep(5 * time.Second)
-		answers := make(chan fleet.Result, 2)
+		results := make(chan fleet.Result, 2)
 		callers := conc.NewWaitGroup()
 		for index := range 2 {
-			callers.Go(func() { answers <- running.Generate(index, "later", "a long summary", 6000) })
+			callers.Go(func() { results <- running.Generate(index, "later", "a long summary", 6000) })
 		}
 		time.Sleep(time.Second)
 		nonLeaderOfModel(running, "drafting").SetFaults(engine.Faults{Dead: true})
@@ -354,9 +354,9 @@
 		close(done)
 		callers.Wait()
 		for range 2 {
-			answer := <-answers
-			g.Expect(answer.Complete).To(gomega.BeTrue(), answer.Error)
-			g.Expect(answer.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("a long summary"), 6000)))
+			result := <-results
+			g.Expect(result.Complete).To(gomega.BeTrue(), result.Error)
+			g.Expect(result.Text).To(gomega.Equal(engine.Completion(fleet.Prompt("a long summary"), 6000)))
 		}
 		for _, node := range running.Nodes {
 			g.Expect(node.State().Drafts.Resumed).To(gomega.BeZero())
@@ -375,8 +375,8 @@
 		}
 		// A refusal takes no time in the synctest bubble; without a sleep, virtual time would never advance.
 		time.Sleep(500 * time.Millisecond)
-		answer := running.Generate(1, "later", "one more", 400)
-		g.Expect(answer.Complete || answer.Outcome == outcome.NotRun).To(gomega.BeTrue(), answer.Error)
+		result := running.Generate(1, "later", "one more", 400)
+		g.Expect(result.Complete || result.Outcome == outcome.NotRun).To(gomega.BeTrue(), result.Error)
 	}
 }
 
--- a/internal/run/node/state.go
+++ b/internal/run/node/state.go
@@ -66,8 +66,8 @@
 		Name: node.settings.Name, Region: node.settings.Region, DataCentre: node.settings.DataCentre,
 		Incarnation: node.Incarnation, Ready: "ready", Members: node.members.State(),
 		Classes: node.classes.State(), Leases: node.leases.State(), Bookings: node.bookings.State(),
-		Watcher: node.watcher.State(), Former: node.groupController.State(), Tally: node.tally.State(),
-		Groups: node.groupLines(), Routes: node.router.State(), Admission: node.admissionGate.State(),
+		Watcher: node.watcher.State(), Former: node.groupController.State(), Tally: node.availability.State(),
+		Groups: node.groupInfos(), Routes: node.router.State(), Admission: node.admissionGate.State(),
 		Drafts: node.drafts.State(), Traffic: node.trafficState(), ListReads: node.listReader.reads.Load(), ListFailed: node.listReader.failures.Load(),
 	}
 	if err := node.Ready(); err != nil {
@@ -101,17 +101,17 @@
 	}
 }
 
-func (node *Node) groupLines() []operator.GroupInfo {
-	lines := []operator.GroupInfo{}
+func (node *Node) groupInfos() []operator.GroupInfo {
+	infos := []operator.GroupInfo{}
 	for _, group := range node.groups.Load().Groups {
-		line := operator.GroupInfo{
+		info := operator.GroupInfo{
 			Number: group.Number, FabricDomain: group.FabricDomain, Model: group.Model, Members: group.Members,
 			Serving: group.Serving, Draining: group.Draining, Running: group.Running, Cause: group.Cause,
 		}
-		line.WaitsFor = node.groupController.WaitCause(group.FabricDomain, group.Number)
-		lines = append(lines, line)
+		info.WaitsFor = node.groupController.WaitCause(group.FabricDomain, group.Number)
+		infos = append(infos, info)
 	}
-	return lines
+	return infos
 }
 
 // explain returns the recorded history of a request that this node received, or of a group.
@@ -148,21 +148,21 @@
 	return explanation, len(explanation.Lines) > 0
 }
 
-func (node *Node) bookingLine(service, key string) (operator.BookingInfo, bool) {
+func (node *Node) bookingInfo(service, key string) (operator.BookingInfo, bool) {
 	entry, ok := node.bookingTable.Lookup(service + "/" + key)
 	if !ok {
 		return operator.BookingInfo{}, false
 	}
-	line := operator.BookingInfo{
+	info := operator.BookingInfo{
 		Key: key, Holder: entry.Intent.Incarnation, Attempt: entry.Intent.Attempt,
 		ClaimedAt: time.UnixMilli(entry.Intent.UnixMs).UTC(), Outcome: "Unknown so far",
 	}
 	if entry.Outcome != nil {
 		result := booking.Replay(entry.Outcome)
-		line.Outcome, line.Status = string(result.Outcome), entry.Outcome.Status
-		line.ContentType, line.Body = entry.Outcome.ContentType, string(entry.Outcome.Body)
+		info.Outcome, info.Status = string(result.Outcome), entry.Outcome.Status
+		info.ContentType, info.Body = entry.Outcome.ContentType, string(entry.Outcome.Body)
 	}
-	return line, true
+	return info, true
 }
 
 // GroupEvents returns the events of the data centre's groups that this node has read from the log, oldest first.
@@ -184,5 +184,5 @@
 
 // Booking returns the claim and the outcome of an idempotency key of a service, as recorded in this node's region.
 func (node *Node) Booking(service, key string) (operator.BookingInfo, bool) {
-	return node.bookingLine(service, key)
+	return node.bookingInfo(service, key)
 }
--- a/internal/run/node/state_bench_test.go
+++ b/internal/run/node/state_bench_test.go
@@ -25,7 +25,7 @@
 // but the first have no access to the log.
 func startNodes(b *testing.B, count int, viaPeer bool) ([]*node.Node, *demo.Environment) {
 	b.Helper()
-	world, err := demo.NewEnvironment(demo.BasePort(stateBenchPort), demo.Size(demo.Shape{
+	environment, err := demo.NewEnvironment(demo.BasePort(stateBenchPort), demo.Size(demo.Shape{
 		DataCentres: []string{"bench"}, Nodes: count, Domains: 1, Engines: 4,
 		Models: []settings.Model{{Name: "drafting", GroupSize: 4}},
 	}))
@@ -39,9 +39,9 @@
 			stops.Go(running.Stop)
 		}
 		stops.Wait()
-		world.Stop()
+		environment.Stop()
 	})
-	for index, nodeSettings := range world.Settings() {
+	for index, nodeSettings := range environment.Settings() {
 		nodeSettings.Stopping = settings.Stopping{DrainSeconds: 1}
 		if viaPeer && index > 0 {
 			// Nothing listens at this address, so the node receives the log's records only from its peers.
@@ -67,7 +67,7 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	time.Sleep(5 * time.Second)
-	return nodes, world
+	return nodes, environment
 }
 
 // BenchmarkInForce measures the time from the append of a configuration change until it is in force at each node. In
@@ -85,13 +85,13 @@
 }
 
 func benchInForce(b *testing.B, count int, viaPeer bool) {
-	nodes, world := startNodes(b, count, viaPeer)
+	nodes, environment := startNodes(b, count, viaPeer)
 	latencies := hdrhistogram.New(1, 60_000_000, 3)
 	const changes = 5
 	for change := range changes {
 		name := fmt.Sprintf("class-%d-%d", b.N, change)
 		start := time.Now()
-		world.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget(name, "drafting", 0.1), 0, name))
+		environment.Log.Append("Config", fleet.EncodeClassChange(fleet.ClassTarget(name, "drafting", 0.1), 0, name))
 		waits := conc.NewWaitGroup()
 		elapsed := make([]time.Duration, count)
 		for index, running := range nodes {
@@ -127,7 +127,7 @@
 }
 
 func benchBookings(b *testing.B, rate int, unbatched bool) {
-	nodes, world := startNodes(b, 2, false)
+	nodes, environment := startNodes(b, 2, false)
 	for _, running := range nodes {
 		running.DisableBookingBatches(unbatched)
 	}
@@ -135,7 +135,7 @@
 	latencies := hdrhistogram.New(1, 60_000_000, 3)
 	elapsed := make([]time.Duration, rate*seconds)
 	succeeded := make([]bool, rate*seconds)
-	before := world.Log.Appends()
+	before := environment.Log.Appends()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 	defer client.CloseIdleConnections()
 	calls := conc.NewWaitGroup()
@@ -167,7 +167,7 @@
 			_ = latencies.RecordValue(latency.Microseconds())
 		}
 	}
-	b.ReportMetric(float64(world.Log.Appends()-before)/float64(max(1, booked)), "appends/booking")
+	b.ReportMetric(float64(environment.Log.Appends()-before)/float64(max(1, booked)), "appends/booking")
 	b.ReportMetric(float64(latencies.ValueAtQuantile(50))/1000, "p50-ms")
 	b.ReportMetric(float64(latencies.ValueAtQuantile(99))/1000, "p99-ms")
 	b.ReportMetric(float64(booked)/float64(len(elapsed)), "booked-share")
--- a/internal/run/node/traffic_test.go
+++ b/internal/run/node/traffic_test.go
@@ -133,8 +133,8 @@
 		}
 		running.Eventually(10*time.Second, "the region's group has stopped", func() bool { return running.ServingGroups(2, "drafting") == 0 })
 		time.Sleep(5 * time.Second)
-		answer := running.Generate(2, "report", "far away", 3)
-		g.Expect(answer.Outcome).To(gomega.Equal(outcome.NotRun), answer.Text)
+		result := running.Generate(2, "report", "far away", 3)
+		g.Expect(result.Outcome).To(gomega.Equal(outcome.NotRun), result.Text)
 		for _, server := range running.Environment.Engines[4:] {
 			server.Restart()
 		}
--- a/internal/run/node/view.go
+++ b/internal/run/node/view.go
@@ -44,7 +44,7 @@
 	node.members.Refresh()
 	snapshot := replica.Assemble(node.serverStatuses.Snapshot(), now)
 	node.groups.Store(snapshot)
-	node.tally.Add(snapshot, now)
+	node.availability.Add(snapshot, now)
 	for _, violation := range snapshot.Violations {
 		node.logger.Error("replica: an invariant was violated.", "Violation", violation)
 	}
--- a/internal/run/node/wire.go
+++ b/internal/run/node/wire.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// domainReport returns the part of a reading that a peer needs: only the ages of the reports if the peer already holds
-// this version, otherwise the reports.
+// domainReport returns what a peer needs of a domain's reading: only the ages of the reports if the peer already has this
+// version, otherwise the reports themselves.
 func domainReport(reading *fabric.Reading, heldVersion *exchange.DomainVersion, watcher uint64, now time.Duration) *exchange.DomainReport {
 	report := &exchange.DomainReport{
 		FabricDomain: reading.FabricDomain, Watcher: watcher, Sequence: reading.Version, Missed: reading.Unresponsive,
