--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -13,7 +13,7 @@
 	"hazelslip/internal/testlib/suite"
 )
 
-func ask(gate *admission.Gate, class string, share float64, workspace string, capacity admission.Capacity, maxWait time.Duration) (*admission.Permit, *admission.Refusal) {
+func admit(gate *admission.Gate, class string, share float64, workspace string, capacity admission.Capacity, maxWait time.Duration) (*admission.Permit, *admission.Refusal) {
 	return gate.Admit(context.Background(), admission.Request{
 		Class:     admission.Class{Name: class, Model: "drafting", Share: share, MaxWait: maxWait},
 		Workspace: workspace,
@@ -29,18 +29,18 @@
 		gate, capacity := admission.New(), admission.Capacity{Total: 100, Nodes: 1}
 		surge := 0
 		for range 300 {
-			if permit, _ := ask(gate, "surge", 0.3, "one", capacity, 0); permit != nil {
+			if permit, _ := admit(gate, "surge", 0.3, "one", capacity, 0); permit != nil {
 				surge++
 			}
 		}
 		g.Expect(surge).To(gomega.BeNumerically(">=", 75), "idle slots are used")
 		g.Expect(surge).To(gomega.BeNumerically("<=", 90), "some slots are kept free")
 		for range 40 {
-			permit, refusal := ask(gate, "audit", 0.4, "two", capacity, 0)
+			permit, refusal := admit(gate, "audit", 0.4, "two", capacity, 0)
 			g.Expect(refusal).To(gomega.BeNil())
 			g.Expect(permit.Guaranteed).To(gomega.BeTrue())
 		}
-		_, refusal := ask(gate, "audit", 0.4, "two", capacity, 0)
+		_, refusal := admit(gate, "audit", 0.4, "two", capacity, 0)
 		g.Expect(refusal).NotTo(gomega.BeNil())
 		g.Expect(refusal.RetryAfter).To(gomega.BeNumerically(">=", time.Second))
 	})
@@ -54,13 +54,13 @@
 		gate, capacity := admission.New(), admission.Capacity{Total: 100, Nodes: 1}
 		small, large := 0, 0
 		for range 200 {
-			if permit, _ := ask(gate, "report", 0, "large", capacity, 0); permit != nil {
+			if permit, _ := admit(gate, "report", 0, "large", capacity, 0); permit != nil {
 				large++
 			}
-			if permit, _ := ask(gate, "report", 0, "large", capacity, 0); permit != nil {
+			if permit, _ := admit(gate, "report", 0, "large", capacity, 0); permit != nil {
 				large++
 			}
-			if permit, _ := ask(gate, "report", 0, "small", capacity, 0); permit != nil {
+			if permit, _ := admit(gate, "report", 0, "small", capacity, 0); permit != nil {
 				small++
 			}
 		}
@@ -75,14 +75,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		gate, capacity := admission.New(), admission.Capacity{Total: 1, Nodes: 1}
-		permit, _ := ask(gate, "report", 0, "one", capacity, 0)
+		permit, _ := admit(gate, "report", 0, "one", capacity, 0)
 		time.Sleep(20 * time.Second)
 		permit.Release()
 		for range 2 {
-			_, _ = ask(gate, "report", 0, "one", capacity, 0)
+			_, _ = admit(gate, "report", 0, "one", capacity, 0)
 		}
 		began := time.Now()
-		_, refusal := ask(gate, "report", 0, "one", capacity, time.Second)
+		_, refusal := admit(gate, "report", 0, "one", capacity, time.Second)
 		g.Expect(refusal).NotTo(gomega.BeNil())
 		g.Expect(time.Since(began)).To(gomega.BeZero())
 	})
@@ -110,7 +110,7 @@
 				continue
 			}
 			guaranteed := shares[class] * float64(capacity.Total) / float64(capacity.Nodes)
-			permit, refusal := ask(gate, class, shares[class], "w", capacity, 0)
+			permit, refusal := admit(gate, class, shares[class], "w", capacity, 0)
 			if refusal != nil && float64(len(running[class])) < guaranteed {
 				t.Fatalf("%s was refused with %d running of %g guaranteed", class, len(running[class]), guaranteed)
 			}
--- a/internal/policy/dispatch/admit.go
+++ b/internal/policy/dispatch/admit.go
@@ -17,7 +17,7 @@
 // refusesCalls reports whether the target gets no new calls from any node: its group has lost a member, its
 // server accepts none, or its data centre is drained.
 func (target *Target) refusesCalls(now time.Duration) bool {
-	return target.memberLost.Load() || target.drainMark.Drained() || !target.record.Accepts(now)
+	return target.memberLost.Load() || target.drainStatus.Drained() || !target.record.Accepts(now)
 }
 
 // ErrDrained reports that a call was withheld because the data centre of its target was drained after the target
@@ -26,7 +26,7 @@
 
 // Admit checks a call immediately before it is written, and returns an error if the call must not be sent.
 func (target *Target) Admit() error {
-	if target.drainMark.Drained() {
+	if target.drainStatus.Drained() {
 		return ErrDrained
 	}
 	return target.record.Admit()
@@ -35,7 +35,7 @@
 // cold reports whether the server must get few calls: either the server is reported cold, or it may have become
 // cold while its data centre was drained.
 func (target *Target) cold(now time.Duration) bool {
-	return target.ColdLimit.Enabled() && (target.Cold || target.drainMark.EndedWithin(target.ColdDuration, now))
+	return target.ColdLimit.Enabled() && (target.Cold || target.drainStatus.EndedWithin(target.ColdDuration, now))
 }
 
 // Avoided reports whether new calls are kept away from the target.
--- a/internal/policy/dispatch/burst_test.go
+++ b/internal/policy/dispatch/burst_test.go
@@ -39,7 +39,7 @@
 	engines   map[string]*engineModel
 	nextOrder int
 
-	asked, inTime, late, refused map[int]int
+	requested, inTime, late, refused map[int]int
 }
 
 type engineModel struct {
@@ -101,7 +101,7 @@
 func (model *burstModel) start(seed uint64) {
 	model.random = rand.New(rand.NewPCG(seed, 1))
 	model.engines = map[string]*engineModel{}
-	model.asked, model.inTime, model.late, model.refused = map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
+	model.requested, model.inTime, model.late, model.refused = map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
 	specs := []dispatch.Spec{}
 	prompt := modelPromptTokens * modelTokenPrefill
 	if model.greedy {
@@ -197,7 +197,7 @@
 
 func (model *burstModel) placeCall(call *modelCall, maxWait time.Duration) {
 	if call.arrivedAt == model.at {
-		model.asked[model.windowStart()]++
+		model.requested[model.windowStart()]++
 		_, shed := model.boards[call.node].ShouldShed(pool, 0, dispatch.Criteria{})
 		model.boards[call.node].RecordDemand(pool, 0)
 		if shed && model.sheds {
@@ -268,7 +268,7 @@
 // burstCounts returns the calls that arrived during the burst, and those of them with a first event in time.
 func (model *burstModel) burstCounts() (asked, inTime int) {
 	for window := 4; window < 8; window += 2 {
-		asked, inTime = asked+model.asked[window], inTime+model.inTime[window]
+		asked, inTime = asked+model.requested[window], inTime+model.inTime[window]
 	}
 	return asked, inTime
 }
--- a/internal/policy/dispatch/call.go
+++ b/internal/policy/dispatch/call.go
@@ -127,25 +127,25 @@
 // CancelUnanswered cancels the calls with the given fingerprint that have had no event, and returns their
 // number. They may still be queued at their servers, which then never run them.
 func (board *Board) CancelUnanswered(fingerprint uint64) int {
-	ended := 0
+	canceled := 0
 	for _, target := range board.snapshot.Load().targets {
-		ended += target.cancelUnanswered(fingerprint)
+		canceled += target.cancelUnanswered(fingerprint)
 	}
-	return ended
+	return canceled
 }
 
 func (localState *localState) cancelUnanswered(fingerprint uint64) int {
 	localState.mu.Lock()
 	defer localState.mu.Unlock()
-	ended := 0
+	canceled := 0
 	for call := range localState.calls {
 		if call.fingerprint == fingerprint && !call.started.Load() {
 			call.quarantined.Store(true)
 			call.cancel()
-			ended++
+			canceled++
 		}
 	}
-	return ended
+	return canceled
 }
 
 // moveCalls cancels the calls of a target so that they resume elsewhere, and returns their number.
--- a/internal/policy/dispatch/dispatch.go
+++ b/internal/policy/dispatch/dispatch.go
@@ -85,8 +85,8 @@
 	path *pathhealth.Path
 	// slotTime holds the measured slot times of the target's pool, nil for a plain server.
 	slotTime *slotTime
-	// drainMark tells whether the target's data centre is drained.
-	drainMark *drain.Status
+	// drainStatus tells whether the target's data centre is drained.
+	drainStatus *drain.Status
 	// delistedAt is when the target was first found to be in no pool, 0 while it is in one. The board's lock guards
 	// it.
 	delistedAt time.Duration
@@ -162,7 +162,7 @@
 	paths        *pathhealth.Paths
 	// hasIdleConnection reports whether there is an open connection to an address that carries no call.
 	hasIdleConnection func(address string) bool
-	drainMark         func(dataCentre string) *drain.Status
+	drainStatus       func(dataCentre string) *drain.Status
 	// incarnation and nodeCount determine this node's share of the calls that a cold server may get.
 	incarnation uint64
 	nodeCount   func() int
@@ -206,8 +206,8 @@
 }
 
 // Drains sets the source of the drain state of data centres.
-func Drains(mark func(dataCentre string) *drain.Status) Option {
-	return func(board *Board) { board.drainMark = mark }
+func Drains(status func(dataCentre string) *drain.Status) Option {
+	return func(board *Board) { board.drainStatus = status }
 }
 
 // Paths sets this node's network paths to servers.
@@ -241,7 +241,7 @@
 func New(options ...Option) *Board {
 	board := &Board{
 		random: rand.IntN, now: clock.Boot, serverRecord: notice.New(ratelimit.New()).Record, targets: map[string]*Target{}, slotTimes: map[string]*slotTime{},
-		hasIdleConnection: func(string) bool { return false }, drainMark: drain.New().Status, nodeCount: func() int { return 1 }, countedNodes: func() int { return 1 },
+		hasIdleConnection: func(string) bool { return false }, drainStatus: drain.New().Status, nodeCount: func() int { return 1 }, countedNodes: func() int { return 1 },
 	}
 	board.snapshot.Store(&snapshot{})
 	for _, option := range options {
@@ -271,7 +271,7 @@
 	for name, specs := range pools {
 		pool := &pool{}
 		for _, spec := range specs {
-			target := &Target{Spec: spec, localState: board.localState(spec), dataCentrePath: board.dataCentrePath(spec.DataCentre, next), path: board.paths.Get(destinationOf(&spec)), drainMark: board.drainMark(spec.DataCentre)}
+			target := &Target{Spec: spec, localState: board.localState(spec), dataCentrePath: board.dataCentrePath(spec.DataCentre, next), path: board.paths.Get(destinationOf(&spec)), drainStatus: board.drainStatus(spec.DataCentre)}
 			if spec.Group != "" {
 				target.slotTime = board.slotTime(name)
 			}
@@ -409,7 +409,7 @@
 func NewStandaloneTarget(spec Spec, now clock.Now) *Target {
 	notices := notice.New(ratelimit.New(ratelimit.Clock(now)), notice.Clock(now))
 	return &Target{
-		Spec: spec, drainMark: drain.New().Status(spec.DataCentre),
+		Spec: spec, drainStatus: drain.New().Status(spec.DataCentre),
 		localState: &localState{now: now, record: notices.Record(spec.serverRun()), calls: map[*Call]struct{}{}},
 	}
 }
--- a/internal/policy/dispatch/pace_test.go
+++ b/internal/policy/dispatch/pace_test.go
@@ -40,7 +40,7 @@
 		node: model.random.IntN(model.nodes), arrivedAt: model.at,
 		promptTokens: model.drawLogNormal(model.meanPromptTokens, 0.89, 2340), events: model.drawLogNormal(model.meanAnswerEvents, 0.7, 78),
 	}
-	model.asked[0]++
+	model.requested[0]++
 	target, verdict := model.boards[call.node].Pick(pool, dispatch.Criteria{DataCentre: fmt.Sprintf("d%d", call.node%3), MaxQueued: modelMaxQueued})
 	if verdict != dispatch.Chosen {
 		model.refused[0]++
@@ -122,7 +122,7 @@
 
 // inTimeFraction returns the fraction of the calls that got their first event in time.
 func (model *paceModel) inTimeFraction() float64 {
-	return float64(model.inTime[0]) / float64(model.asked[0])
+	return float64(model.inTime[0]) / float64(model.requested[0])
 }
 
 func (model *paceModel) callsSentTo(head string, from, to int) int {
--- a/internal/policy/dispatch/pick.go
+++ b/internal/policy/dispatch/pick.go
@@ -139,7 +139,7 @@
 func (criteria *Criteria) earliestBackoffEnd(targets []*Target, now time.Duration) (*Target, Verdict) {
 	var first *Target
 	for _, target := range targets {
-		if target.MemberLost() || target.drainMark.Drained() || !criteria.allows(target) || target.record.Draining() || target.record.Accepts(now) {
+		if target.MemberLost() || target.drainStatus.Drained() || !criteria.allows(target) || target.record.Draining() || target.record.Accepts(now) {
 			continue
 		}
 		if first == nil || target.BackoffEndsAt() < first.BackoffEndsAt() {
--- a/internal/policy/dispatch/state.go
+++ b/internal/policy/dispatch/state.go
@@ -26,7 +26,7 @@
 				Mine: int(target.ownCalls.Load()), Others: int(target.peerCalls.Load()),
 				Unread: int(target.pendingPromptTokens.Load() + target.peerPendingPromptTokens.Load()), Avoided: target.Avoided(now), Broken: target.breaker.open(now),
 				BacksOff: !target.record.Draining() && !target.record.Accepts(now), Draining: target.record.Draining(),
-				Drained: target.drainMark.Drained(), Cold: target.cold(now),
+				Drained: target.drainStatus.Drained(), Cold: target.cold(now),
 				Pace: target.slowdown(),
 			})
 		}
--- a/internal/policy/notice/notice.go
+++ b/internal/policy/notice/notice.go
@@ -272,17 +272,17 @@
 }
 
 // Draining reports whether a run has announced that it is draining.
-func (notices *Notices) Draining(id ratelimit.Run) bool {
+func (notices *Notices) Draining(run ratelimit.Run) bool {
 	if notices.Counts.Drains.Load() == 0 {
 		return false
 	}
 	notices.mu.Lock()
 	defer notices.mu.Unlock()
-	server := notices.servers[id.Server]
-	if server == nil || server.runs[id.Born] == nil {
+	server := notices.servers[run.Server]
+	if server == nil || server.runs[run.Born] == nil {
 		return false
 	}
-	return server.runs[id.Born].draining.Load()
+	return server.runs[run.Born].draining.Load()
 }
 
 // InBackoff reports whether a backoff that the server requested from this node is in force.
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/pace/pace.go
@@ -310,7 +310,7 @@
 	return max(1, meter.announced.factor), max(0, now-meter.announced.at)
 }
 
-// ApplyRemote applies a factor that another node measured at the given time, and reports whether it was news. This
+// ApplyRemote applies a factor that another node measured at the given time, and reports whether it was new. This
 // node's own earlier passes are discarded if they disagree, since they may be from before the group became slow.
 func (meter *Meter) ApplyRemote(factor float64, at, now time.Duration) bool {
 	meter.mu.Lock()
--- a/internal/policy/warmup/warmup.go
+++ b/internal/policy/warmup/warmup.go
@@ -11,7 +11,7 @@
 // # Usage
 //
 //	bound := warmup.Bound{PerSecond: 26, Overshoot: 1.5, Tolerance: 5}
-//	limit := bound.NodeLimit(nodes, rendezvous.Draw(server, incarnation))
+//	limit := bound.NodeLimit(nodes, rendezvous.UnitHash(server, incarnation))
 //	if limiter.Allow(now, limit) { ... }
 package warmup
 
--- a/internal/run/gateway/background.go
+++ b/internal/run/gateway/background.go
@@ -260,18 +260,18 @@
 // probeAll tries all named servers concurrently and returns those that were reached. It stops waiting once
 // enough were reached, since it takes long to find that a server can't be reached.
 func (node *Node) probeAll(names []string, try func(name string) bool, enough func(reached int) bool) []string {
-	answers := make(chan string, len(names))
+	results := make(chan string, len(names))
 	for _, name := range names {
 		node.GoNamed("probe", func() {
 			if !try(name) {
 				name = ""
 			}
-			answers <- name
+			results <- name
 		})
 	}
 	reached := []string{}
 	for range names {
-		if name := <-answers; name != "" {
+		if name := <-results; name != "" {
 			reached = append(reached, name)
 		}
 		if enough(len(reached)) {
@@ -347,7 +347,7 @@
 
 func (node *Node) handleOutdatedTerm(term int64) {
 	node.logger.Warn("gateway: a server has seen a higher term; this node stops leading.", "Term", term)
-	node.termKeeper.HandleRefusal(term)
+	node.elector.HandleRefusal(term)
 }
 
 // updateLeadership makes this node leader when it is its turn, yields the leadership when this node can't
@@ -357,10 +357,10 @@
 		node.now()-node.startedAt > leadershipStartDelay && !node.cannotReachEngines()
 	candidates := node.peers.leaderCandidates()
 	node.yieldLeadership(candidates)
-	if node.termKeeper.TryTakeOver(candidates, eligible) {
-		node.logger.Info("gateway: this node is now the leader.", "Term", node.termKeeper.Term())
+	if node.elector.TryTakeOver(candidates, eligible) {
+		node.logger.Info("gateway: this node is now the leader.", "Term", node.elector.Term())
 	}
-	node.peers.advanceHeartbeat(node.termKeeper.Term())
+	node.peers.advanceHeartbeat(node.elector.Term())
 }
 
 // sweep drops expired state, and closes idle connections to servers that no longer accept calls.
--- a/internal/run/gateway/compose.go
+++ b/internal/run/gateway/compose.go
@@ -75,7 +75,7 @@
 	node, link := peers.node, state.link
 	totals := peers.totalsLocked()
 	message := &frame.Frame{
-		HighestTerm: node.termKeeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
+		HighestTerm: node.elector.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
 		ConfigurationAgeMs: proto.Uint32(cappedMilliseconds(node.follower.ConfigurationAge())),
 		Fit:                peers.synced(), StoreAway: node.storeCalls.Unavailable(), News: state.pendingAnnouncements, SilentHeads: state.pendingStalls,
 		Listing: peers.listingFor(state), Suspects: peers.nextSuspects(state), Notices: peers.nextNotices(state),
@@ -105,10 +105,10 @@
 	return message
 }
 
-// addLoads adds the changes of a load sum since the last frame on the link.
-func (peers *peers) addLoads(message *frame.Frame, state *linkState, sum serverload.ServerLoads) {
-	changes, whole := state.sentLoads.Next(sum)
-	message.Loads, message.LoadsWhole = loadsToWire(changes), whole
+// addLoads adds the changes of a load total since the last frame on the link.
+func (peers *peers) addLoads(message *frame.Frame, state *linkState, total serverload.ServerLoads) {
+	changes, complete := state.sentLoads.Next(total)
+	message.Loads, message.LoadsWhole = loadsToWire(changes), complete
 }
 
 // reportFrame returns a leaf's report to its upstream node, or nil if the frame is optional and nothing has
@@ -168,7 +168,7 @@
 	node, totals := peers.node, peers.totalsLocked()
 	delta := peers.catalogue.Since(from)
 	message := &frame.Frame{
-		HighestTerm: node.termKeeper.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
+		HighestTerm: node.elector.Highest(), ConfigurationVersion: node.configuration.Load().Configuration.Version,
 		Nodes: uint32(totals.fleetNodes), Fit: peers.synced(), StoreAway: node.storeCalls.Unavailable(),
 		Drains: drainsToWire(node.drains.Records()),
 	}
@@ -199,10 +199,10 @@
 	for _, number := range delta.Removed {
 		encoded.Removed = append(encoded.Removed, uint32(number))
 	}
-	for _, numbered := range delta.Rows {
-		row := &numbered.Row
+	for _, indexedRow := range delta.Rows {
+		row := &indexedRow.Row
 		encoded.Rows = append(encoded.Rows, &frame.Row{
-			Number: uint32(numbered.Index), Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
+			Number: uint32(indexedRow.Index), Server: row.Server, Born: row.Born, Address: row.Address, DataCentre: row.DataCentre,
 			Group: row.Group, Service: row.Service, Model: row.Model, Slots: uint32(row.Slots), Cold: row.Cold,
 		})
 	}
--- a/internal/run/gateway/demands.go
+++ b/internal/run/gateway/demands.go
@@ -72,22 +72,22 @@
 // applyDemandsLocked replaces the demand received over a link by that of a new frame. The received demand is
 // dropped when the link ends.
 func (peers *peers) applyDemandsLocked(state *linkState, received *frame.Frame) {
-	sums := demandsFromWire(received.Demands)
+	poolRates := demandsFromWire(received.Demands)
 	if !state.link.Upstream() {
-		state.demands.received = sums
+		state.demands.received = poolRates
 		return
 	}
-	own, remembered := state.demands.reports.Get(received.Included)
-	if !remembered {
-		// This node's part of the sums is no longer known, so the sums of an earlier frame stay in use.
+	own, known := state.demands.reports.Get(received.Included)
+	if !known {
+		// This node's part of the rates is no longer known, so the rates of an earlier frame stay in use.
 		return
 	}
-	state.demands.received = sums.Subtract(own)
+	state.demands.received = poolRates.Subtract(own)
 	if !isBackbone(state.link) && peers.overlay.Upstream() == state.link {
 		// No demand at all means that the upstream node has only just started. An estimate from this node's
 		// own rates and the number of nodes is better than none.
 		others := state.demands.received
-		if len(sums) == 0 {
+		if len(poolRates) == 0 {
 			others = nil
 		}
 		peers.node.demand.SetRemote(others)
@@ -95,7 +95,7 @@
 }
 
 // applyOtherDemands passes the demand of the other nodes to the demand counter of a node without an upstream
-// feed. A relay or a root receives that demand itself, so an empty sum counts as known.
+// feed. A relay or a root receives that demand itself, so an empty total counts as known.
 func (peers *peers) applyOtherDemands() {
 	peers.mu.Lock()
 	others := peers.totalsLocked().demands.others
@@ -103,10 +103,10 @@
 	peers.node.demand.SetRemote(others)
 }
 
-func demandsToWire(sums demand.PoolRates) []*frame.PoolDemand {
-	encoded := make([]*frame.PoolDemand, 0, len(sums))
-	for _, pool := range sums.Pools() {
-		rates := sums[pool]
+func demandsToWire(poolRates demand.PoolRates) []*frame.PoolDemand {
+	encoded := make([]*frame.PoolDemand, 0, len(poolRates))
+	for _, pool := range poolRates.Pools() {
+		rates := poolRates[pool]
 		encodedPool := &frame.PoolDemand{Pool: pool, Refused: demand.EncodeRate(rates.Refused)}
 		for _, requested := range rates.RequestedByRank() {
 			encodedPool.Asked = append(encodedPool.Asked, demand.EncodeRate(requested))
@@ -117,13 +117,13 @@
 }
 
 func demandsFromWire(encoded []*frame.PoolDemand) demand.PoolRates {
-	sums := make(demand.PoolRates, len(encoded))
+	poolRates := make(demand.PoolRates, len(encoded))
 	for _, poolDemand := range encoded {
 		rates := demand.Rates{Refused: demand.DecodeRate(poolDemand.Refused)}
 		for rank, requested := range poolDemand.Asked {
 			rates.Requested[min(rank, demand.Ranks-1)] += demand.DecodeRate(requested)
 		}
-		sums[poolDemand.Pool] = rates
+		poolRates[poolDemand.Pool] = rates
 	}
-	return sums
+	return poolRates
 }
--- a/internal/run/gateway/demands_test.go
+++ b/internal/run/gateway/demands_test.go
@@ -112,8 +112,8 @@
 // knownRate returns the demand of the whole fleet as a node knows it, in requests per second.
 func (tree *demandTree) knownRate(node int) float64 {
 	peers := tree.nodes[node].peers
-	sums := peers.demandTotalsLocked()
-	return sums.fleet()[demandPool].Requested[0]
+	totals := peers.demandTotalsLocked()
+	return totals.fleet()[demandPool].Requested[0]
 }
 
 // ratePerRequest is the increase that one request causes in a rate averaged over a quarter of a second.
--- a/internal/run/gateway/detours.go
+++ b/internal/run/gateway/detours.go
@@ -137,14 +137,14 @@
 // query asks some nodes whether they accept detours, and records their answers.
 func (detours *detours) query() {
 	targets := detours.queryTargets()
-	answers := make(chan bool, len(targets))
+	results := make(chan bool, len(targets))
 	for _, address := range targets {
 		detours.node.GoNamed("detours", func() {
 			found := detours.node.peers.overlay.QueryDetours(address)
-			for _, answered := range found {
-				detours.record(answered)
+			for _, advertised := range found {
+				detours.record(advertised)
 			}
-			answers <- len(found) > 0
+			results <- len(found) > 0
 		})
 	}
 	// Live nodes answer within a few milliseconds of each other.
@@ -152,8 +152,8 @@
 	defer timer.Stop()
 	for range targets {
 		select {
-		case answered := <-answers:
-			if answered {
+		case useful := <-results:
+			if useful {
 				timer.Reset(laterDetourAnswersTimeout)
 			}
 		case <-timer.C:
--- a/internal/run/gateway/gateway.go
+++ b/internal/run/gateway/gateway.go
@@ -67,9 +67,9 @@
 	Store store.Store
 	Fleet formation.ServerClient
 	Codec backendserver.Codec
-	// SetNoticeHandler sets the function that receives what servers state about themselves in responses to
-	// queries and orders.
-	SetNoticeHandler func(handler func(server *roster.Server, source string, content backendserver.ServerSignals))
+	// SetSignalsHandler sets the function that receives the signals of servers in responses to queries and
+	// orders.
+	SetSignalsHandler func(handler func(server *roster.Server, source string, signals backendserver.ServerSignals))
 	// DecodeCaller decodes a caller's request, except for its body.
 	DecodeCaller func(request *http.Request) *forward.Request
 	// ReadinessPath is the URL path of the load balancer's readiness check.
@@ -98,7 +98,7 @@
 	warmups          *warmup.ColdTable
 	groupView        *formation.View
 	groupController  *formation.Controller
-	termKeeper       *leadership.Elector
+	elector          *leadership.Elector
 	board            *dispatch.Board
 	demand           *demand.Demand
 	pool             *backendserver.Pool
@@ -206,12 +206,12 @@
 		dispatch.Drains(node.drains.Status), dispatch.ColdShare(node.Incarnation, func() int { return node.peers.budgetNodes() }),
 		dispatch.CountedNodes(func() int { return int(node.peers.reportingNodes.Load()) }))
 	node.pool = backendserver.New(platform.Codec, node.poolOptions()...)
-	node.termKeeper = leadership.New(node.Incarnation, node.claimTerm, node.now)
+	node.elector = leadership.New(node.Incarnation, node.claimTerm, node.now)
 	node.groupController = formation.New(node.formationDependencies())
 	node.follower = follower.New(node.followerDependencies())
 	node.forwarder = forward.New(node.forwarderDependencies())
-	if platform.SetNoticeHandler != nil {
-		platform.SetNoticeHandler(node.handleControlNotice)
+	if platform.SetSignalsHandler != nil {
+		platform.SetSignalsHandler(node.handleControlSignals)
 	}
 	return node, node.openListeners()
 }
@@ -248,7 +248,7 @@
 	return forward.Dependencies{
 		Configuration: node.configuration, Board: node.board, Pool: node.pool, DecodeRequest: node.platform.DecodeCaller,
 		DataCentre: node.settings.DataCentre, RetryBudget: node.retryBudget, Ready: node.stateKnown, Stopping: node.stopping.Load,
-		Quarantine: node.quarantine, OnQuarantineChange: node.suspectChanged, OnResponseHead: node.handleNotice,
+		Quarantine: node.quarantine, OnQuarantineChange: node.suspectChanged, OnResponseHead: node.handleResponseHead,
 		RequestPermits: node.refreshPermits, RetryScheduler: ratelimit.NewRetryScheduler(node.now), NodeCount: func() int { return node.peers.budgetNodes() },
 		Detours: node.detours.tableOrNil(), DetourPool: node.detours.pool, RequestDetours: node.detours.requestQuery, OnUnconfirmedFailure: node.detours.deferFailure,
 		NodeName: node.settings.Name, OnNewerVersion: func(address string, version int64) { node.peers.fetchIfNewerFrom(address, version) },
@@ -307,7 +307,7 @@
 	}
 }
 
-// Start starts all parts of the node.
+// Start starts all components of the node.
 func (node *Node) Start() {
 	node.startedAt = node.now()
 	node.peers.start()
--- a/internal/run/gateway/notices.go
+++ b/internal/run/gateway/notices.go
@@ -30,16 +30,16 @@
 	notice.Unreadable: "gateway: a server requested an invalid backoff.",
 }
 
-// handleNotice applies what a response states about its server: rate limit, backoff and draining.
-func (node *Node) handleNotice(received forward.ResponseHead) {
+// handleResponseHead applies the signals that a response head carries: rate limit, backoff and draining.
+func (node *Node) handleResponseHead(received forward.ResponseHead) {
 	if !received.Stray {
-		node.handleLimitNotice(&received)
+		node.handleLimitSignal(&received)
 	}
-	content := &received.Signals
+	signals := &received.Signals
 	changes := node.notices.HandleResponse(received.Record, received.NoticeResponse())
 	if changes.Backoff != notice.Unchanged {
 		node.logNotice(backoffMessages[changes.Backoff], &received,
-			slog.Int64("BackoffMilliseconds", content.Backoff.Span.Milliseconds()), slog.String("Value", content.Backoff.Unreadable))
+			slog.Int64("BackoffMilliseconds", signals.Backoff.Span.Milliseconds()), slog.String("Value", signals.Backoff.Unreadable))
 	}
 	if changes.Draining != notice.Unchanged {
 		node.logNotice("gateway: a server is draining.", &received)
@@ -118,8 +118,8 @@
 	node.logger.LogAttrs(context.Background(), slog.LevelInfo, message, attributes...)
 }
 
-// handleLimitNotice applies what a response states about the rate limit of its server.
-func (node *Node) handleLimitNotice(received *forward.ResponseHead) {
+// handleLimitSignal applies what a response states about the rate limit of its server.
+func (node *Node) handleLimitSignal(received *forward.ResponseHead) {
 	limit, run := received.Signals.Limit, received.Record.Run
 	if !limit.Named && limit.Unreadable == "" && !node.limits.Any() {
 		return
@@ -141,15 +141,15 @@
 		slog.Float64("Rate", limit.Rate), slog.Float64("Before", previous.Rate), slog.String("Value", limit.Unreadable))
 }
 
-// handleControlNotice applies what a server states about itself in its response to a query or an order. Such
-// a response doesn't show whether the server accepts calls.
-func (node *Node) handleControlNotice(server *roster.Server, source string, content backendserver.ServerSignals) {
-	if content == (backendserver.ServerSignals{}) {
+// handleControlSignals applies the signals in a server's response to a query or an order. Such a response
+// doesn't show whether the server accepts calls.
+func (node *Node) handleControlSignals(server *roster.Server, source string, signals backendserver.ServerSignals) {
+	if signals == (backendserver.ServerSignals{}) {
 		return
 	}
 	now := node.now()
-	node.handleNotice(forward.ResponseHead{
-		Record: node.notices.Record(ratelimit.Run{Server: server.ID, Born: server.Born}), Signals: content, Source: source,
+	node.handleResponseHead(forward.ResponseHead{
+		Record: node.notices.Record(ratelimit.Run{Server: server.ID, Born: server.Born}), Signals: signals, Source: source,
 		Group: server.Group.Name, ChosenAt: now, SentAt: now,
 	})
 }
--- a/internal/run/gateway/operator.go
+++ b/internal/run/gateway/operator.go
@@ -74,7 +74,7 @@
 	state := State{
 		Name: node.settings.Name, DataCentre: node.settings.DataCentre, Incarnation: node.Incarnation, Ready: "ready",
 		ConfigurationVersion: node.configuration.Load().Configuration.Version, StoreEra: node.follower.Era(),
-		ConfigurationAgeMilliseconds: node.follower.ConfigurationAge().Milliseconds(), Store: node.storeCalls.State(), ReadsStore: node.peers.readerStanding().IsReader(), ListEnd: servers.End,
+		ConfigurationAgeMilliseconds: node.follower.ConfigurationAge().Milliseconds(), Store: node.storeCalls.State(), ReadsStore: node.peers.readPolicy().IsReader(), ListEnd: servers.End,
 		ListAgeMilliseconds: node.follower.ListAge().Milliseconds(), Servers: len(servers.Servers),
 		Targets: node.board.State(), Former: node.groupController.State(),
 		Budgets: node.retryBudgetStates(), Nodes: node.peers.reachableNodes(), Overlay: node.peers.overlay.State(),
@@ -113,7 +113,7 @@
 func (node *Node) Metrics() Metrics {
 	metrics := Metrics{
 		Outcomes: node.requestMetrics.outcomesByRoute(), Latencies: node.requestMetrics.latencies(), Counters: node.counters(),
-		Ages: map[string]int64{"ServerList": -1, "Configuration": -1}, Term: node.termKeeper.Term(), Budgets: node.retryBudgetStates(), Serving: map[string]int{},
+		Ages: map[string]int64{"ServerList": -1, "Configuration": -1}, Term: node.elector.Term(), Budgets: node.retryBudgetStates(), Serving: map[string]int{},
 		Limits: node.limits.State(), Notices: node.notices.State(), DrainedDataCentres: node.drains.Drained(),
 	}
 	servers := node.servers.Load()
--- a/internal/run/gateway/paces.go
+++ b/internal/run/gateway/paces.go
@@ -34,12 +34,12 @@
 }
 
 // queuePace queues the pace factor of a target for all links except the one that it came over.
-func (peers *peers) queuePace(run string, from *overlay.Link) {
+func (peers *peers) queuePace(key string, from *overlay.Link) {
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	for link, state := range peers.linkStates {
-		if link != from && !slices.Contains(state.pendingPaces, run) {
-			state.pendingPaces = append(state.pendingPaces, run)
+		if link != from && !slices.Contains(state.pendingPaces, key) {
+			state.pendingPaces = append(state.pendingPaces, key)
 		}
 	}
 }
@@ -48,8 +48,8 @@
 // any.
 func (peers *peers) addPaces(message *frame.Frame, state *linkState) bool {
 	count := min(len(state.pendingPaces), maxPacesPerFrame)
-	for _, run := range state.pendingPaces[:count] {
-		if known, ok := peers.node.board.PaceForPeers(run); ok {
+	for _, key := range state.pendingPaces[:count] {
+		if known, ok := peers.node.board.PaceForPeers(key); ok {
 			message.Paces = append(message.Paces, paceToWire(&known))
 		}
 	}
--- a/internal/run/gateway/paths.go
+++ b/internal/run/gateway/paths.go
@@ -105,19 +105,19 @@
 	if node.cannotReachEngines() {
 		return 0
 	}
-	return node.termKeeper.Term()
+	return node.elector.Term()
 }
 
 // yieldLeadership gives up this node's term if this node reaches no engine server and another node could
 // become leader. If no other node could, the term stays here, as it would only pass from one unsuitable node
 // to the next.
 func (node *Node) yieldLeadership(candidates []leadership.Peer) {
-	term := node.termKeeper.Term()
+	term := node.elector.Term()
 	if term == 0 || !node.cannotReachEngines() || !slices.ContainsFunc(candidates, func(peer leadership.Peer) bool { return peer.Eligible }) {
 		return
 	}
 	node.logger.Warn("gateway: this node reaches no engine server and gives up leadership.", "Term", term)
-	node.termKeeper.HandleRefusal(term)
+	node.elector.HandleRefusal(term)
 }
 
 // lostPathsFor returns the lost paths of this node to report over a link. Nothing is reported to downstream
--- a/internal/run/gateway/peers.go
+++ b/internal/run/gateway/peers.go
@@ -56,7 +56,7 @@
 	// forwarded requests.
 	lostPaths     []pathhealth.Destination
 	detourAddress string
-	// sentLoads and receivedLoads track a load sum of which only changes are sent.
+	// sentLoads and receivedLoads track a load total of which only changes are sent.
 	sentLoads     serverload.DeltaSender
 	receivedLoads serverload.DeltaReceiver
 	// listReceived is set once the other side has sent the position of its server list, which was listStart
@@ -67,10 +67,10 @@
 	listSentVersion uint64
 	listAge         time.Duration
 	listAgeAt       time.Duration
-	// catalogueSentVersion is the catalogue version that was sent to a leaf. catalogueCopy is the catalogue
+	// catalogueSentVersion is the catalogue version that was sent to a leaf. catalogueReplica is the catalogue
 	// that this node received as a leaf.
 	catalogueSentVersion uint64
-	catalogueCopy        *catalogue.Replica
+	catalogueReplica     *catalogue.Replica
 	// sentLostPaths, detourAddressSent, reportedLoads and sentConfigurationVersion are what this node last
 	// reported as a leaf. sentLeafHash is the content hash of the last frame sent to a leaf.
 	sentLostPaths            []pathhealth.Destination
@@ -238,8 +238,8 @@
 // roleChanged handles a new role of this node. A leaf doesn't have the server list, so it can't give orders
 // and gives up its term.
 func (peers *peers) roleChanged(role overlay.Role) {
-	if term := peers.node.termKeeper.Term(); role == overlay.Leaf && term != 0 {
-		peers.node.termKeeper.HandleRefusal(term)
+	if term := peers.node.elector.Term(); role == overlay.Leaf && term != 0 {
+		peers.node.elector.HandleRefusal(term)
 	}
 	peers.node.requestTargetUpdate()
 	peers.node.follower.RoleChanged()
@@ -270,7 +270,7 @@
 	}
 	peers.lastNeighbour++
 	state = &linkState{
-		link: link, loads: serverload.ServerLoads{}, catalogueCopy: catalogue.NewReplica(), pendingSuspects: map[quarantine.Fingerprint]struct{}{},
+		link: link, loads: serverload.ServerLoads{}, catalogueReplica: catalogue.NewReplica(), pendingSuspects: map[quarantine.Fingerprint]struct{}{},
 		permits: newPermitState(peers.lastNeighbour, peers.node.limits.All()), pendingNotices: map[ratelimit.Run]struct{}{},
 		pendingPaces: peers.node.board.SlowTargets(),
 	}
@@ -329,8 +329,8 @@
 	return ahead + rendezvous.Rank(storeReaderKey, peers.node.Incarnation, candidates)
 }
 
-// readerStanding returns the facts that decide this node's part in reading the store.
-func (peers *peers) readerStanding() follower.ReadPolicy {
+// readPolicy returns the facts that decide this node's part in reading the store.
+func (peers *peers) readPolicy() follower.ReadPolicy {
 	return follower.ReadPolicy{
 		Role: peers.overlay.Role(), Rank: peers.readerRank, RootsUnavailable: peers.rootsLackStore(), FedByUpstream: peers.fedByUpstream(), MissesVersion: peers.newerVersionOverdue(),
 	}
@@ -386,7 +386,7 @@
 	if received == nil {
 		return
 	}
-	peers.node.termKeeper.Observe(received.Term)
+	peers.node.elector.Observe(received.Term)
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	leader := &peers.leader
--- a/internal/run/gateway/receive.go
+++ b/internal/run/gateway/receive.go
@@ -17,7 +17,7 @@
 // handleFrame applies a frame received over a link.
 func (peers *peers) handleFrame(link *overlay.Link, received *frame.Frame) {
 	peers.handleDrains(link, received.Drains)
-	peers.node.termKeeper.Observe(received.HighestTerm)
+	peers.node.elector.Observe(received.HighestTerm)
 	peers.handleLeader(received.Holder)
 	peers.fetchIfNewer(link, received.ConfigurationVersion)
 	if received.ConfigurationAgeMs != nil {
@@ -122,7 +122,7 @@
 	changed := false
 	if received.Catalogue != nil {
 		delta := catalogueFromWire(received.Catalogue)
-		state.catalogueCopy.Apply(delta)
+		state.catalogueReplica.Apply(delta)
 		changed, lostGroups = true, delta.Lost
 	}
 	if peers.overlay.Upstream() == link && (changed || peers.rowsLink != link) {
@@ -149,16 +149,16 @@
 
 // rowLoads is the load of all nodes per catalogue row, by row number.
 type rowLoads struct {
-	servers       []string
-	calls, unread []uint32
-	failures      map[int]*frame.Failure
+	servers                    []string
+	calls, pendingPromptTokens []uint32
+	failures                   map[int]*frame.Failure
 	// own is the part of the load that this node reported.
 	own serverload.ServerLoads
 }
 
 func newRowLoads(state *linkState, received *frame.Frame) *rowLoads {
 	loads := &rowLoads{
-		servers: state.catalogueCopy.Servers(), calls: received.Calls, unread: received.Unread, own: state.reports.Find(received.Included),
+		servers: state.catalogueReplica.Servers(), calls: received.Calls, pendingPromptTokens: received.Unread, own: state.reports.Find(received.Included),
 	}
 	if len(received.Failures) > 0 {
 		loads.failures = make(map[int]*frame.Failure, len(received.Failures))
@@ -171,24 +171,24 @@
 
 // otherCalls returns the number of calls of the other nodes.
 func (rowLoads *rowLoads) otherCalls() int {
-	sum := 0
+	total := 0
 	for _, calls := range rowLoads.calls {
-		sum += int(calls)
+		total += int(calls)
 	}
 	for _, load := range rowLoads.own {
-		sum -= load.Calls
+		total -= load.Calls
 	}
-	return max(0, sum)
+	return max(0, total)
 }
 
 // otherLoad returns the load of the other nodes at a target. It is empty if the target's row number has been
 // reassigned to another server, since the calls at the target are about to end.
 func (rowLoads *rowLoads) otherLoad(target *dispatch.Target) dispatch.ServerLoad {
 	number := target.CatalogueIndex
-	if number >= len(rowLoads.calls) || number >= len(rowLoads.unread) || number >= len(rowLoads.servers) || rowLoads.servers[number] != target.ID {
+	if number >= len(rowLoads.calls) || number >= len(rowLoads.pendingPromptTokens) || number >= len(rowLoads.servers) || rowLoads.servers[number] != target.ID {
 		return dispatch.ServerLoad{}
 	}
-	load := dispatch.ServerLoad{Calls: int(rowLoads.calls[number]), PendingPromptTokens: int(rowLoads.unread[number])}
+	load := dispatch.ServerLoad{Calls: int(rowLoads.calls[number]), PendingPromptTokens: int(rowLoads.pendingPromptTokens[number])}
 	if failure := rowLoads.failures[number]; failure != nil {
 		load.Failed, load.Answered = int(failure.Failed), int(failure.Answered)
 	}
@@ -210,7 +210,7 @@
 	if storelog.Compare(end, peers.rowsListEnd) < 0 && now-peers.rowsReceivedAt < staleRowsWindow {
 		return
 	}
-	rows := state.catalogueCopy.Rows()
+	rows := state.catalogueReplica.Rows()
 	peers.rows.Store(&rows)
 	peers.rowsLink, peers.rowsListEnd, peers.rowsReceivedAt = state.link, end, now
 	peers.node.requestTargetUpdate()
--- a/internal/run/gateway/request_metrics.go
+++ b/internal/run/gateway/request_metrics.go
@@ -100,11 +100,11 @@
 	defer requestMetrics.mu.Unlock()
 	routes := make(map[string]map[forward.Outcome]uint64, len(requestMetrics.outcomes))
 	for route, byOutcome := range requestMetrics.outcomes {
-		copied := make(map[forward.Outcome]uint64, len(byOutcome))
+		counts := make(map[forward.Outcome]uint64, len(byOutcome))
 		for outcome, count := range byOutcome {
-			copied[outcome] = count
+			counts[outcome] = count
 		}
-		routes[route] = copied
+		routes[route] = counts
 	}
 	return routes
 }
--- a/internal/run/gateway/stop.go
+++ b/internal/run/gateway/stop.go
@@ -19,12 +19,12 @@
 )
 
 // Stop shuts the node down gracefully: it reports that it is not ready, keeps serving until the load balancer
-// has noticed, waits for requests in progress, and stops all parts.
+// has noticed, waits for requests in progress, and stops all components.
 func (node *Node) Stop() {
 	began := node.now()
 	node.stopping.Store(true)
 	node.logger.Info("gateway: the node is stopping.", "Name", node.settings.Name)
-	node.termKeeper.HandleRefusal(node.termKeeper.Term())
+	node.elector.HandleRefusal(node.elector.Term())
 	node.peers.advanceHeartbeat(0)
 	node.peers.overlay.Leave()
 	grace := node.settings.Bounds.Grace - shutdownMargin
@@ -45,7 +45,7 @@
 		})
 	}
 	shutdowns.Wait()
-	node.stopParts()
+	node.stopComponents()
 	node.logger.Info("gateway: the node stopped.", "Name", node.settings.Name, "Milliseconds", (node.now() - began).Milliseconds())
 }
 
@@ -56,11 +56,11 @@
 	if node.detours.server != nil {
 		node.detours.server.Close()
 	}
-	node.stopParts()
+	node.stopComponents()
 }
 
-// stopParts stops all parts of the node. Callers are no longer served by then.
-func (node *Node) stopParts() {
+// stopComponents stops all components of the node. Callers are no longer served by then.
+func (node *Node) stopComponents() {
 	node.readinessServer.Close()
 	node.operatorServer.Close()
 	node.groupController.RequestStop()
--- a/internal/run/gateway/store.go
+++ b/internal/run/gateway/store.go
@@ -21,7 +21,7 @@
 func (node *Node) followerDependencies() follower.Dependencies {
 	return follower.Dependencies{
 		Store: node.platform.Store, Calls: node.storeCalls, Configuration: node.configuration, Drains: node.drains, Servers: node.servers,
-		ReadPolicy: func() follower.ReadPolicy { return node.peers.readerStanding() }, FirstStart: node.settings.FirstStart, TickInterval: node.leafAwareInterval,
+		ReadPolicy: func() follower.ReadPolicy { return node.peers.readPolicy() }, FirstStart: node.settings.FirstStart, TickInterval: node.leafAwareInterval,
 		ConfigurationApplied: node.configurationApplied, ServersChanged: node.requestTargetUpdate, ServerSeen: node.handleServerEntry,
 		DrainsChanged: func(changes []drain.Record) { node.drainsChanged(changes, "store") },
 		StoreRestored: node.storeRestored, Now: node.now, Logger: node.logger,
@@ -31,7 +31,7 @@
 // handleServerEntry applies what a server's registry entry states: the term of its group, and how long the
 // server stays cold.
 func (node *Node) handleServerEntry(server *roster.Server) {
-	node.termKeeper.Observe(formation.TermOf(server.Group.Epoch))
+	node.elector.Observe(formation.TermOf(server.Group.Epoch))
 	node.warmups.Update(ratelimit.Run{Server: server.ID, Born: server.Born}, server.Cold)
 }
 
--- a/internal/run/gateway/suspects.go
+++ b/internal/run/gateway/suspects.go
@@ -198,7 +198,7 @@
 	if partitioned {
 		minFailures = partitionedStoreFailureThreshold
 	}
-	writes := partitioned || node.peers.readerStanding().IsReader()
+	writes := partitioned || node.peers.readPolicy().IsReader()
 	if writes && node.now() >= node.storedSuspects.writableAt {
 		node.writeSuspects(minFailures)
 	}
--- a/internal/serve/forward/failure.go
+++ b/internal/serve/forward/failure.go
@@ -89,8 +89,8 @@
 // describeVerdict explains why a request is quarantined.
 func describeVerdict(verdict quarantine.Verdict, now time.Duration) string {
 	runs := make([]string, 0, len(verdict.Failures))
-	for _, end := range verdict.Failures {
-		runs = append(runs, end.Run)
+	for _, failure := range verdict.Failures {
+		runs = append(runs, failure.Run)
 	}
 	last := verdict.Failures[len(verdict.Failures)-1].At
 	return "servers failed while running the request: " + strings.Join(runs, ", ") + "; last failure " +
--- a/internal/serve/forward/pick_test.go
+++ b/internal/serve/forward/pick_test.go
@@ -98,12 +98,12 @@
 		expect.Expect(verdict).To(gomega.Equal(dispatch.RateLimited))
 		expect.Expect(time.Since(startedAt)).To(gomega.BeNumerically("<=", 300*time.Millisecond/8))
 		expect.Expect(requested).To(gomega.Equal(1))
-		home := func(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Issuer: true, Share: 1} }
-		limits.Refresh(home)
+		asIssuer := func(ratelimit.Run) ratelimit.PermitSource { return ratelimit.PermitSource{Issuer: true, Share: 1} }
+		limits.Refresh(asIssuer)
 		time.Sleep(time.Second)
 		go func() {
 			time.Sleep(20 * time.Millisecond)
-			limits.Refresh(home)
+			limits.Refresh(asIssuer)
 		}()
 		_, verdict = exchange.pickGroup(maxQueuedStreams)
 		expect.Expect(verdict).To(gomega.Equal(dispatch.Chosen))
--- a/internal/serve/forward/responsehead.go
+++ b/internal/serve/forward/responsehead.go
@@ -47,11 +47,11 @@
 }
 
 // reportResponseHead returns a function that reports to the node what a response says about its server.
-func (exchange *exchange) reportResponseHead(attempt *attempt) func(status int, verdict *backendserver.DecodedHead) {
-	return func(status int, verdict *backendserver.DecodedHead) {
+func (exchange *exchange) reportResponseHead(attempt *attempt) func(status int, head *backendserver.DecodedHead) {
+	return func(status int, head *backendserver.DecodedHead) {
 		exchange.forwarder.OnResponseHead(ResponseHead{
-			Record: attempt.target.Record(), Signals: verdict.Signals, Source: sourceCall, Group: attempt.target.Group, RequestID: exchange.request.ID,
-			Accepted: !verdict.NotRun && !verdict.ForOtherCall && status < http.StatusInternalServerError, Stray: verdict.ForOtherCall, ChosenAt: attempt.startedAt, SentAt: attempt.admittedAt,
+			Record: attempt.target.Record(), Signals: head.Signals, Source: sourceCall, Group: attempt.target.Group, RequestID: exchange.request.ID,
+			Accepted: !head.NotRun && !head.ForOtherCall && status < http.StatusInternalServerError, Stray: head.ForOtherCall, ChosenAt: attempt.startedAt, SentAt: attempt.admittedAt,
 		})
 	}
 }
