--- a/internal/fleet/follower/era.go
+++ b/internal/fleet/follower/era.go
@@ -12,7 +12,7 @@
 
 // ErrPastEra reports that the store answered with an era older than one already seen: the answer is late, or the
 // store has lost its count of restores.
-var ErrPastEra = errors.New("the store answered in an era that has passed")
+var ErrPastEra = errors.New("the store answered with a past era")
 
 // unknownEra is the era before the store's first answer.
 const unknownEra = -1
@@ -49,7 +49,7 @@
 
 func (follower *Follower) handleStoreRestored(previous, era int64) {
 	follower.restores.Add(1)
-	follower.Logger.Warn("gateway: the store came back from an older copy.", "Era", era, "Before", previous,
+	follower.Logger.Warn("gateway: the store was restored from an older backup.", "Era", era, "Before", previous,
 		"ListEnd", follower.Servers.Load().End, "ConfigurationVersion", follower.Configuration.Load().Configuration.Version)
 	follower.StoreRestored()
 	follower.Recheck()
@@ -83,6 +83,6 @@
 // markSettled records that the servers of the previous era were looked up once more.
 func (follower *Follower) markSettled(era int64) {
 	follower.settledEra.Store(era)
-	follower.Logger.Info("gateway: the list of servers is that of the store again.", "Era", era,
+	follower.Logger.Info("gateway: the server list matches the store again.", "Era", era,
 		"Servers", len(follower.Servers.Load().Servers), "WaitedMilliseconds", roster.ReregistrationTime.Milliseconds())
 }
--- a/internal/fleet/overlay/overlay.go
+++ b/internal/fleet/overlay/overlay.go
@@ -201,7 +201,7 @@
 		return
 	}
 	overlay.Counters.RoleChanges.Add(1)
-	overlay.Logger.Info("overlay: the node has another role.", "Role", role.String(), "Before", previous.String(), "Upstream", overlay.upstreamAddress())
+	overlay.Logger.Info("overlay: the node changed its role.", "Role", role.String(), "Before", previous.String(), "Upstream", overlay.upstreamAddress())
 	overlay.closeLinks(func(link *Link) bool {
 		return (link.Purpose == frame.Purpose_Root && role != Root) || (!link.Upstream() && role == Leaf)
 	})
